--- a/bench/naive_balance.c
+++ b/bench/naive_balance.c
@@ -17,7 +17,7 @@
 }
 
 /* Every further replica goes to the expert with the greatest load for each replica. */
-static void choose_replicas(const skh_balance_view_t *view, uint32_t *replicas)
+static void choose_replicas(const skh_rebalance_input_t *view, uint32_t *replicas)
 {
 	uint32_t left = view->n_ranks * view->n_slots - view->n_experts;
 
@@ -27,7 +27,8 @@
 		uint32_t best = 0;
 
 		for (uint32_t i = 1; i < view->n_experts; i++) {
-			if (view->forecast[i] / replicas[i] > view->forecast[best] / replicas[best])
+			if (view->forecast_shares[i] / replicas[i] >
+			    view->forecast_shares[best] / replicas[best])
 				best = i;
 		}
 		replicas[best]++;
@@ -44,7 +45,8 @@
 }
 
 /* The heaviest piece goes to the emptiest rank with room that does not hold it. */
-static void pack(const skh_balance_view_t *view, const piece_t *pieces, uint32_t n, uint32_t *rows)
+static void pack(const skh_rebalance_input_t *view, const piece_t *pieces, uint32_t n,
+		 uint32_t *rows)
 {
 	g_autofree double *load = g_new0(double, view->n_ranks);
 	g_autofree uint32_t *used = g_new0(uint32_t, view->n_ranks);
@@ -70,7 +72,7 @@
 	}
 }
 
-static uint32_t overlap(const skh_balance_view_t *view, const uint32_t *old, const uint32_t *row)
+static uint32_t overlap(const skh_rebalance_input_t *view, const uint32_t *old, const uint32_t *row)
 {
 	uint32_t n = 0;
 
@@ -80,7 +82,7 @@
 }
 
 /* Gives each old rank the new row that shares most with it, best pairs first. */
-static void relabel(const skh_balance_view_t *view, const uint32_t *rows, uint32_t *placement)
+static void relabel(const skh_rebalance_input_t *view, const uint32_t *rows, uint32_t *placement)
 {
 	g_autofree bool *row_used = g_new0(bool, view->n_ranks);
 	g_autofree bool *rank_used = g_new0(bool, view->n_ranks);
@@ -113,7 +115,7 @@
 	}
 }
 
-uint32_t naive_count_loads(const skh_balance_view_t *view, const uint32_t *before,
+uint32_t naive_count_loads(const skh_rebalance_input_t *view, const uint32_t *before,
 			   const uint32_t *after)
 {
 	uint32_t loads = 0;
@@ -124,7 +126,7 @@
 	return loads;
 }
 
-uint32_t naive_balance(const skh_balance_view_t *view, uint32_t *placement)
+uint32_t naive_balance(const skh_rebalance_input_t *view, uint32_t *placement)
 {
 	uint32_t n_slots = view->n_ranks * view->n_slots;
 	g_autofree uint32_t *replicas = g_new(uint32_t, view->n_experts);
@@ -135,7 +137,7 @@
 	choose_replicas(view, replicas);
 	for (uint32_t i = 0; i < view->n_experts; i++) {
 		for (uint32_t k = 0; k < replicas[i]; k++)
-			pieces[n++] = (piece_t){ i, view->forecast[i] / replicas[i] };
+			pieces[n++] = (piece_t){ i, view->forecast_shares[i] / replicas[i] };
 	}
 	qsort(pieces, n, sizeof(*pieces), by_load);
 	pack(view, pieces, n, rows);
--- a/bench/replay_admit.c
+++ b/bench/replay_admit.c
@@ -7,9 +7,9 @@
  */
 #include "clock.h"
 #include "gate.h"
-#include "relay.h"
+#include "request_fsm.h"
 #include "replay.h"
-#include "route.h"
+#include "peer_selection.h"
 
 #include <glib.h>
 #include <math.h>
@@ -196,7 +196,7 @@
 		}
 		return;
 	}
-	while ((attempt = skh_gate_next(server->gate, world->clock.now_us)) != 0)
+	while ((attempt = skh_gate_start_next(server->gate, world->clock.now_us)) != 0)
 		start(world, take_waiting(world, attempt));
 }
 
@@ -213,7 +213,7 @@
 static void on_refusal(world_t *world, request_t *request, const skh_error_t *err, bool queued)
 {
 	request->overloads += queued;
-	if (request->overloads >= SKH_RELAY_MAX_OVERLOADS)
+	if (request->overloads >= SKH_REQUEST_FSM_MAX_OVERLOAD_REJECTIONS)
 		refuse(world, request, err->retry_at_us);
 	else
 		place(world, request);
@@ -225,7 +225,7 @@
 	char customer[16];
 	Skh__Start frame = SKH__START__INIT;
 	skh_error_t err = { 0 };
-	skh_verdict_t verdict;
+	skh_gate_decision_t verdict;
 	uint64_t evicted;
 
 	if (world->naive) {
@@ -240,16 +240,16 @@
 	frame.weight = 1.0;
 	frame.priority = request->priority;
 	frame.start_before_us = world->clock.now_us + START_PART_US;
-	frame.no_queue = request->placements <= SKH_ROUTE_PROBES;
-	verdict = skh_gate_start(server->gate, &frame, world->clock.now_us, &err);
-	if (verdict == SKH_VERDICT_START)
+	frame.no_queue = request->placements <= SKH_MAX_NO_QUEUE_ATTEMPTS;
+	verdict = skh_gate_admit(server->gate, &frame, world->clock.now_us, &err);
+	if (verdict == SKH_GATE_DECISION_START)
 		start(world, request);
-	else if (verdict == SKH_VERDICT_QUEUE)
+	else if (verdict == SKH_GATE_DECISION_QUEUE)
 		g_hash_table_insert(world->waiting, &request->attempt, request);
 	else
 		on_refusal(world, request, &err, !frame.no_queue);
 	err.retry_at_us = 0;
-	while ((evicted = skh_gate_evicted(server->gate)) != 0)
+	while ((evicted = skh_gate_pop_evicted(server->gate)) != 0)
 		on_refusal(world, take_waiting(world, evicted), &err, true);
 }
 
@@ -261,7 +261,7 @@
 	if (world->naive)
 		server->running--;
 	else
-		skh_gate_ended(server->gate, request->attempt, true);
+		skh_gate_finish(server->gate, request->attempt, true);
 	if (in_burst(world->clock.now_us)) {
 		world->on_time += on_time;
 		world->late += !on_time;
@@ -277,8 +277,8 @@
 	uint64_t attempt;
 
 	for (uint32_t i = 0; i < SERVERS && !world->naive; i++) {
-		while ((attempt = skh_gate_expire(world->servers[i].gate, world->clock.now_us)) !=
-		       0)
+		while ((attempt = skh_gate_expire_next(world->servers[i].gate,
+						       world->clock.now_us)) != 0)
 			on_refusal(world, take_waiting(world, attempt), &err, true);
 	}
 	schedule(world, world->clock.now_us + TICK_US, EVENT_TICK, NULL);
--- a/bench/replay_balance.c
+++ b/bench/replay_balance.c
@@ -1,12 +1,12 @@
 /*
- * Replays drifting expert popularity against the balancer (src/balance.h), a
+ * Replays drifting expert popularity against the balancer (src/rebalance.h), a
  * static placement and full recomputation. Virtual time, fixed seeds. Prints a
  * row for each trace and policy: mean and 95th percentile skew over the seeds,
  * weights loaded, and the time of a decision.
  *
  * Usage: replay-balance [LOAD_COST]
  */
-#include "balance.h"
+#include "rebalance.h"
 #include "forecast.h"
 #include "naive_balance.h"
 #include "replay.h"
@@ -126,37 +126,38 @@
 			workload->counts[t][e] =
 				MAX(0.0, mean + sqrt(mean) * replay_normal(random));
 			if (g_rand_int_range(random, 0, 100) < GAP_PERCENT)
-				workload->counts[t][e] = SKH_FORECAST_GAP;
+				workload->counts[t][e] = SKH_FORECAST_UNKNOWN_COUNT;
 		}
 	}
 	g_rand_free(random);
 }
 
-static void note(result_t *result, int32_t interval, const skh_balance_plan_t *plan, int64_t us)
+static void note(result_t *result, int32_t interval, const skh_rebalance_plan_t *plan, int64_t us)
 {
-	result->loads += plan->n_moves;
+	result->loads += plan->n_copies;
 	if (interval > INTERVALS / 2)
-		result->late_loads += plan->n_moves;
+		result->late_loads += plan->n_copies;
 	result->stages += plan->n_stages;
 	result->worst_us = MAX(result->worst_us, us);
 	result->total_us += us;
 	result->decisions++;
 }
 
-static void decide(const skh_balance_view_t *view, uint32_t *placement, int32_t interval,
+static void decide(const skh_rebalance_input_t *view, uint32_t *placement, int32_t interval,
 		   result_t *result)
 {
-	static skh_balance_plan_t plan;
+	static skh_rebalance_plan_t plan;
 	int64_t began_us = g_get_monotonic_time();
 
-	if (!skh_balance_decide(view, &plan))
+	if (!skh_rebalance_compute_plan(view, &plan))
 		printf("  (interval %d: an expert can't be placed)\n", interval);
 	note(result, interval, &plan, g_get_monotonic_time() - began_us);
-	for (uint32_t i = 0; i < plan.n_moves; i++)
-		placement[plan.moves[i].rank * SLOTS + plan.moves[i].slot] = plan.moves[i].expert;
+	for (uint32_t i = 0; i < plan.n_copies; i++)
+		placement[plan.copies[i].rank * SLOTS + plan.copies[i].slot] =
+			plan.copies[i].expert;
 }
 
-static void recompute(const skh_balance_view_t *view, uint32_t *placement, result_t *result)
+static void recompute(const skh_rebalance_input_t *view, uint32_t *placement, result_t *result)
 {
 	uint32_t next[RANKS * SLOTS];
 
@@ -183,18 +184,18 @@
 	uint32_t domain[RANKS];
 	double last[EXPERTS] = { 0.0 };
 	skh_forecast_t *forecast = skh_forecast_new(EXPERTS);
-	skh_balance_view_t view = {
+	skh_rebalance_input_t view = {
 		.n_ranks = RANKS,
 		.n_slots = SLOTS,
 		.n_experts = EXPERTS,
 		.placement = placement,
-		.forecast = workload->shares[0],
+		.forecast_shares = workload->shares[0],
 		.speed = speed,
-		.domain = domain,
+		.failure_domain = domain,
 		.skew_weight = policies[policy].skew_weight,
 		.cost_weight = policies[policy].cost_weight,
-		.load_cost = load_cost,
-		.max_loads = 16,
+		.copy_cost = load_cost,
+		.max_copies = 16,
 	};
 
 	for (int32_t r = 0; r < RANKS; r++) {
@@ -207,17 +208,17 @@
 		if (t == trace->lost_from)
 			speed[7] = 0.0;
 		skh_forecast_observe(forecast, workload->counts[t]);
-		view.forecast = skh_forecast_shares(forecast);
+		view.forecast_shares = skh_forecast_shares(forecast);
 		if (policy == POLICY_FULL)
 			fill_gaps(workload->counts[t], last);
 		if (policy == POLICY_FULL)
-			view.forecast = last;
+			view.forecast_shares = last;
 		if (policy == POLICY_FULL || policy == POLICY_FULL_FORECAST)
 			recompute(&view, placement, result);
 		else if (policy != POLICY_STATIC && skh_forecast_is_ready(forecast))
 			decide(&view, placement, t, result);
 		result->skews[result->n++] =
-			skh_balance_skew(&view, placement, workload->shares[t + 1]);
+			skh_rebalance_skew(&view, placement, workload->shares[t + 1]);
 	}
 	skh_forecast_free(forecast);
 }
--- a/bench/replay_route.c
+++ b/bench/replay_route.c
@@ -1,5 +1,5 @@
 /*
- * Replays requests against the routing of src/route.h and its rivals, in
+ * Replays requests against the routing of src/peer_selection.h and its rivals, in
  * virtual time with fixed seeds. Entries do not talk to each other, load reports
  * are seconds late, servers batch continuously in a fixed number of slots and
  * keep some prompt prefixes. Prints a row for each policy and fleet.
@@ -7,9 +7,9 @@
  * Usage: replay-route [LOAD_PERCENT]
  */
 #include "clock.h"
-#include "heat.h"
+#include "prefix_share.h"
 #include "replay.h"
-#include "route.h"
+#include "peer_selection.h"
 
 #include <glib.h>
 #include <math.h>
@@ -32,7 +32,7 @@
 #define CACHED	      60 /* prefixes that a server keeps */
 #define WARM_UP_US    (30 * SKH_US_PER_S)
 #define END_US	      (120 * SKH_US_PER_S)
-#define PROBES	      SKH_ROUTE_PROBES
+#define PROBES	      SKH_MAX_NO_QUEUE_ATTEMPTS
 #define SERVICE	      "assistant"
 
 typedef enum policy {
@@ -46,8 +46,8 @@
 } policy_t;
 
 static const char *const policy_names[POLICY_COUNT] = {
-	"random",  "round robin",     "least loaded, lagged", "two choices, lagged",
-	"route.c", "oracle (no lag)",
+	"random",	    "round robin",     "least loaded, lagged", "two choices, lagged",
+	"peer_selection.c", "oracle (no lag)",
 };
 
 typedef struct request {
@@ -58,7 +58,7 @@
 	double heat;
 	int64_t arrived_us;
 	int64_t decode_us;
-	uint32_t tried[SKH_ROUTE_MAX_TRIED];
+	uint32_t tried[SKH_PEER_QUERY_MAX_TRIED];
 } request_t;
 
 typedef struct server {
@@ -88,8 +88,8 @@
 	GRand *random;
 	replay_clock_t clock;
 	server_t *servers;
-	skh_peers_t **views; /* of each entry; only for POLICY_ROUTE */
-	skh_heat_t **heats;  /* the same */
+	skh_peers_t **views;	    /* of each entry; only for POLICY_ROUTE */
+	skh_prefix_share_t **heats; /* the same */
 	double cumulative[PREFIXES];
 	uint32_t turn;
 	/* results */
@@ -226,21 +226,21 @@
 static uint32_t pick_route(world_t *world, const request_t *request)
 {
 	skh_peers_t *view = world->views[request->entry];
-	skh_route_query_t query = {
+	skh_peer_query_t query = {
 		.service = SERVICE,
 		.failure_domain = "",
 		.prefix_hash = prefix_hash(request->prefix),
-		.heat = request->heat,
+		.prefix_share = request->heat,
 	};
 	skh_error_t err;
 	skh_peer_t *peer;
 
 	for (uint32_t i = 0; i < request->placements; i++)
 		query.tried[query.n_tried++] = world->servers[request->tried[i]].id;
-	peer = skh_route_pick(view, &query, random_u64(world), world->clock.now_us, &err);
+	peer = skh_select_peer(view, &query, random_u64(world), world->clock.now_us, &err);
 	if (!peer)
 		return (uint32_t)g_rand_int_range(world->random, 0, SERVERS);
-	skh_peers_take(peer, world->clock.now_us);
+	skh_peers_begin_request(peer, world->clock.now_us);
 	return (uint32_t)atoi(peer->id + 1);
 }
 
@@ -266,7 +266,7 @@
 static void place(world_t *world, request_t *request)
 {
 	request->server = pick(world, request);
-	if (request->placements < SKH_ROUTE_MAX_TRIED)
+	if (request->placements < SKH_PEER_QUERY_MAX_TRIED)
 		request->tried[request->placements] = request->server;
 	request->placements++;
 	schedule(world, world->clock.now_us + NET_US, EVENT_REACH, request);
@@ -284,8 +284,9 @@
 	request->arrived_us = world->clock.now_us;
 	request->decode_us = (int64_t)decode_us;
 	if (world->policy == POLICY_ROUTE)
-		request->heat = skh_heat_note(world->heats[request->entry],
-					      prefix_hash(request->prefix), world->clock.now_us);
+		request->heat =
+			skh_prefix_share_record(world->heats[request->entry],
+						prefix_hash(request->prefix), world->clock.now_us);
 	place(world, request);
 	schedule(world, world->clock.now_us + (int64_t)gap_us + 1, EVENT_ARRIVE, NULL);
 }
@@ -300,8 +301,8 @@
 	status.capacity = SLOTS;
 	status.running = running;
 	status.queued = queued;
-	(void)skh_peers_heard(skh_peers_find(world->views[entry], world->servers[index].id),
-			      &status, 1, world->clock.now_us);
+	(void)skh_peers_record_frame(skh_peers_find(world->views[entry], world->servers[index].id),
+				     &status, 1, world->clock.now_us);
 }
 
 static void hear_now(world_t *world, const request_t *request)
@@ -353,9 +354,9 @@
 static void give_back(world_t *world, const request_t *request)
 {
 	if (world->policy == POLICY_ROUTE)
-		skh_peers_give_back(skh_peers_find(world->views[request->entry],
-						   world->servers[request->server].id),
-				    true, world->clock.now_us);
+		skh_peers_end_request(skh_peers_find(world->views[request->entry],
+						     world->servers[request->server].id),
+				      true, world->clock.now_us);
 }
 
 static void finish(world_t *world, request_t *request)
@@ -383,7 +384,7 @@
 				skh_peers_find(world->views[e], world->servers[i].id);
 			uint32_t load = lagged_load(world, &world->servers[i]);
 
-			if (peer->heard_at_us < world->clock.now_us - REPORT_US)
+			if (peer->last_received_us < world->clock.now_us - REPORT_US)
 				hear(world, e, i, MIN(load, SLOTS), load - MIN(load, SLOTS));
 		}
 	}
@@ -433,13 +434,13 @@
 	static char role[] = "sidecar";
 	static char link[] = "tcp://x";
 	static char empty[] = "";
-	skh_member_t members[SERVERS];
-	skh_members_t list = { members, SERVERS };
+	skh_instance_t members[SERVERS];
+	skh_instances_t list = { members, SERVERS };
 	skh_peers_t *view = skh_peers_new();
 
 	for (uint32_t i = 0; i < SERVERS; i++)
 		members[i] =
-			(skh_member_t){ world->servers[i].id, role, link, empty, empty, false };
+			(skh_instance_t){ world->servers[i].id, role, link, empty, empty, false };
 	skh_peers_sync(view, &list, 0);
 	return view;
 }
@@ -469,10 +470,10 @@
 	if (policy != POLICY_ROUTE)
 		return;
 	world->views = g_new0(skh_peers_t *, n_entries);
-	world->heats = g_new0(skh_heat_t *, n_entries);
+	world->heats = g_new0(skh_prefix_share_t *, n_entries);
 	for (uint32_t e = 0; e < n_entries; e++) {
 		world->views[e] = new_view(world);
-		world->heats[e] = skh_heat_new();
+		world->heats[e] = skh_prefix_share_new();
 		for (uint32_t i = 0; i < SERVERS; i++)
 			hear(world, e, i, 0, 0);
 	}
@@ -482,7 +483,7 @@
 {
 	for (uint32_t e = 0; world->views && e < world->n_entries; e++) {
 		skh_peers_free(world->views[e]);
-		skh_heat_free(world->heats[e]);
+		skh_prefix_share_free(world->heats[e]);
 	}
 	g_free(world->views);
 	g_free(world->heats);
--- a/fuzz/fuzz_fleet.c
+++ b/fuzz/fuzz_fleet.c
@@ -19,8 +19,8 @@
 
 	routing = dialect->read_config(text, &err);
 	if (routing) {
-		(void)skh_routing_find(routing, "x.example", "/a/b");
-		(void)skh_routing_service(routing, "s");
+		(void)skh_routing_find_route(routing, "x.example", "/a/b");
+		(void)skh_routing_find_service(routing, "s");
 	}
 	skh_routing_free(routing);
 	skh_server_free(dialect->read_server("id", text, &err));
--- a/fuzz/fuzz_frame.c
+++ b/fuzz/fuzz_frame.c
@@ -11,24 +11,24 @@
 	skh_error_t err;
 
 	skh_gate_open(gate);
-	(void)skh_gate_start(gate, start, 0, &err);
+	(void)skh_gate_admit(gate, start, 0, &err);
 	(void)skh_gate_cancel(gate, start->attempt);
-	(void)skh_wire_hash_content(start);
+	(void)skh_wire_hash_request(start);
 	skh_gate_free(gate);
 }
 
 static void use_status(const Skh__Frame *frame)
 {
 	static char text[] = "x";
-	skh_member_t member = { text, (char[]){ "sidecar" }, text, text, text, false };
-	skh_members_t members = { &member, 1 };
+	skh_instance_t member = { text, (char[]){ "sidecar" }, text, text, text, false };
+	skh_instances_t members = { &member, 1 };
 	skh_peers_t *peers = skh_peers_new();
 	skh_peer_t *peer;
 
 	skh_peers_sync(peers, &members, 0);
 	peer = skh_peers_find(peers, text);
-	(void)skh_peers_heard(peer, frame->status, (int64_t)frame->revision, 1);
-	(void)skh_peers_work(peer);
+	(void)skh_peers_record_frame(peer, frame->status, (int64_t)frame->revision, 1);
+	(void)skh_peers_estimate_load(peer);
 	skh_peers_free(peers);
 }
 
--- a/src/access.c
+++ b/src/access.c
@@ -1,23 +1,24 @@
 #include "access.h"
 
-#include "difference.h"
+#include "manifest_diff.h"
 
 #include <glib.h>
 #include <string.h>
 
 #define BEARER "Bearer "
 
-static const skh_need_t reach_of_role[] = {
-	[SKH_OPERATOR_READER] = SKH_NEED_READER,
-	[SKH_OPERATOR_TEAM] = SKH_NEED_TEAM,
-	[SKH_OPERATOR_FULL] = SKH_NEED_OPERATOR,
+static const skh_access_level_t reach_of_role[] = {
+	[SKH_OPERATOR_READER] = SKH_ACCESS_LEVEL_READER,
+	[SKH_OPERATOR_TEAM] = SKH_ACCESS_LEVEL_TEAM,
+	[SKH_OPERATOR_FULL] = SKH_ACCESS_LEVEL_OPERATOR,
 };
 
-bool skh_access_check(const skh_manifest_t *manifest, const char *header, skh_need_t need,
+bool skh_access_check(const skh_manifest_t *manifest, const char *header, skh_access_level_t need,
 		      const skh_operator_t **who, skh_error_t *err)
 {
 	*who = NULL;
-	if (need == SKH_NEED_NOTHING || !manifest || skh_manifest_count_operators(manifest) == 0)
+	if (need == SKH_ACCESS_LEVEL_NONE || !manifest ||
+	    skh_manifest_count_operators(manifest) == 0)
 		return true;
 	if (!header || !g_str_has_prefix(header, BEARER))
 		return skh_error_set(err, SKH_UNAUTHORIZED, "an operator's bearer key is needed");
@@ -35,7 +36,7 @@
 	skh_error_t *err;
 } judging_t;
 
-static bool owns(const skh_operator_t *who, const skh_difference_t *difference)
+static bool owns(const skh_operator_t *who, const skh_manifest_diff_item_t *difference)
 {
 	bool before = strcmp(difference->owner_before, who->team) == 0;
 	bool after = strcmp(difference->owner_after, who->team) == 0;
@@ -47,7 +48,7 @@
 	return before && after;
 }
 
-static void judge(void *context, const skh_difference_t *difference)
+static void judge(void *context, const skh_manifest_diff_item_t *difference)
 {
 	judging_t *judging = context;
 
@@ -58,19 +59,19 @@
 					 difference->kind, difference->name, judging->who->team);
 }
 
-bool skh_access_may_change(const skh_operator_t *who, const skh_manifest_t *before,
-			   const skh_manifest_t *after, skh_error_t *err)
+bool skh_access_check_change(const skh_operator_t *who, const skh_manifest_t *before,
+			     const skh_manifest_t *after, skh_error_t *err)
 {
 	judging_t judging = { who, true, err };
 
 	if (!who)
 		return true;
-	if (strcmp(skh_manifest_by(after), who->name) != 0)
+	if (strcmp(skh_manifest_author(after), who->name) != 0)
 		return skh_error_set(err, SKH_FORBIDDEN,
 				     "the change names \"%s\" as its author, the key is of \"%s\"",
-				     skh_manifest_by(after), who->name);
+				     skh_manifest_author(after), who->name);
 	if (who->role == SKH_OPERATOR_TEAM)
-		skh_difference_each(before ? skh_manifest_tree(before) : NULL,
-				    skh_manifest_tree(after), judge, &judging);
+		skh_manifest_diff_for_each(before ? skh_manifest_tree(before) : NULL,
+					   skh_manifest_tree(after), judge, &judging);
 	return judging.allowed;
 }
--- a/src/access.h
+++ b/src/access.h
@@ -16,13 +16,13 @@
 extern "C" {
 #endif
 
-/** enum skh_need - the least role that an action takes, in rising order */
-typedef enum skh_need {
-	SKH_NEED_NOTHING,
-	SKH_NEED_READER,
-	SKH_NEED_TEAM,
-	SKH_NEED_OPERATOR
-} skh_need_t;
+/** enum skh_access_level - the least role that an action takes, in rising order */
+typedef enum skh_access_level {
+	SKH_ACCESS_LEVEL_NONE,
+	SKH_ACCESS_LEVEL_READER,
+	SKH_ACCESS_LEVEL_TEAM,
+	SKH_ACCESS_LEVEL_OPERATOR
+} skh_access_level_t;
 
 /**
  * skh_access_check() - may the bearer of @header do what takes @need?
@@ -30,17 +30,17 @@
  * @header: the Authorization header, or NULL
  * @who: receives the operator; NULL while none is listed
  */
-bool skh_access_check(const skh_manifest_t *manifest, const char *header, skh_need_t need,
+bool skh_access_check(const skh_manifest_t *manifest, const char *header, skh_access_level_t need,
 		      const skh_operator_t **who, skh_error_t *err);
 
 /**
- * skh_access_may_change() - may @who replace @before by @after?
+ * skh_access_check_change() - may @who replace @before by @after?
  *
  * The change names its author truly, and a team changes only services and
  * customers that are its own before and after.
  */
-bool skh_access_may_change(const skh_operator_t *who, const skh_manifest_t *before,
-			   const skh_manifest_t *after, skh_error_t *err);
+bool skh_access_check_change(const skh_operator_t *who, const skh_manifest_t *before,
+			     const skh_manifest_t *after, skh_error_t *err);
 
 #ifdef __cplusplus
 }
--- a/src/admin.c
+++ b/src/admin.c
@@ -19,7 +19,7 @@
 	const skh_admin_ops_t *ops;
 	void *context;
 	skh_board_t *board;
-	const skh_control_t *control;
+	const skh_config_admin_t *control;
 };
 
 /* One request: who asks, and the configuration that says so. */
@@ -35,7 +35,7 @@
 typedef struct admin_route {
 	const char *method;
 	const char *path;
-	skh_need_t need;
+	skh_access_level_t need;
 	admin_fn handle;
 } admin_route_t;
 
@@ -95,14 +95,14 @@
 static bool handle_status(const call_t *call, skh_error_t *err)
 {
 	(void)err;
-	return answer_json(call->request, call->admin->ops->status(call->admin->context));
+	return answer_json(call->request, call->admin->ops->get_status(call->admin->context));
 }
 
 static bool set_drain(const call_t *call, bool drain, skh_error_t *err)
 {
-	if (!call->admin->ops->drain)
+	if (!call->admin->ops->set_draining)
 		return skh_error_set(err, SKH_NOT_FOUND, "this process can't be drained");
-	call->admin->ops->drain(call->admin->context, drain);
+	call->admin->ops->set_draining(call->admin->context, drain);
 	return answer_text(call->request, JSON_TYPE,
 			   drain ? "{\"drain\":true}" : "{\"drain\":false}");
 }
@@ -122,20 +122,20 @@
 	json_t *json = NULL;
 	bool queued;
 
-	if (!call->admin->ops->order)
+	if (!call->admin->ops->enqueue_order)
 		return skh_error_set(err, SKH_NOT_FOUND, "this process has no engine");
 	if (!read_json(call->request, &json, err))
 		return false;
-	queued = call->admin->ops->order(call->admin->context, json, err);
+	queued = call->admin->ops->enqueue_order(call->admin->context, json, err);
 	json_decref(json);
 	return queued && answer_text(call->request, JSON_TYPE, "{\"queued\":true}");
 }
 
 static bool handle_suspects(const call_t *call, skh_error_t *err)
 {
-	if (!call->admin->ops->suspects)
+	if (!call->admin->ops->list_suspects)
 		return skh_error_set(err, SKH_NOT_FOUND, "this process keeps no suspects");
-	return answer_json(call->request, call->admin->ops->suspects(call->admin->context));
+	return answer_json(call->request, call->admin->ops->list_suspects(call->admin->context));
 }
 
 static bool handle_clear(const call_t *call, skh_error_t *err)
@@ -181,7 +181,7 @@
 	if (!call->config)
 		return skh_error_set(err, SKH_NOT_READY, "no configuration is in force yet");
 	add_etag(call, call->config->revision);
-	return answer_json(call->request, skh_control_config(call->config));
+	return answer_json(call->request, skh_config_admin_get_config(call->config));
 }
 
 /* If-Match: "REVISION" guards against a change that came in between. */
@@ -207,8 +207,8 @@
 
 	if (needs_control(call, err) && read_base(call, &base, err) &&
 	    skh_http_read_body(call->request, &body, err))
-		answer = skh_control_apply(call->admin->control, call->config, call->who,
-					   skh_buffer_chunk(&body), base, dry_run, err);
+		answer = skh_config_admin_apply(call->admin->control, call->config, call->who,
+						skh_buffer_chunk(&body), base, dry_run, err);
 	skh_buffer_free(&body);
 	return answer_or_fail(call, answer);
 }
@@ -226,13 +226,13 @@
 static bool handle_history(const call_t *call, skh_error_t *err)
 {
 	return needs_control(call, err) &&
-	       answer_or_fail(call, skh_control_history(call->admin->control, err));
+	       answer_or_fail(call, skh_config_admin_list_history(call->admin->control, err));
 }
 
 static bool handle_reach(const call_t *call, skh_error_t *err)
 {
 	return needs_control(call, err) &&
-	       answer_or_fail(call, skh_control_reach(call->admin->control, err));
+	       answer_or_fail(call, skh_config_admin_get_rollout(call->admin->control, err));
 }
 
 static bool handle_why(const call_t *call, skh_error_t *err)
@@ -249,24 +249,24 @@
 }
 
 static const admin_route_t routes[] = {
-	{ "GET", "/healthz", SKH_NEED_NOTHING, handle_health },
-	{ "GET", "/readyz", SKH_NEED_NOTHING, handle_ready },
-	{ "GET", "/metrics", SKH_NEED_NOTHING, handle_metrics },
-	{ "GET", "/admin/v1/status", SKH_NEED_NOTHING, handle_status },
-	{ "POST", "/admin/v1/drain", SKH_NEED_OPERATOR, handle_drain },
-	{ "POST", "/admin/v1/undrain", SKH_NEED_OPERATOR, handle_undrain },
-	{ "POST", "/admin/v1/orders", SKH_NEED_OPERATOR, handle_order },
-	{ "GET", "/admin/v1/suspects", SKH_NEED_READER, handle_suspects },
-	{ "POST", "/admin/v1/suspects/clear", SKH_NEED_OPERATOR, handle_clear },
-	{ "GET", "/admin/v1/config", SKH_NEED_READER, handle_config },
-	{ "PUT", "/admin/v1/config", SKH_NEED_TEAM, handle_put_config },
-	{ "POST", "/admin/v1/config/dry-run", SKH_NEED_TEAM, handle_dry_run },
-	{ "GET", "/admin/v1/history", SKH_NEED_READER, handle_history },
-	{ "GET", "/admin/v1/reach", SKH_NEED_READER, handle_reach },
-	{ "GET", "/admin/v1/why", SKH_NEED_READER, handle_why },
+	{ "GET", "/healthz", SKH_ACCESS_LEVEL_NONE, handle_health },
+	{ "GET", "/readyz", SKH_ACCESS_LEVEL_NONE, handle_ready },
+	{ "GET", "/metrics", SKH_ACCESS_LEVEL_NONE, handle_metrics },
+	{ "GET", "/admin/v1/status", SKH_ACCESS_LEVEL_NONE, handle_status },
+	{ "POST", "/admin/v1/drain", SKH_ACCESS_LEVEL_OPERATOR, handle_drain },
+	{ "POST", "/admin/v1/undrain", SKH_ACCESS_LEVEL_OPERATOR, handle_undrain },
+	{ "POST", "/admin/v1/orders", SKH_ACCESS_LEVEL_OPERATOR, handle_order },
+	{ "GET", "/admin/v1/suspects", SKH_ACCESS_LEVEL_READER, handle_suspects },
+	{ "POST", "/admin/v1/suspects/clear", SKH_ACCESS_LEVEL_OPERATOR, handle_clear },
+	{ "GET", "/admin/v1/config", SKH_ACCESS_LEVEL_READER, handle_config },
+	{ "PUT", "/admin/v1/config", SKH_ACCESS_LEVEL_TEAM, handle_put_config },
+	{ "POST", "/admin/v1/config/dry-run", SKH_ACCESS_LEVEL_TEAM, handle_dry_run },
+	{ "GET", "/admin/v1/history", SKH_ACCESS_LEVEL_READER, handle_history },
+	{ "GET", "/admin/v1/reach", SKH_ACCESS_LEVEL_READER, handle_reach },
+	{ "GET", "/admin/v1/why", SKH_ACCESS_LEVEL_READER, handle_why },
 };
 
-bool skh_admin_route(size_t index, const char **method, const char **path)
+bool skh_admin_route_at(size_t index, const char **method, const char **path)
 {
 	if (index >= G_N_ELEMENTS(routes))
 		return false;
@@ -294,7 +294,7 @@
 static void handle(void *context, skh_http_request_t *request)
 {
 	skh_admin_t *admin = context;
-	call_t call = { admin, request, skh_board_config(admin->board), NULL };
+	call_t call = { admin, request, skh_board_acquire_config(admin->board), NULL };
 	skh_error_t err;
 	const admin_route_t *route = find_route(request, &err);
 
@@ -303,12 +303,13 @@
 			      skh_http_header(request, "Authorization"), route->need, &call.who,
 			      &err) ||
 	    !route->handle(&call, &err))
-		skh_http_problem(request, &err);
+		skh_http_respond_problem(request, &err);
 	skh_board_release(call.config);
 }
 
 skh_admin_t *skh_admin_start(const char *listen, const skh_admin_ops_t *ops, void *context,
-			     skh_board_t *board, const skh_control_t *control, skh_error_t *err)
+			     skh_board_t *board, const skh_config_admin_t *control,
+			     skh_error_t *err)
 {
 	skh_admin_t *admin = g_new0(skh_admin_t, 1);
 	const skh_http_options_t options = { listen, ADMIN_THREADS, ADMIN_STACK_KIB,
--- a/src/admin.h
+++ b/src/admin.h
@@ -10,7 +10,7 @@
 
 #include "access.h"
 #include "board.h"
-#include "control.h"
+#include "config_admin.h"
 #include "http.h"
 
 #include <jansson.h>
@@ -25,13 +25,13 @@
 typedef struct skh_admin_ops {
 	bool (*is_ready)(void *context);
 	/* Returns a new JSON object. */
-	json_t *(*status)(void *context);
+	json_t *(*get_status)(void *context);
 	/* Take no new work from now on, or again; NULL where that can't be asked. */
-	void (*drain)(void *context, bool drain);
+	void (*set_draining)(void *context, bool drain);
 	/* Queue the order that @body names; NULL where there is no engine. */
-	bool (*order)(void *context, const json_t *body, skh_error_t *err);
+	bool (*enqueue_order)(void *context, const json_t *body, skh_error_t *err);
 	/* Returns a new JSON array of suspected requests; NULL where none are kept. */
-	json_t *(*suspects)(void *context);
+	json_t *(*list_suspects)(void *context);
 	/* Hold nothing against the request with hash @content; true when something was. */
 	bool (*clear_suspect)(void *context, const char *content);
 } skh_admin_ops_t;
@@ -42,10 +42,11 @@
  * @control: for the whole system; NULL where it is not offered
  */
 skh_admin_t *skh_admin_start(const char *listen, const skh_admin_ops_t *ops, void *context,
-			     skh_board_t *board, const skh_control_t *control, skh_error_t *err);
+			     skh_board_t *board, const skh_config_admin_t *control,
+			     skh_error_t *err);
 
-/** skh_admin_route() - method and path of route number @index; false beyond the last */
-bool skh_admin_route(size_t index, const char **method, const char **path);
+/** skh_admin_route_at() - method and path of route number @index; false beyond the last */
+bool skh_admin_route_at(size_t index, const char **method, const char **path);
 
 void skh_admin_stop(skh_admin_t *admin);
 
--- a/src/admit.c
+++ b/src/admission.c
@@ -1,4 +1,4 @@
-#include "admit.h"
+#include "admission.h"
 
 #include "clock.h"
 
@@ -14,19 +14,19 @@
 	int64_t in_flight;
 } account_t;
 
-struct skh_admit {
+struct skh_admission {
 	GHashTable *accounts; /* customer name -> account_t */
 };
 
-skh_admit_t *skh_admit_new(void)
+skh_admission_t *skh_admission_new(void)
 {
-	skh_admit_t *admit = g_new0(skh_admit_t, 1);
+	skh_admission_t *admit = g_new0(skh_admission_t, 1);
 
 	admit->accounts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return admit;
 }
 
-void skh_admit_free(skh_admit_t *admit)
+void skh_admission_free(skh_admission_t *admit)
 {
 	g_hash_table_unref(admit->accounts);
 	g_free(admit);
@@ -43,7 +43,7 @@
 	return MAX(share_of((double)customer->burst, entries), 1.0);
 }
 
-static account_t *account_of(skh_admit_t *admit, const skh_customer_t *customer, size_t entries,
+static account_t *account_of(skh_admission_t *admit, const skh_customer_t *customer, size_t entries,
 			     int64_t now_us)
 {
 	account_t *account = g_hash_table_lookup(admit->accounts, customer->name);
@@ -65,8 +65,8 @@
 	account->filled_at_us = now_us;
 }
 
-bool skh_admit_try(skh_admit_t *admit, const skh_customer_t *customer, size_t entries,
-		   int64_t now_us, skh_error_t *err)
+bool skh_admission_acquire(skh_admission_t *admit, const skh_customer_t *customer, size_t entries,
+			   int64_t now_us, skh_error_t *err)
 {
 	account_t *account = account_of(admit, customer, entries, now_us);
 	double rate_per_s = share_of(customer->rate_per_s, entries);
@@ -92,7 +92,7 @@
 	return true;
 }
 
-void skh_admit_done(skh_admit_t *admit, const char *customer)
+void skh_admission_release(skh_admission_t *admit, const char *customer)
 {
 	account_t *account = g_hash_table_lookup(admit->accounts, customer);
 
--- a/src/apply.c
+++ b/src/apply.c
@@ -1,7 +1,7 @@
 #include "apply.h"
 
 #include "clock.h"
-#include "config.h"
+#include "config_watcher.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -13,16 +13,16 @@
 	skh_store_t *store;
 	const char *prefix;
 	char *head_key;
-	skh_head_t *current; /* NULL before the first configuration */
+	skh_config_head_t *current; /* NULL before the first configuration */
 	int64_t head_mod_revision;
-	skh_head_t *wanted;
+	skh_config_head_t *wanted;
 	GHashTable *texts; /* hash -> text of the wanted parts */
 } applying_t;
 
-static bool read_head(applying_t *applying, skh_head_t **head, int64_t *mod_revision,
+static bool read_head(applying_t *applying, skh_config_head_t **head, int64_t *mod_revision,
 		      skh_error_t *err)
 {
-	skh_pairs_t pairs;
+	skh_kv_pairs_t pairs;
 	bool good = true;
 
 	*head = NULL;
@@ -30,24 +30,25 @@
 	if (!applying->store->ops->range(applying->store, applying->head_key, false, &pairs, err))
 		return false;
 	if (pairs.count == 1) {
-		*head = skh_head_parse(pairs.list[0].value, err);
+		*head = skh_config_head_parse(pairs.list[0].value, err);
 		*mod_revision = pairs.list[0].mod_revision;
 		good = *head != NULL;
 	}
-	skh_pairs_clear(&pairs);
+	skh_kv_pairs_clear(&pairs);
 	return good;
 }
 
 static void prepare(applying_t *applying, const skh_manifest_t *manifest, int64_t floor)
 {
-	g_autoptr(GHashTable) parts = skh_parts_split(skh_manifest_tree(manifest), applying->texts);
+	g_autoptr(GHashTable) parts =
+		skh_config_parts_split(skh_manifest_tree(manifest), applying->texts);
 	int64_t current = applying->current ? applying->current->revision : 0;
 	int64_t revision = MAX(current, floor) + 1;
 	g_autofree char *attempt = g_strdup_printf("%016" PRIx64, skh_random_u64());
 
-	applying->wanted =
-		skh_head_new(revision, skh_manifest_by(manifest), skh_manifest_reason(manifest),
-			     attempt, skh_clock_unix_ms(), parts);
+	applying->wanted = skh_config_head_new(revision, skh_manifest_author(manifest),
+					       skh_manifest_reason(manifest), attempt,
+					       skh_clock_unix_ms(), parts);
 }
 
 static bool is_new_part(const applying_t *applying, const char *hash)
@@ -57,7 +58,7 @@
 
 	if (!applying->current)
 		return true;
-	g_hash_table_iter_init(&iter, applying->current->parts);
+	g_hash_table_iter_init(&iter, applying->current->part_hashes);
 	while (g_hash_table_iter_next(&iter, NULL, &known)) {
 		if (strcmp(known, hash) == 0)
 			return false;
@@ -69,12 +70,12 @@
 static bool write_batch(applying_t *applying, const GPtrArray *keys, const GPtrArray *values,
 			skh_error_t *err)
 {
-	g_autofree skh_op_t *ops = g_new0(skh_op_t, keys->len);
+	g_autofree skh_txn_op_t *ops = g_new0(skh_txn_op_t, keys->len);
 	skh_txn_t txn = { .ops = ops, .n_ops = keys->len };
 	skh_txn_result_t done;
 
 	for (size_t i = 0; i < keys->len; i++)
-		ops[i] = (skh_op_t){ SKH_OP_PUT, keys->pdata[i], values->pdata[i], 0 };
+		ops[i] = (skh_txn_op_t){ SKH_TXN_OP_PUT, keys->pdata[i], values->pdata[i], 0 };
 	if (applying->store->ops->txn(applying->store, &txn, &done, err))
 		return true;
 	return err->kind == SKH_STORE_UNKNOWN &&
@@ -94,7 +95,8 @@
 	while (g_hash_table_iter_next(&iter, &hash, &text)) {
 		if (!is_new_part(applying, hash))
 			continue;
-		g_ptr_array_add(keys, g_strconcat(applying->prefix, SKH_CONFIG_PART, hash, NULL));
+		g_ptr_array_add(keys,
+				g_strconcat(applying->prefix, SKH_CONFIG_PARTS_PREFIX, hash, NULL));
 		g_ptr_array_add(values, text);
 		(*written)++;
 		if (keys->len < PARTS_PER_TXN)
@@ -107,24 +109,24 @@
 	return keys->len == 0 || write_batch(applying, keys, values, err);
 }
 
-static bool conflict(const applying_t *applying, const skh_head_t *winner, skh_error_t *err)
+static bool conflict(const applying_t *applying, const skh_config_head_t *winner, skh_error_t *err)
 {
 	g_autofree char *changed = NULL;
 
 	if (!winner)
 		return skh_error_set(err, SKH_CONFLICT, "the configuration was removed meanwhile");
-	changed = applying->current ? skh_head_difference(applying->current, winner)
+	changed = applying->current ? skh_config_head_changed_parts(applying->current, winner)
 				    : g_strdup("everything");
 	return skh_error_set(err, SKH_CONFLICT,
 			     "revision %" PRId64
 			     " by %s was accepted meanwhile; it changed: %.120s",
-			     winner->revision, winner->by, changed);
+			     winner->revision, winner->author, changed);
 }
 
 /* The head names the attempt that wrote it, so a lost answer can be settled. */
 static bool settle(applying_t *applying, skh_error_t *err)
 {
-	skh_head_t *now;
+	skh_config_head_t *now;
 	int64_t mod_revision;
 	bool ours;
 
@@ -144,19 +146,20 @@
 		(void)skh_error_set(err, SKH_STORE_UNAVAILABLE, "the change was not accepted");
 	else if (!ours)
 		(void)conflict(applying, now, err);
-	skh_head_free(now);
+	skh_config_head_free(now);
 	return ours;
 }
 
 static bool swap_head(applying_t *applying, skh_error_t *err)
 {
-	g_autofree char *text = skh_head_to_text(applying->wanted);
-	g_autofree char *history = g_strdup_printf("%s%s%012" PRId64, applying->prefix,
-						   SKH_CONFIG_HISTORY, applying->wanted->revision);
-	const skh_compare_t compare = { applying->head_key, applying->head_mod_revision };
-	const skh_op_t ops[] = {
-		{ SKH_OP_PUT, applying->head_key, text, 0 },
-		{ SKH_OP_PUT, history, text, 0 },
+	g_autofree char *text = skh_config_head_to_json(applying->wanted);
+	g_autofree char *history =
+		g_strdup_printf("%s%s%012" PRId64, applying->prefix, SKH_CONFIG_HISTORY_PREFIX,
+				applying->wanted->revision);
+	const skh_txn_compare_t compare = { applying->head_key, applying->head_mod_revision };
+	const skh_txn_op_t ops[] = {
+		{ SKH_TXN_OP_PUT, applying->head_key, text, 0 },
+		{ SKH_TXN_OP_PUT, history, text, 0 },
 	};
 	const skh_txn_t txn = {
 		.compares = &compare, .n_compares = 1, .ops = ops, .n_ops = G_N_ELEMENTS(ops)
@@ -174,10 +177,10 @@
 
 	if (base < 0 || base == revision)
 		return true;
-	return skh_error_set(err, SKH_CONFLICT,
-			     "the change is based on revision %" PRId64 ", but %" PRId64
-			     " by %s is in force",
-			     base, revision, applying->current ? applying->current->by : "nobody");
+	return skh_error_set(
+		err, SKH_CONFLICT,
+		"the change is based on revision %" PRId64 ", but %" PRId64 " by %s is in force",
+		base, revision, applying->current ? applying->current->author : "nobody");
 }
 
 static bool run(applying_t *applying, const skh_manifest_t *manifest, int64_t base, int64_t floor,
@@ -187,7 +190,8 @@
 		return false;
 	prepare(applying, manifest, floor);
 	if (applying->current)
-		result->changed_parts = skh_head_difference(applying->current, applying->wanted);
+		result->changed_parts =
+			skh_config_head_changed_parts(applying->current, applying->wanted);
 	else
 		result->changed_parts = g_strdup("everything");
 	/* A pipeline that repeats itself after a lost answer gets the same result. */
@@ -203,18 +207,18 @@
 	return true;
 }
 
-bool skh_apply(skh_store_t *store, const char *prefix, const skh_manifest_t *manifest, int64_t base,
-	       int64_t floor, skh_apply_result_t *result, skh_error_t *err)
+bool skh_apply_manifest(skh_store_t *store, const char *prefix, const skh_manifest_t *manifest,
+			int64_t base, int64_t floor, skh_apply_result_t *result, skh_error_t *err)
 {
 	applying_t applying = { .store = store, .prefix = prefix };
 	bool accepted;
 
 	*result = (skh_apply_result_t){ 0 };
-	applying.head_key = g_strconcat(prefix, SKH_CONFIG_HEAD, NULL);
+	applying.head_key = g_strconcat(prefix, SKH_CONFIG_HEAD_KEY, NULL);
 	applying.texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	accepted = run(&applying, manifest, base, floor, result, err);
-	skh_head_free(applying.current);
-	skh_head_free(applying.wanted);
+	skh_config_head_free(applying.current);
+	skh_config_head_free(applying.wanted);
 	g_hash_table_unref(applying.texts);
 	g_free(applying.head_key);
 	return accepted;
--- a/src/apply.h
+++ b/src/apply.h
@@ -10,7 +10,7 @@
  */
 
 #include "manifest.h"
-#include "parts.h"
+#include "config_parts.h"
 #include "store.h"
 
 #ifdef __cplusplus
@@ -26,14 +26,14 @@
 } skh_apply_result_t;
 
 /**
- * skh_apply() - have @manifest accepted
+ * skh_apply_manifest() - have @manifest accepted
  * @prefix: the system's prefix in the key-value service
  * @base: revision that the caller's change is based on; -1 for the current one
  * @floor: newest revision known to be in force anywhere; a service that has
  *	lost its contents would otherwise count from 1, and nobody goes back
  */
-bool skh_apply(skh_store_t *store, const char *prefix, const skh_manifest_t *manifest, int64_t base,
-	       int64_t floor, skh_apply_result_t *result, skh_error_t *err);
+bool skh_apply_manifest(skh_store_t *store, const char *prefix, const skh_manifest_t *manifest,
+			int64_t base, int64_t floor, skh_apply_result_t *result, skh_error_t *err);
 
 void skh_apply_result_clear(skh_apply_result_t *result);
 
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -1,12 +1,12 @@
 #include "attempt.h"
 
 #include "clock.h"
-#include "culprits.h"
+#include "crash_suspects.h"
 #include "forward.h"
 #include "gossip.h"
 #include "log.h"
 #include "metrics.h"
-#include "verdict.h"
+#include "retry_policy.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -16,22 +16,22 @@
 #define MAX_ANSWER_BYTES (16U << 20)
 
 /* Leaves the attempt; the server's connection is closed if it still works. */
-void skh_attempt_leave(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t took_us)
+void skh_attempt_release(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t took_us)
 {
 	if (exchange->upstream) {
 		skh_upstream_cancel(exchange->upstream);
 		exchange->upstream = NULL;
 	}
 	if (exchange->target) {
-		const skh_target_use_t use = { .work = exchange->work,
-					       .streaming = exchange->attempt_streams,
-					       .outcome = outcome,
-					       .took_us = took_us };
+		const skh_target_result_t use = { .expected_tokens = exchange->expected_tokens,
+						  .streaming = exchange->attempt_is_streaming,
+						  .outcome = outcome,
+						  .latency_us = took_us };
 
-		skh_target_end(exchange->target, &use, skh_clock_boot_us());
+		skh_target_end_request(exchange->target, &use, skh_clock_boot_us());
 	}
 	exchange->target = NULL;
-	exchange->attempt_streams = false;
+	exchange->attempt_is_streaming = false;
 }
 
 /* --- Sending --- */
@@ -42,49 +42,51 @@
 {
 	skh_buffer_t bytes = SKH_BUFFER_INIT;
 	skh_gateway_t *gateway = exchange->gateway;
-	skh_send_t send = {
+	skh_upstream_request_t send = {
 		.attempt_id = exchange->attempt_id,
-		.head_only = exchange->request->parser.method == HTTP_HEAD,
-		.fresh = exchange->route->repeat == SKH_REPEAT_NEVER,
+		.is_head_request = exchange->request->parser.method == HTTP_HEAD,
+		.use_new_connection = exchange->route->retry_mode == SKH_RETRY_MODE_NEVER,
 	};
-	skh_forward_t forward = {
+	skh_forwarded_request_t forward = {
 		.dialect = gateway->dialect,
 		.request = exchange->request,
 		.server_id = target->server->id,
 		.customer = exchange->owner ? exchange->owner->customer : NULL,
 		.priority = skh_exchange_priority(exchange),
-		.left_ms = (exchange->until_us - now_us) / SKH_US_PER_MS,
-		.last_event = exchange->events.last_id,
+		.remaining_ms = (exchange->deadline_us - now_us) / SKH_US_PER_MS,
+		.last_event_id = exchange->event_stream.last_event_id,
 	};
 
-	skh_waitline_remove(exchange->front->line, &exchange->waiter);
-	exchange->queued_us += now_us - exchange->waiter.since_us;
+	skh_request_queue_remove(exchange->target_pool->queue, &exchange->queued_request);
+	exchange->queued_us += now_us - exchange->queued_request.enqueued_us;
 	if (exchange->sends == 0)
-		skh_retryshare_request(&exchange->front->share, &gateway->retry_bounds, now_us);
+		skh_retry_share_record_request(&exchange->target_pool->retry_share,
+					       &gateway->retry_bounds, now_us);
 	else
-		skh_retryshare_repeat(&exchange->front->share, &gateway->retry_bounds, now_us);
+		skh_retry_share_record_retry(&exchange->target_pool->retry_share,
+					     &gateway->retry_bounds, now_us);
 	skh_metrics_add(exchange->sends == 0 ? SKH_COUNT_ATTEMPTS : SKH_COUNT_RETRIES, 1);
 	exchange->sends++;
-	skh_groupgate_sent(&exchange->front->gate, now_us);
-	exchange->stage = exchange->stage == SKH_EXCHANGE_ANSWERING ? SKH_EXCHANGE_ANSWERING
-								    : SKH_EXCHANGE_SENT;
+	skh_group_breaker_record_send(&exchange->target_pool->gate, now_us);
+	exchange->stage = exchange->stage == SKH_EXCHANGE_RESPONDING ? SKH_EXCHANGE_RESPONDING
+								     : SKH_EXCHANGE_SENT;
 	exchange->target = target;
 	exchange->sent_us = now_us;
-	exchange->not_run = false;
+	exchange->reported_not_run = false;
 	exchange->attempt_status = 0;
-	skh_buffer_clear(&exchange->body);
-	skh_target_begin(target, exchange->work, now_us);
+	skh_buffer_clear(&exchange->response_body);
+	skh_target_begin_request(target, exchange->expected_tokens, now_us);
 	skh_log(SKH_LOG_INFO, PART, "Request placed.",
 		"id=%s server=%s send=%u queued_ms=%" PRId64 " running=%u peers=%u waiting=%u"
 		" config=%" PRId64 " config_age_ms=%" PRId64 " list=%" PRId64,
 		exchange->attempt_id, target->server->id, exchange->sends,
 		exchange->queued_us / SKH_US_PER_MS, target->own_running, target->peers_running,
-		skh_waitline_length(exchange->front->line), exchange->routing->version,
-		skh_gateway_fresh_age_us(gateway, now_us) / SKH_US_PER_MS,
+		skh_request_queue_length(exchange->target_pool->queue), exchange->routing->version,
+		skh_gateway_config_age_us(gateway, now_us) / SKH_US_PER_MS,
 		gateway->roster ? gateway->roster->revision : 0);
-	skh_forward_write(&forward, &bytes);
+	skh_forward_write_request(&forward, &bytes);
 	send.bytes = skh_buffer_chunk(&bytes);
-	exchange->upstream = skh_pool_send(target->pool, &send, &upstream_ops, exchange);
+	exchange->upstream = skh_upstream_pool_send(target->pool, &send, &upstream_ops, exchange);
 	skh_buffer_free(&bytes);
 }
 
@@ -92,52 +94,53 @@
 
 static void begin_answer(skh_exchange_t *exchange, bool chunked, size_t content_length)
 {
-	skh_answer_head_t head = {
-		.status = exchange->answer_status,
-		.reason = exchange->answer_reason,
-		.headers = exchange->answer_headers->str,
+	skh_response_head_t head = {
+		.status = exchange->response_status,
+		.reason = exchange->response_reason,
+		.headers = exchange->response_headers->str,
 		.chunked = chunked,
 		.content_length = content_length,
 		.no_body = exchange->request->parser.method == HTTP_HEAD,
 	};
 
-	exchange->stage = SKH_EXCHANGE_ANSWERING;
-	skh_caller_conn_begin(exchange->conn, &head);
+	exchange->stage = SKH_EXCHANGE_RESPONDING;
+	skh_caller_conn_begin_response(exchange->conn, &head);
 }
 
-static void keep_answer_head(skh_exchange_t *exchange, const skh_message_t *answer)
+static void keep_answer_head(skh_exchange_t *exchange, const skh_http_message_t *answer)
 {
-	exchange->answer_status = (int32_t)answer->parser.status_code;
-	(void)g_strlcpy(exchange->answer_reason,
+	exchange->response_status = (int32_t)answer->parser.status_code;
+	(void)g_strlcpy(exchange->response_reason,
 			http_status_str((enum http_status)answer->parser.status_code),
-			sizeof(exchange->answer_reason));
-	(void)g_string_truncate(exchange->answer_headers, 0);
-	skh_forward_answer_headers(answer, exchange->answer_headers);
+			sizeof(exchange->response_reason));
+	(void)g_string_truncate(exchange->response_headers, 0);
+	skh_forward_write_response_headers(answer, exchange->response_headers);
 }
 
-static bool says_not_run(const skh_exchange_t *exchange, const skh_message_t *answer)
+static bool says_not_run(const skh_exchange_t *exchange, const skh_http_message_t *answer)
 {
 	return answer->parser.status_code == 421 ||
 	       (answer->parser.status_code >= 400 &&
-		skh_message_header(answer, skh_exchange_header_name(exchange, SKH_HEADER_NOT_RUN)));
+		skh_http_message_header(answer,
+					skh_exchange_header_name(exchange, SKH_HEADER_NOT_RUN)));
 }
 
 /* A stream that goes on keeps the head of its first server. */
-static bool on_head(void *context, const skh_message_t *answer)
+static bool on_head(void *context, const skh_http_message_t *answer)
 {
 	skh_exchange_t *exchange = context;
 	bool is_success = answer->parser.status_code / 100 == 2;
 
-	exchange->target->heard_us = skh_clock_boot_us();
+	exchange->target->last_received_us = skh_clock_boot_us();
 	exchange->attempt_status = (int32_t)answer->parser.status_code;
-	exchange->not_run = says_not_run(exchange, answer);
-	exchange->signed_answer =
-		skh_message_header(
+	exchange->reported_not_run = says_not_run(exchange, answer);
+	exchange->response_is_signed =
+		skh_http_message_header(
 			answer, skh_exchange_header_name(exchange, SKH_HEADER_SIGNATURE)) != NULL;
 	if (is_success &&
-	    (!exchange->signed_answer || skh_message_header(answer, "Content-Encoding")))
+	    (!exchange->response_is_signed || skh_http_message_header(answer, "Content-Encoding")))
 		return false;
-	if (exchange->stage == SKH_EXCHANGE_ANSWERING)
+	if (exchange->stage == SKH_EXCHANGE_RESPONDING)
 		return true;
 	keep_answer_head(exchange, answer);
 	return true;
@@ -145,7 +148,7 @@
 
 static bool streams_now(const skh_exchange_t *exchange)
 {
-	return exchange->route->streams && !exchange->not_run &&
+	return exchange->route->is_streaming && !exchange->reported_not_run &&
 	       exchange->attempt_status / 100 == 2;
 }
 
@@ -153,36 +156,37 @@
 
 static void note_first(skh_exchange_t *exchange)
 {
-	if (exchange->first_us != 0)
+	if (exchange->first_byte_us != 0)
 		return;
-	exchange->first_us = skh_clock_boot_us();
+	exchange->first_byte_us = skh_clock_boot_us();
 	skh_metrics_observe(SKH_HIST_FIRST_BYTE, skh_exchange_customer(exchange),
-			    exchange->route->name, exchange->first_us - exchange->received_us);
+			    exchange->route->name, exchange->first_byte_us - exchange->received_us);
 }
 
 static void pass_events(skh_exchange_t *exchange, skh_chunk_t bytes)
 {
 	skh_buffer_t out = SKH_BUFFER_INIT;
-	bool follows = skh_events_feed(&exchange->events, bytes, &out);
+	bool follows = skh_event_stream_feed(&exchange->event_stream, bytes, &out);
 
-	exchange->target->heard_us = skh_clock_boot_us();
+	exchange->target->last_received_us = skh_clock_boot_us();
 	if (out.len > 0) {
-		exchange->target->own_streaming += !exchange->attempt_streams;
-		exchange->attempt_streams = true;
-		skh_groupgate_answered(&exchange->front->gate);
+		exchange->target->own_streaming += !exchange->attempt_is_streaming;
+		exchange->attempt_is_streaming = true;
+		skh_group_breaker_record_answer(&exchange->target_pool->gate);
 		note_first(exchange);
-		if (exchange->stage != SKH_EXCHANGE_ANSWERING)
+		if (exchange->stage != SKH_EXCHANGE_RESPONDING)
 			begin_answer(exchange, true, 0);
-		skh_metrics_add(SKH_COUNT_TOKENS, 1);
+		skh_metrics_add(SKH_COUNT_STREAM_EVENTS, 1);
 		skh_caller_conn_write(exchange->conn, skh_buffer_chunk(&out));
-		if (!exchange->paused && skh_caller_conn_is_slow(exchange->conn)) {
-			exchange->paused = true;
-			skh_upstream_pause(exchange->upstream, true);
+		if (!exchange->upstream_paused &&
+		    skh_caller_conn_has_write_backlog(exchange->conn)) {
+			exchange->upstream_paused = true;
+			skh_upstream_set_paused(exchange->upstream, true);
 		}
 	}
 	skh_buffer_free(&out);
 	if (!follows)
-		finish_attempt(exchange, SKH_END_CUT);
+		finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 }
 
 static void on_body(void *context, skh_chunk_t bytes)
@@ -191,14 +195,14 @@
 
 	if (streams_now(exchange))
 		pass_events(exchange, bytes);
-	else if (exchange->body.len + bytes.len <= MAX_ANSWER_BYTES)
-		skh_buffer_append(&exchange->body, bytes);
+	else if (exchange->response_body.len + bytes.len <= MAX_ANSWER_BYTES)
+		skh_buffer_append(&exchange->response_body, bytes);
 }
 
 static void observe_end(const skh_exchange_t *exchange)
 {
 	skh_metrics_add(SKH_COUNT_ANSWERS_WHOLE, 1);
-	skh_culprits_clear(exchange->gateway->culprits, exchange->content);
+	skh_crash_suspects_clear(exchange->gateway->crash_suspects, exchange->content_hash);
 	skh_metrics_observe(SKH_HIST_ANSWER, skh_exchange_customer(exchange), exchange->route->name,
 			    skh_clock_boot_us() - exchange->received_us);
 }
@@ -207,51 +211,53 @@
 static void pass_answer(skh_exchange_t *exchange)
 {
 	note_first(exchange);
-	begin_answer(exchange, false, exchange->body.len);
+	begin_answer(exchange, false, exchange->response_body.len);
 	if (exchange->request->parser.method != HTTP_HEAD)
-		skh_caller_conn_write(exchange->conn, skh_buffer_chunk(&exchange->body));
+		skh_caller_conn_write(exchange->conn, skh_buffer_chunk(&exchange->response_body));
 	observe_end(exchange);
-	skh_exchange_log_end(exchange, "passed", exchange->answer_status, "-");
-	skh_attempt_leave(exchange,
-			  exchange->answer_status < 500 ? SKH_OUTCOME_GOOD : SKH_OUTCOME_FAILED,
-			  exchange->first_us - exchange->sent_us);
+	skh_exchange_log_end(exchange, "passed", exchange->response_status, "-");
+	skh_attempt_release(exchange,
+			    exchange->response_status < 500 ? SKH_OUTCOME_SUCCEEDED
+							    : SKH_OUTCOME_FAILED,
+			    exchange->first_byte_us - exchange->sent_us);
 	skh_exchange_end(exchange);
-	skh_caller_conn_end(exchange->conn);
+	skh_caller_conn_end_response(exchange->conn);
 	skh_exchange_dispatch(exchange->gateway);
 }
 
 static void end_stream(skh_exchange_t *exchange)
 {
 	/* A server that ended in the middle of an event has not finished. */
-	if (!skh_events_is_whole(&exchange->events)) {
-		finish_attempt(exchange, SKH_END_CUT);
+	if (!skh_event_stream_is_at_boundary(&exchange->event_stream)) {
+		finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 		return;
 	}
-	if (exchange->stage != SKH_EXCHANGE_ANSWERING)
+	if (exchange->stage != SKH_EXCHANGE_RESPONDING)
 		begin_answer(exchange, true, 0);
 	observe_end(exchange);
-	skh_exchange_log_end(exchange, "streamed", exchange->answer_status, "-");
-	skh_attempt_leave(exchange, SKH_OUTCOME_GOOD,
-			  exchange->first_us ? exchange->first_us - exchange->sent_us : 0);
+	skh_exchange_log_end(exchange, "streamed", exchange->response_status, "-");
+	skh_attempt_release(exchange, SKH_OUTCOME_SUCCEEDED,
+			    exchange->first_byte_us ? exchange->first_byte_us - exchange->sent_us
+						    : 0);
 	skh_exchange_end(exchange);
-	skh_caller_conn_end(exchange->conn);
+	skh_caller_conn_end_response(exchange->conn);
 	skh_exchange_dispatch(exchange->gateway);
 }
 
-static void on_end(void *context, const skh_message_t *answer)
+static void on_end(void *context, const skh_http_message_t *answer)
 {
 	skh_exchange_t *exchange = context;
 	uint32_t status = answer->parser.status_code;
 
 	exchange->upstream = NULL;
-	if (exchange->not_run) {
+	if (exchange->reported_not_run) {
 		finish_attempt(exchange, SKH_END_NOT_RUN);
 		return;
 	}
-	if (status / 100 == 2 && exchange->route->streams)
+	if (status / 100 == 2 && exchange->route->is_streaming)
 		end_stream(exchange);
-	else if (exchange->stage == SKH_EXCHANGE_ANSWERING)
-		finish_attempt(exchange, SKH_END_CUT);
+	else if (exchange->stage == SKH_EXCHANGE_RESPONDING)
+		finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 	else if (status == 408 || status == 421 || status == 429 || status == 503)
 		/* A promise that the server did not make is not passed on. */
 		finish_attempt(exchange, SKH_END_LOST);
@@ -265,10 +271,10 @@
 {
 	skh_log(SKH_LOG_WARNING, PART, "Request was lost in a crash.",
 		"content=%016" PRIx64 " crash=%016" PRIx64, content, crash);
-	skh_gossip_add_culprit(context, content, crash);
+	skh_gossip_add_crash_suspect(context, content, crash);
 }
 
-static void on_lost(void *context, skh_lost_t lost, bool handed_over)
+static void on_lost(void *context, skh_upstream_error_t lost, bool handed_over)
 {
 	skh_exchange_t *exchange = context;
 	skh_gateway_t *gateway = exchange->gateway;
@@ -276,28 +282,29 @@
 	exchange->upstream = NULL;
 	if (!handed_over) {
 		/* What was lost there before was lost in a crash. */
-		skh_culprits_crashed(gateway->culprits, exchange->target->server->id,
-				     skh_clock_boot_us(), tell_crash, gateway->gossip);
+		skh_crash_suspects_record_crash(gateway->crash_suspects,
+						exchange->target->server->id, skh_clock_boot_us(),
+						tell_crash, gateway->gossip);
 		finish_attempt(exchange, SKH_END_UNREACHABLE);
 		return;
 	}
-	if (lost == SKH_LOST_BROKEN)
-		skh_culprits_note(gateway->culprits, exchange->content,
-				  exchange->target->server->id, skh_clock_boot_us());
-	finish_attempt(exchange, SKH_END_CUT);
+	if (lost == SKH_UPSTREAM_ERROR_CONNECTION_CLOSED)
+		skh_crash_suspects_record_loss(gateway->crash_suspects, exchange->content_hash,
+					       exchange->target->server->id, skh_clock_boot_us());
+	finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 }
 
 static const skh_upstream_ops_t upstream_ops = {
 	.on_head = on_head,
 	.on_body = on_body,
 	.on_end = on_end,
-	.on_lost = on_lost,
+	.on_error = on_lost,
 };
 
 static skh_outcome_t outcome_of(const skh_exchange_t *exchange, skh_attempt_end_t end)
 {
 	if (end == SKH_END_NOT_RUN && exchange->attempt_status == 421)
-		return SKH_OUTCOME_MISPLACED;
+		return SKH_OUTCOME_WRONG_INSTANCE;
 	switch (end) {
 	case SKH_END_UNREACHABLE:
 		return SKH_OUTCOME_UNREACHABLE;
@@ -313,31 +320,32 @@
 {
 	if (end != SKH_END_NOT_RUN) {
 		target->references++;
-		g_ptr_array_add(exchange->tried, target);
+		g_ptr_array_add(exchange->tried_targets, target);
 	}
-	skh_events_restart(&exchange->events);
-	skh_exchange_wait(exchange, now_us);
+	skh_event_stream_discard_pending(&exchange->event_stream);
+	skh_exchange_enqueue(exchange, now_us);
 }
 
-static void conclude(skh_exchange_t *exchange, skh_verdict_t verdict)
+static void conclude(skh_exchange_t *exchange, skh_retry_decision_t verdict)
 {
 	switch (verdict) {
-	case SKH_VERDICT_PASS:
+	case SKH_RETRY_DECISION_FORWARD_RESPONSE:
 		pass_answer(exchange);
 		return;
-	case SKH_VERDICT_REFUSE:
-		skh_exchange_refuse(exchange, SKH_OVERLOADED,
-				    skh_exchange_retry_after_ms(exchange, SKH_RETRY_DEFAULT_MS),
-				    "servers turned it away");
+	case SKH_RETRY_DECISION_REJECT:
+		skh_exchange_reject(
+			exchange, SKH_OVERLOADED,
+			skh_exchange_retry_after_ms(exchange, SKH_DEFAULT_RETRY_AFTER_MS),
+			"servers turned it away");
 		return;
-	case SKH_VERDICT_CUT:
-		skh_exchange_log_end(exchange, "cut", exchange->answer_status,
+	case SKH_RETRY_DECISION_CLOSE_STREAM:
+		skh_exchange_log_end(exchange, "cut", exchange->response_status,
 				     "the stream broke off");
 		skh_exchange_end(exchange);
 		skh_caller_conn_abort(exchange->conn);
 		return;
 	default:
-		skh_exchange_refuse(exchange, SKH_OUTCOME_UNKNOWN, 0,
+		skh_exchange_reject(exchange, SKH_OUTCOME_UNKNOWN, 0,
 				    "the server's answer was lost");
 		return;
 	}
@@ -350,42 +358,43 @@
 		[SKH_END_NOT_RUN] = "not_run",
 		[SKH_END_ERROR] = "error",
 		[SKH_END_LOST] = "lost",
-		[SKH_END_CUT] = "cut",
+		[SKH_END_STREAM_BROKEN] = "cut",
 	};
 
 	return names[end];
 }
 
 /* What follows when the attempt under way ends so. */
-static skh_verdict_t verdict_on(const skh_exchange_t *exchange, skh_attempt_end_t end,
-				int64_t now_us, skh_verdict_view_t *view)
+static skh_retry_decision_t verdict_on(const skh_exchange_t *exchange, skh_attempt_end_t end,
+				       int64_t now_us, skh_retry_policy_view_t *view)
 {
 	const skh_gateway_t *gateway = exchange->gateway;
-	bool ran = end == SKH_END_ERROR || end == SKH_END_LOST || end == SKH_END_CUT;
+	bool ran = end == SKH_END_ERROR || end == SKH_END_LOST || end == SKH_END_STREAM_BROKEN;
 
-	*view = (skh_verdict_view_t){
+	*view = (skh_retry_policy_view_t){
 		.end = end,
-		.repeat = exchange->route->repeat,
-		.runs = exchange->runs + ran,
+		.retry_mode = exchange->route->retry_mode,
+		.possible_runs = exchange->possible_runs + ran,
 		.max_attempts = exchange->route->max_attempts,
-		.sends = exchange->sends - exchange->probes,
-		.may_repeat = skh_retryshare_has_room(&exchange->front->share,
-						      &gateway->retry_bounds, now_us),
-		.is_suspect = skh_culprits_is_held(gateway->culprits, exchange->content, now_us),
+		.sends = exchange->sends - exchange->rejected_probes,
+		.has_retry_budget = skh_retry_share_has_room(&exchange->target_pool->retry_share,
+							     &gateway->retry_bounds, now_us),
+		.is_suspect = skh_crash_suspects_is_retry_blocked(gateway->crash_suspects,
+								  exchange->content_hash, now_us),
 		.now_us = now_us,
-		.until_us = exchange->until_us,
+		.deadline_us = exchange->deadline_us,
 	};
-	return skh_verdict_of(view);
+	return skh_retry_policy_decide(view);
 }
 
-static void log_failure(const skh_exchange_t *exchange, const skh_verdict_view_t *view,
-			skh_verdict_t verdict)
+static void log_failure(const skh_exchange_t *exchange, const skh_retry_policy_view_t *view,
+			skh_retry_decision_t verdict)
 {
 	skh_log(SKH_LOG_INFO, PART, "Attempt failed.",
 		"id=%s server=%s end=%s status=%" PRId32 " runs=%u budget=%d suspect=%d again=%d",
 		exchange->attempt_id, exchange->target->server->id, end_name(view->end),
-		exchange->attempt_status, view->runs, view->may_repeat, view->is_suspect,
-		verdict == SKH_VERDICT_AGAIN);
+		exchange->attempt_status, view->possible_runs, view->has_retry_budget,
+		view->is_suspect, verdict == SKH_RETRY_DECISION_RETRY);
 }
 
 static void finish_attempt(skh_exchange_t *exchange, skh_attempt_end_t end)
@@ -393,27 +402,28 @@
 	skh_gateway_t *gateway = exchange->gateway;
 	int64_t now_us = skh_clock_boot_us();
 	skh_target_t *target = exchange->target;
-	skh_verdict_view_t view;
-	skh_verdict_t verdict;
+	skh_retry_policy_view_t view;
+	skh_retry_decision_t verdict;
 
-	if (end == SKH_END_CUT && exchange->stage != SKH_EXCHANGE_ANSWERING)
+	if (end == SKH_END_STREAM_BROKEN && exchange->stage != SKH_EXCHANGE_RESPONDING)
 		end = SKH_END_LOST;
-	if (end == SKH_END_NOT_RUN && exchange->front->lock_step &&
+	if (end == SKH_END_NOT_RUN && exchange->target_pool->lock_step &&
 	    exchange->attempt_status == 503) {
-		exchange->probes += skh_groupgate_is_closed(&exchange->front->gate);
-		skh_groupgate_refused(&exchange->front->gate, now_us);
+		exchange->rejected_probes +=
+			skh_group_breaker_is_tripped(&exchange->target_pool->gate);
+		skh_group_breaker_record_rejection(&exchange->target_pool->gate, now_us);
 	}
 	verdict = verdict_on(exchange, end, now_us, &view);
-	exchange->runs = view.runs;
-	skh_groupgate_failed(&exchange->front->gate);
+	exchange->possible_runs = view.possible_runs;
+	skh_group_breaker_record_failure(&exchange->target_pool->gate);
 	log_failure(exchange, &view, verdict);
-	if (verdict == SKH_VERDICT_PASS) {
+	if (verdict == SKH_RETRY_DECISION_FORWARD_RESPONSE) {
 		conclude(exchange, verdict);
 		return;
 	}
 	target->references++; /* outlives the attempt */
-	skh_attempt_leave(exchange, outcome_of(exchange, end), 0);
-	if (verdict == SKH_VERDICT_AGAIN)
+	skh_attempt_release(exchange, outcome_of(exchange, end), 0);
+	if (verdict == SKH_RETRY_DECISION_RETRY)
 		send_again(exchange, target, end, now_us);
 	else
 		conclude(exchange, verdict);
@@ -421,21 +431,21 @@
 	skh_exchange_dispatch(gateway);
 }
 
-void skh_attempt_move(skh_exchange_t *exchange)
+void skh_attempt_retry_elsewhere(skh_exchange_t *exchange)
 {
 	skh_attempt_end_t end =
-		exchange->stage == SKH_EXCHANGE_ANSWERING ? SKH_END_CUT : SKH_END_LOST;
+		exchange->stage == SKH_EXCHANGE_RESPONDING ? SKH_END_STREAM_BROKEN : SKH_END_LOST;
 	int64_t now_us = skh_clock_boot_us();
 	skh_target_t *target = exchange->target;
-	skh_verdict_view_t view;
-	skh_verdict_t verdict = verdict_on(exchange, end, now_us, &view);
+	skh_retry_policy_view_t view;
+	skh_retry_decision_t verdict = verdict_on(exchange, end, now_us, &view);
 
 	log_failure(exchange, &view, verdict);
-	if (verdict != SKH_VERDICT_AGAIN)
+	if (verdict != SKH_RETRY_DECISION_RETRY)
 		return;
-	exchange->runs = view.runs;
+	exchange->possible_runs = view.possible_runs;
 	target->references++; /* outlives the attempt */
-	skh_attempt_leave(exchange, SKH_OUTCOME_WITHDRAWN, 0);
+	skh_attempt_release(exchange, SKH_OUTCOME_CANCELED, 0);
 	send_again(exchange, target, end, now_us);
 	skh_target_unref(target);
 }
--- a/src/worker.c
+++ b/src/attempt_runner.c
@@ -1,11 +1,11 @@
-#include "worker.h"
+#include "attempt_runner.h"
 
-#include "backlog.h"
-#include "claimer.h"
+#include "claim_backlog.h"
+#include "claim_writer.h"
 #include "clock.h"
 #include "fetch.h"
 #include "metrics.h"
-#include "tell.h"
+#include "frame_sender.h"
 
 #include <glib.h>
 #include <inttypes.h>
@@ -32,9 +32,9 @@
 typedef struct attempt {
 	uint64_t id;
 	step_t step;
-	char entry[SKH_PORT_PEER_BYTES];
+	char entry[SKH_SIDECAR_LINK_PEER_BYTES];
 	Skh__Frame *frame; /* its Start, owned */
-	skh_answer_t answer;
+	skh_response_parser_t answer;
 	uint64_t pieces;
 	uint64_t events;
 	uint64_t sent_bytes;
@@ -50,20 +50,20 @@
 	skh_error_t refusal; /* told once the claim is given back */
 } attempt_t;
 
-struct skh_worker {
+struct skh_attempt_runner {
 	const skh_settings_t *settings;
-	skh_teller_t teller;
+	skh_frame_sender_t teller;
 	skh_gate_t *gate;
 	skh_fetch_t *fetch;
 	skh_backend_t *backend;
-	skh_claimer_t *claimer;
-	skh_backlog_t *backlog;	 /* records to be written when the service is back */
-	uint64_t cancels;	 /* numbers the cancel orders */
-	GHashTable *attempts;	 /* id -> attempt_t */
-	GHashTable *entries;	 /* routing id -> when it was last heard, int64_t */
-	skh_buffer_t piece;	 /* reused for each piece */
-	int64_t newest_revision; /* that any entry has named */
-	uint64_t crash;		 /* the latest crash of the backend server */
+	skh_claim_writer_t *claimer;
+	skh_claim_backlog_t *backlog; /* records to be written when the service is back */
+	uint64_t cancels;	      /* numbers the cancel orders */
+	GHashTable *attempts;	      /* id -> attempt_t */
+	GHashTable *entries;	      /* routing id -> when it was last heard, int64_t */
+	skh_buffer_t piece;	      /* reused for each piece */
+	int64_t newest_revision;      /* that any entry has named */
+	uint64_t crash;		      /* the latest crash of the backend server */
 	int64_t crash_at_us;
 	bool room_made;		/* a waiting attempt may start */
 	skh_phase_t told_phase; /* what the entries know */
@@ -74,13 +74,13 @@
 	attempt_t *attempt = item;
 
 	skh_wire_free(attempt->frame);
-	skh_buffer_free(&attempt->answer.rest);
+	skh_buffer_free(&attempt->answer.partial_event);
 	skh_claim_clear(&attempt->claim);
 	g_free(attempt->claim_path);
 	g_free(attempt);
 }
 
-static attempt_t *find(const skh_worker_t *worker, uint64_t id)
+static attempt_t *find(const skh_attempt_runner_t *worker, uint64_t id)
 {
 	return g_hash_table_lookup(worker->attempts, &id);
 }
@@ -92,40 +92,40 @@
 	return !start->idempotent && *start->key;
 }
 
-static void run_attempt(skh_worker_t *worker, attempt_t *attempt)
+static void run_attempt(skh_attempt_runner_t *worker, attempt_t *attempt)
 {
 	const Skh__Start *start = attempt->frame->start;
 
 	attempt->step = STEP_RUNNING;
 	skh_metrics_add(SKH_COUNT_STARTED, 1);
-	skh_tell_started(&worker->teller, attempt->entry, attempt->id);
+	skh_frame_sender_send_started(&worker->teller, attempt->entry, attempt->id);
 	worker->backend->ops->start(worker->backend, worker->fetch, start, start->finish_before_us,
 				    skh_clock_now_us());
 }
 
-static void submit_claim(skh_worker_t *worker, attempt_t *attempt)
+static void submit_claim(skh_attempt_runner_t *worker, attempt_t *attempt)
 {
 	g_autofree char *value = skh_claim_encode(&attempt->claim);
 
-	skh_claimer_submit(worker->claimer, attempt->id, attempt->claim_path, value,
-			   attempt->claim_revision);
+	skh_claim_writer_submit(worker->claimer, attempt->id, attempt->claim_path, value,
+				attempt->claim_revision);
 }
 
-static void claim_attempt(skh_worker_t *worker, attempt_t *attempt)
+static void claim_attempt(skh_attempt_runner_t *worker, attempt_t *attempt)
 {
 	const Skh__Start *start = attempt->frame->start;
 
 	attempt->step = STEP_CLAIMING;
 	attempt->claim_path =
-		skh_claim_path(worker->settings->store_prefix, start->customer, start->key);
+		skh_claim_store_key(worker->settings->store_prefix, start->customer, start->key);
 	attempt->claim.state = SKH_CLAIM_CLAIMED;
 	attempt->claim.owner = g_strdup_printf("%016" PRIx64 "-%016" PRIx64,
 					       worker->teller.incarnation, attempt->id);
-	attempt->claim.body_hash = skh_wire_hash_content(start);
+	attempt->claim.body_hash = skh_wire_hash_request(start);
 	submit_claim(worker, attempt);
 }
 
-static void begin(skh_worker_t *worker, attempt_t *attempt)
+static void begin(skh_attempt_runner_t *worker, attempt_t *attempt)
 {
 	if (is_keyed(attempt))
 		claim_attempt(worker, attempt);
@@ -133,40 +133,42 @@
 		run_attempt(worker, attempt);
 }
 
-static void begin_waiting(skh_worker_t *worker)
+static void begin_waiting(skh_attempt_runner_t *worker)
 {
 	uint64_t id;
 
-	while ((id = skh_gate_next(worker->gate, skh_clock_now_us())) != 0)
+	while ((id = skh_gate_start_next(worker->gate, skh_clock_now_us())) != 0)
 		begin(worker, find(worker, id));
 }
 
-static void forget(skh_worker_t *worker, uint64_t id, bool started)
+static void forget(skh_attempt_runner_t *worker, uint64_t id, bool started)
 {
-	skh_gate_ended(worker->gate, id, started);
+	skh_gate_finish(worker->gate, id, started);
 	g_hash_table_remove(worker->attempts, &id);
 	begin_waiting(worker);
 }
 
 /* The backend server never got the attempt. */
-static void refuse(skh_worker_t *worker, attempt_t *attempt, const skh_error_t *err)
+static void refuse(skh_attempt_runner_t *worker, attempt_t *attempt, const skh_error_t *err)
 {
-	skh_tell_refused(&worker->teller, attempt->entry, attempt->id, err);
+	skh_frame_sender_send_rejected(&worker->teller, attempt->entry, attempt->id, err);
 	forget(worker, attempt->id, false);
 }
 
-static void refuse_waiting(skh_worker_t *worker, uint64_t id, skh_kind_t kind, const char *text)
+static void refuse_waiting(skh_attempt_runner_t *worker, uint64_t id, skh_error_kind_t kind,
+			   const char *text)
 {
 	attempt_t *attempt = find(worker, id);
 	skh_error_t err;
 
 	(void)skh_error_set(&err, kind, "%s", text);
-	skh_tell_refused(&worker->teller, attempt->entry, id, &err);
+	skh_frame_sender_send_rejected(&worker->teller, attempt->entry, id, &err);
 	g_hash_table_remove(worker->attempts, &id);
 }
 
 /* The claim says that nothing ran before the caller is told so, and may claim again. */
-static void release_and_refuse(skh_worker_t *worker, attempt_t *attempt, const skh_error_t *err)
+static void release_and_refuse(skh_attempt_runner_t *worker, attempt_t *attempt,
+			       const skh_error_t *err)
 {
 	if (attempt->claim_revision == 0) {
 		refuse(worker, attempt, err);
@@ -179,7 +181,7 @@
 }
 
 /* Attempts that end together name the same crash. */
-static uint64_t crash_of(skh_worker_t *worker, const skh_error_t *err)
+static uint64_t crash_of(skh_attempt_runner_t *worker, const skh_error_t *err)
 {
 	int64_t now_us = skh_clock_now_us();
 
@@ -192,27 +194,27 @@
 	return worker->crash;
 }
 
-static void tell_end(skh_worker_t *worker, attempt_t *attempt, const skh_error_t *err,
+static void tell_end(skh_attempt_runner_t *worker, attempt_t *attempt, const skh_error_t *err,
 		     bool replayed)
 {
-	const skh_ending_t ending = { attempt->id, attempt->pieces, err, replayed,
-				      crash_of(worker, err) };
+	const skh_attempt_result_t ending = { attempt->id, attempt->pieces, err, replayed,
+					      crash_of(worker, err) };
 
 	if (!attempt->told)
-		skh_tell_end(&worker->teller, attempt->entry, &ending);
+		skh_frame_sender_send_end(&worker->teller, attempt->entry, &ending);
 	attempt->told = true;
 }
 
-static void end(skh_worker_t *worker, attempt_t *attempt, const skh_error_t *err)
+static void end(skh_attempt_runner_t *worker, attempt_t *attempt, const skh_error_t *err)
 {
 	tell_end(worker, attempt, err, false);
 	forget(worker, attempt->id, true);
 }
 
 /* Close the transfer of a running attempt and tell the engine to stop. */
-static void abandon(skh_worker_t *worker, uint64_t id)
+static void abandon(skh_attempt_runner_t *worker, uint64_t id)
 {
-	uint64_t order = SKH_WIRE_RESERVED_ATTEMPT | ++worker->cancels;
+	uint64_t order = SKH_WIRE_LOCAL_TRANSFER_BIT | ++worker->cancels;
 
 	skh_fetch_cancel(worker->fetch, id);
 	worker->backend->ops->cancel(worker->backend, worker->fetch, id, order, skh_clock_now_us());
@@ -220,26 +222,26 @@
 	forget(worker, id, true);
 }
 
-static void refuse_evicted(skh_worker_t *worker)
+static void refuse_evicted(skh_attempt_runner_t *worker)
 {
 	uint64_t id;
 
-	while ((id = skh_gate_evicted(worker->gate)) != 0)
+	while ((id = skh_gate_pop_evicted(worker->gate)) != 0)
 		refuse_waiting(worker, id, SKH_OVERLOADED, "its customer is over its share");
 }
 
-static void on_start(skh_worker_t *worker, const char *entry, Skh__Frame *frame)
+static void on_start(skh_attempt_runner_t *worker, const char *entry, Skh__Frame *frame)
 {
 	skh_error_t err;
 	uint64_t id = frame->start->attempt;
-	skh_verdict_t verdict =
-		skh_gate_start(worker->gate, frame->start, skh_clock_now_us(), &err);
+	skh_gate_decision_t verdict =
+		skh_gate_admit(worker->gate, frame->start, skh_clock_now_us(), &err);
 	attempt_t *attempt;
 
-	if (verdict == SKH_VERDICT_REFUSE)
-		skh_tell_refused(&worker->teller, entry, id, &err);
+	if (verdict == SKH_GATE_DECISION_REJECT)
+		skh_frame_sender_send_rejected(&worker->teller, entry, id, &err);
 	refuse_evicted(worker);
-	if (verdict != SKH_VERDICT_START && verdict != SKH_VERDICT_QUEUE) {
+	if (verdict != SKH_GATE_DECISION_START && verdict != SKH_GATE_DECISION_QUEUE) {
 		skh_wire_free(frame);
 		return;
 	}
@@ -249,28 +251,28 @@
 	attempt->credited_bytes = (uint64_t)worker->settings->window_bytes;
 	(void)g_strlcpy(attempt->entry, entry, sizeof(attempt->entry));
 	g_hash_table_insert(worker->attempts, &attempt->id, attempt);
-	if (verdict == SKH_VERDICT_START)
+	if (verdict == SKH_GATE_DECISION_START)
 		begin(worker, attempt);
 }
 
-static void on_cancel(skh_worker_t *worker, uint64_t id)
+static void on_cancel(skh_attempt_runner_t *worker, uint64_t id)
 {
 	attempt_t *attempt = find(worker, id);
-	skh_verdict_t verdict;
+	skh_gate_decision_t verdict;
 
 	if (!attempt)
 		return;
 	verdict = skh_gate_cancel(worker->gate, id);
-	if (verdict == SKH_VERDICT_REFUSE) {
+	if (verdict == SKH_GATE_DECISION_REJECT) {
 		refuse_waiting(worker, id, SKH_CANCELLED, "cancelled before it started");
 		return;
 	}
 	/* Work that may not be repeated is left to finish rather than be cut in half. */
-	if (verdict == SKH_VERDICT_STARTED && attempt->frame->start->idempotent)
+	if (verdict == SKH_GATE_DECISION_ALREADY_STARTED && attempt->frame->start->idempotent)
 		abandon(worker, id);
 }
 
-static void on_credit(skh_worker_t *worker, const Skh__Credit *credit)
+static void on_credit(skh_attempt_runner_t *worker, const Skh__Credit *credit)
 {
 	attempt_t *attempt = find(worker, credit->attempt);
 
@@ -278,36 +280,37 @@
 		return;
 	attempt->credited_bytes += credit->bytes;
 	if (attempt->sent_bytes < attempt->credited_bytes)
-		skh_fetch_pause(worker->fetch, attempt->id, false);
+		skh_fetch_set_paused(worker->fetch, attempt->id, false);
 }
 
-static void on_ask(skh_worker_t *worker, const char *entry, const Skh__Ask *ask)
+static void on_ask(skh_attempt_runner_t *worker, const char *entry, const Skh__Ask *ask)
 {
-	const skh_teller_t *teller = &worker->teller;
+	const skh_frame_sender_t *teller = &worker->teller;
 	const attempt_t *attempt = find(worker, ask->attempt);
 	skh_error_t err;
 
-	switch (skh_gate_ask(worker->gate, ask->attempt, ask->incarnation, ask->start_before_us,
-			     skh_clock_now_us())) {
-	case SKH_FATE_WAITING:
+	switch (skh_gate_resolve(worker->gate, ask->attempt, ask->incarnation, ask->start_before_us,
+				 skh_clock_now_us())) {
+	case SKH_ATTEMPT_STATUS_WAITING:
 		break;
-	case SKH_FATE_RUNNING:
+	case SKH_ATTEMPT_STATUS_RUNNING:
 		if (attempt->step == STEP_RUNNING || attempt->step == STEP_RECORDING)
-			skh_tell_started(teller, entry, ask->attempt);
+			skh_frame_sender_send_started(teller, entry, ask->attempt);
 		break;
-	case SKH_FATE_REFUSED:
+	case SKH_ATTEMPT_STATUS_REJECTED:
 		(void)skh_error_set(&err, SKH_STALE, "it never started here");
-		skh_tell_refused(teller, entry, ask->attempt, &err);
+		skh_frame_sender_send_rejected(teller, entry, ask->attempt, &err);
 		break;
-	case SKH_FATE_ENDED:
-	case SKH_FATE_UNKNOWN:
+	case SKH_ATTEMPT_STATUS_ENDED:
+	case SKH_ATTEMPT_STATUS_UNKNOWN:
 		(void)skh_error_set(&err, SKH_OUTCOME_UNKNOWN, "its answer was lost on the way");
-		skh_tell_end(teller, entry, &(skh_ending_t){ ask->attempt, 0, &err, false, 0 });
+		skh_frame_sender_send_end(
+			teller, entry, &(skh_attempt_result_t){ ask->attempt, 0, &err, false, 0 });
 		break;
 	}
 }
 
-static void note_entry(skh_worker_t *worker, const char *entry, int64_t revision)
+static void note_entry(skh_attempt_runner_t *worker, const char *entry, int64_t revision)
 {
 	int64_t *heard_at_us = g_hash_table_lookup(worker->entries, entry);
 
@@ -319,7 +322,7 @@
 	worker->newest_revision = MAX(worker->newest_revision, revision);
 }
 
-void skh_worker_on_frame(skh_worker_t *worker, const char *entry, Skh__Frame *frame)
+void skh_attempt_runner_on_frame(skh_attempt_runner_t *worker, const char *entry, Skh__Frame *frame)
 {
 	note_entry(worker, entry, (int64_t)frame->revision);
 	switch (frame->body_case) {
@@ -327,7 +330,7 @@
 		on_start(worker, entry, frame);
 		return;
 	case SKH__FRAME__BODY_HELLO:
-		skh_tell_status(&worker->teller, entry);
+		skh_frame_sender_send_status(&worker->teller, entry);
 		break;
 	case SKH__FRAME__BODY_CANCEL:
 		on_cancel(worker, frame->cancel->attempt);
@@ -344,8 +347,8 @@
 	skh_wire_free(frame);
 }
 
-static void send_piece(skh_worker_t *worker, attempt_t *attempt, skh_chunk_t bytes, int32_t status,
-		       const char *content_type, uint32_t events)
+static void send_piece(skh_attempt_runner_t *worker, attempt_t *attempt, skh_chunk_t bytes,
+		       int32_t status, const char *content_type, uint32_t events)
 {
 	Skh__Data data = SKH__DATA__INIT;
 
@@ -360,26 +363,26 @@
 		attempt->head_sent = true;
 	}
 	attempt->sent_bytes += bytes.len;
-	if (!skh_tell_data(&worker->teller, attempt->entry, &data))
+	if (!skh_frame_sender_send_data(&worker->teller, attempt->entry, &data))
 		attempt->unreachable = true;
 }
 
 static void keep_for_record(attempt_t *attempt, skh_chunk_t bytes)
 {
-	if (attempt->claim.answer.len + bytes.len <= SKH_CLAIM_ANSWER_BYTES)
-		skh_buffer_append(&attempt->claim.answer, bytes);
+	if (attempt->claim.response.len + bytes.len <= SKH_CLAIM_MAX_RESPONSE_BYTES)
+		skh_buffer_append(&attempt->claim.response, bytes);
 	else
-		attempt->claim.has_answer = false;
+		attempt->claim.has_response = false;
 }
 
-static void note_events(skh_worker_t *worker, attempt_t *attempt, uint32_t events)
+static void note_events(skh_attempt_runner_t *worker, attempt_t *attempt, uint32_t events)
 {
 	bool was_past = attempt->events >= SURVIVED_EVENTS;
 
 	attempt->events += events;
 	if (was_past || attempt->events < SURVIVED_EVENTS)
 		return;
-	skh_gate_survived(worker->gate, attempt->id);
+	skh_gate_clear_suspect(worker->gate, attempt->id);
 	/* Not now: libcurl is delivering these events and takes no new transfer. */
 	worker->room_made = true;
 }
@@ -387,26 +390,26 @@
 static void on_bytes(void *context, uint64_t id, int32_t status, const char *content_type,
 		     skh_chunk_t bytes)
 {
-	skh_worker_t *worker = context;
+	skh_attempt_runner_t *worker = context;
 	attempt_t *attempt = find(worker, id);
 	uint32_t events;
 
 	if (!attempt)
 		return;
 	skh_buffer_clear(&worker->piece);
-	events =
-		worker->backend->ops->pieces(&attempt->answer, content_type, bytes, &worker->piece);
+	events = worker->backend->ops->parse_chunk(&attempt->answer, content_type, bytes,
+						   &worker->piece);
 	if (is_keyed(attempt))
 		keep_for_record(attempt, bytes);
 	if (worker->piece.len > 0)
 		send_piece(worker, attempt, skh_buffer_chunk(&worker->piece), status, content_type,
 			   events);
 	if (attempt->sent_bytes >= attempt->credited_bytes)
-		skh_fetch_pause(worker->fetch, id, true);
+		skh_fetch_set_paused(worker->fetch, id, true);
 	note_events(worker, attempt, events);
 }
 
-static void record(skh_worker_t *worker, attempt_t *attempt, int32_t status,
+static void record(skh_attempt_runner_t *worker, attempt_t *attempt, int32_t status,
 		   const char *content_type)
 {
 	attempt->step = STEP_RECORDING;
@@ -417,7 +420,7 @@
 	submit_claim(worker, attempt);
 }
 
-static void finish(skh_worker_t *worker, attempt_t *attempt, int32_t status,
+static void finish(skh_attempt_runner_t *worker, attempt_t *attempt, int32_t status,
 		   const char *content_type)
 {
 	/* An answer without a body still has a status to pass on. */
@@ -432,7 +435,7 @@
 static void on_done(void *context, uint64_t id, int32_t status, const char *content_type,
 		    const skh_error_t *err)
 {
-	skh_worker_t *worker = context;
+	skh_attempt_runner_t *worker = context;
 	attempt_t *attempt = find(worker, id);
 	skh_error_t cut_off;
 
@@ -442,7 +445,7 @@
 		release_and_refuse(worker, attempt, err);
 		return;
 	}
-	if (!err && !worker->backend->ops->is_whole(&attempt->answer, status)) {
+	if (!err && !worker->backend->ops->is_complete(&attempt->answer, status)) {
 		(void)skh_error_set(&cut_off, SKH_BACKEND_FAILED,
 				    "the backend server's answer has no end mark");
 		err = &cut_off;
@@ -453,53 +456,53 @@
 		finish(worker, attempt, status, content_type);
 }
 
-static void replay(skh_worker_t *worker, attempt_t *attempt, const skh_claim_t *found)
+static void replay(skh_attempt_runner_t *worker, attempt_t *attempt, const skh_claim_t *found)
 {
 	skh_error_t err;
 
 	skh_metrics_add(SKH_COUNT_CLAIM_REPLAYS, 1);
-	if (!found->has_answer) {
+	if (!found->has_response) {
 		(void)skh_error_set(&err, SKH_ALREADY_RAN,
 				    "it ran; its answer was too long to be recorded");
 		end(worker, attempt, &err);
 		return;
 	}
-	send_piece(worker, attempt, skh_buffer_chunk(&found->answer), found->status,
+	send_piece(worker, attempt, skh_buffer_chunk(&found->response), found->status,
 		   found->content_type, 0);
 	tell_end(worker, attempt, NULL, true);
 	forget(worker, attempt->id, true);
 }
 
-static void on_claim_conflict(skh_worker_t *worker, attempt_t *attempt,
-			      const skh_claim_done_t *done)
+static void on_claim_conflict(skh_attempt_runner_t *worker, attempt_t *attempt,
+			      const skh_claim_result_t *done)
 {
 	skh_claim_t found = { 0 };
 	skh_error_t err;
 
-	if (!done->found) {
+	if (!done->found_value) {
 		(void)skh_error_set(&err, SKH_OUTCOME_UNKNOWN, "the record of the key is gone");
 		end(worker, attempt, &err);
 		return;
 	}
-	if (!skh_claim_decode(done->found, &found, &err)) {
+	if (!skh_claim_decode(done->found_value, &found, &err)) {
 		end(worker, attempt, &err);
 		return;
 	}
-	switch (skh_claim_judge(&found, attempt->claim.owner, attempt->claim.body_hash)) {
-	case SKH_CLAIM_IS_DONE:
+	switch (skh_claim_decide(&found, attempt->claim.owner, attempt->claim.body_hash)) {
+	case SKH_CLAIM_DECISION_REPLAY:
 		replay(worker, attempt, &found);
 		break;
-	case SKH_CLAIM_IS_FREE:
+	case SKH_CLAIM_DECISION_REPLACE:
 		attempt->claim_revision = done->mod_revision;
 		submit_claim(worker, attempt);
 		break;
-	case SKH_CLAIM_IS_REUSED:
+	case SKH_CLAIM_DECISION_KEY_REUSED:
 		(void)skh_error_set(&err, SKH_KEY_REUSED,
 				    "the key was used before with another request");
 		refuse(worker, attempt, &err);
 		break;
-	case SKH_CLAIM_IS_MINE:
-	case SKH_CLAIM_IS_UNFINISHED:
+	case SKH_CLAIM_DECISION_OWN_CLAIM:
+	case SKH_CLAIM_DECISION_OUTCOME_UNKNOWN:
 		skh_metrics_add(SKH_COUNT_CLAIM_UNFINISHED, 1);
 		(void)skh_error_set(&err, SKH_OUTCOME_UNKNOWN,
 				    "an earlier request with this key has not been seen to end");
@@ -509,7 +512,8 @@
 	skh_claim_clear(&found);
 }
 
-static void on_claimed(skh_worker_t *worker, attempt_t *attempt, const skh_claim_done_t *done)
+static void on_claimed(skh_attempt_runner_t *worker, attempt_t *attempt,
+		       const skh_claim_result_t *done)
 {
 	skh_error_t err;
 
@@ -519,40 +523,41 @@
 		release_and_refuse(worker, attempt, &err);
 		return;
 	}
-	attempt->claim.has_answer = true;
+	attempt->claim.has_response = true;
 	run_attempt(worker, attempt);
 }
 
-static void write_later(skh_worker_t *worker, attempt_t *attempt, skh_claim_state_t state)
+static void write_later(skh_attempt_runner_t *worker, attempt_t *attempt, skh_claim_state_t state)
 {
 	attempt->claim.state = state;
-	skh_backlog_add(worker->backlog, attempt->claim_path, &attempt->claim,
-			attempt->claim_revision, skh_clock_now_us());
+	skh_claim_backlog_add(worker->backlog, attempt->claim_path, &attempt->claim,
+			      attempt->claim_revision, skh_clock_now_us());
 }
 
-static void on_backlog_result(skh_worker_t *worker, const skh_claim_done_t *done)
+static void on_backlog_result(skh_attempt_runner_t *worker, const skh_claim_result_t *done)
 {
 	int64_t now_us = skh_clock_now_us();
 
 	if (done->state == SKH_WRITE_DONE)
-		skh_backlog_written(worker->backlog, done->id);
+		skh_claim_backlog_mark_written(worker->backlog, done->id);
 	else if (done->state == SKH_WRITE_CONFLICT)
-		skh_backlog_conflict(worker->backlog, done->id, done->found, done->mod_revision,
-				     now_us);
+		skh_claim_backlog_resolve_conflict(worker->backlog, done->id, done->found_value,
+						   done->mod_revision, now_us);
 	else
-		skh_backlog_failed(worker->backlog, done->id, now_us);
+		skh_claim_backlog_mark_failed(worker->backlog, done->id, now_us);
 }
 
-static void work_off_backlog(skh_worker_t *worker, int64_t now_us)
+static void work_off_backlog(skh_attempt_runner_t *worker, int64_t now_us)
 {
-	skh_backlog_write_t write;
+	skh_claim_backlog_write_t write;
 
-	while (skh_backlog_due(worker->backlog, now_us, &write))
-		skh_claimer_submit(worker->claimer, write.id, write.path, write.value,
-				   write.expected);
+	while (skh_claim_backlog_next_due(worker->backlog, now_us, &write))
+		skh_claim_writer_submit(worker->claimer, write.id, write.path, write.value,
+					write.expected_revision);
 }
 
-static void on_claim_written(skh_worker_t *worker, attempt_t *attempt, skh_claim_done_t *done)
+static void on_claim_written(skh_attempt_runner_t *worker, attempt_t *attempt,
+			     skh_claim_result_t *done)
 {
 	skh_error_t err;
 
@@ -569,7 +574,7 @@
 	}
 }
 
-static void on_claim_result(skh_worker_t *worker, skh_claim_done_t *done)
+static void on_claim_result(skh_attempt_runner_t *worker, skh_claim_result_t *done)
 {
 	attempt_t *attempt = find(worker, done->id);
 
@@ -594,21 +599,21 @@
 	}
 }
 
-static void take_claim_results(skh_worker_t *worker)
+static void take_claim_results(skh_attempt_runner_t *worker)
 {
-	skh_claim_done_t *done;
+	skh_claim_result_t *done;
 
-	while ((done = skh_claimer_take(worker->claimer)) != NULL) {
-		if (done->id & SKH_WIRE_RESERVED_ATTEMPT)
+	while ((done = skh_claim_writer_poll_result(worker->claimer)) != NULL) {
+		if (done->id & SKH_WIRE_LOCAL_TRANSFER_BIT)
 			on_backlog_result(worker, done);
 		else
 			on_claim_result(worker, done);
-		skh_claim_done_free(done);
+		skh_claim_result_free(done);
 	}
 }
 
 /* A service that does not record in time holds no answer back. */
-static void tell_unrecorded(skh_worker_t *worker, int64_t now_us)
+static void tell_unrecorded(skh_attempt_runner_t *worker, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -629,7 +634,7 @@
 }
 
 /* With a piece lost no one can use the rest; what may not be repeated goes on all the same. */
-static void abandon_unreachable(skh_worker_t *worker)
+static void abandon_unreachable(skh_attempt_runner_t *worker)
 {
 	g_autoptr(GArray) useless = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	GHashTableIter iter;
@@ -646,7 +651,7 @@
 		abandon(worker, g_array_index(useless, uint64_t, i));
 }
 
-static void tell_entries(skh_worker_t *worker, int64_t now_us)
+static void tell_entries(skh_attempt_runner_t *worker, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer entry;
@@ -658,20 +663,20 @@
 		if (*(int64_t *)heard_at_us + ENTRY_MEMORY_US < now_us)
 			g_hash_table_iter_remove(&iter);
 		else
-			skh_tell_status(&worker->teller, entry);
+			skh_frame_sender_send_status(&worker->teller, entry);
 	}
 }
 
-void skh_worker_tick(skh_worker_t *worker, bool ready, bool leaving, int64_t now_us)
+void skh_attempt_runner_tick(skh_attempt_runner_t *worker, bool ready, bool leaving, int64_t now_us)
 {
 	uint64_t id;
 
-	skh_gate_leave(worker->gate, leaving);
+	skh_gate_set_leaving(worker->gate, leaving);
 	if (ready)
 		skh_gate_open(worker->gate);
-	while ((id = skh_gate_hand_back(worker->gate)) != 0)
+	while ((id = skh_gate_reject_next(worker->gate)) != 0)
 		refuse_waiting(worker, id, SKH_LEAVING, "the backend server is leaving");
-	while ((id = skh_gate_expire(worker->gate, now_us)) != 0)
+	while ((id = skh_gate_expire_next(worker->gate, now_us)) != 0)
 		refuse_waiting(worker, id, SKH_OVERLOADED, "it could not start in time");
 	tell_unrecorded(worker, now_us);
 	work_off_backlog(worker, now_us);
@@ -681,7 +686,7 @@
 		tell_entries(worker, now_us);
 }
 
-void skh_worker_abandon_rest(skh_worker_t *worker)
+void skh_attempt_runner_fail_all(skh_attempt_runner_t *worker)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -693,57 +698,59 @@
 		tell_end(worker, value, &err, false);
 }
 
-void skh_worker_wait(skh_worker_t *worker, int64_t until_us)
+void skh_attempt_runner_poll(skh_attempt_runner_t *worker, int64_t until_us)
 {
-	skh_fetch_wait(worker->fetch, until_us);
+	skh_fetch_poll(worker->fetch, until_us);
 	if (worker->room_made)
 		begin_waiting(worker);
 	worker->room_made = false;
 	take_claim_results(worker);
 }
 
-size_t skh_worker_count(const skh_worker_t *worker)
+size_t skh_attempt_runner_attempt_count(const skh_attempt_runner_t *worker)
 {
 	return g_hash_table_size(worker->attempts);
 }
 
-const skh_gate_t *skh_worker_gate(const skh_worker_t *worker)
+const skh_gate_t *skh_attempt_runner_gate(const skh_attempt_runner_t *worker)
 {
 	return worker->gate;
 }
 
-int64_t skh_worker_newest_revision(const skh_worker_t *worker)
+int64_t skh_attempt_runner_newest_revision(const skh_attempt_runner_t *worker)
 {
 	return worker->newest_revision;
 }
 
-static const skh_fetch_events_t fetch_events = { .bytes = on_bytes, .done = on_done };
+static const skh_fetch_ops_t fetch_events = { .on_body = on_bytes, .on_done = on_done };
 
-skh_worker_t *skh_worker_new(const skh_settings_t *settings, skh_board_t *board, skh_store_t *store,
-			     skh_port_t *port, skh_backend_t *backend, skh_engine_t *engine)
+skh_attempt_runner_t *skh_attempt_runner_new(const skh_settings_t *settings, skh_board_t *board,
+					     skh_store_t *store, skh_sidecar_link_t *port,
+					     skh_backend_t *backend, skh_engine_t *engine)
 {
-	skh_worker_t *worker = g_new0(skh_worker_t, 1);
+	skh_attempt_runner_t *worker = g_new0(skh_attempt_runner_t, 1);
 	uint64_t incarnation = skh_random_u64() | 1;
 
 	worker->settings = settings;
 	worker->gate = skh_gate_new((uint32_t)settings->backend_capacity,
 				    (uint32_t)settings->backend_queue, incarnation);
-	worker->teller = (skh_teller_t){ settings, board, port, worker->gate, incarnation, engine };
+	worker->teller =
+		(skh_frame_sender_t){ settings, board, port, worker->gate, incarnation, engine };
 	worker->attempts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_attempt);
 	worker->entries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	worker->fetch = skh_fetch_new(&fetch_events, worker);
-	worker->claimer = skh_claimer_start(store, CLAIM_INTERVAL_US);
-	worker->backlog = skh_backlog_new();
+	worker->claimer = skh_claim_writer_start(store, CLAIM_INTERVAL_US);
+	worker->backlog = skh_claim_backlog_new();
 	worker->backend = backend;
-	skh_fetch_watch(worker->fetch, skh_port_fd(port));
-	skh_fetch_watch(worker->fetch, skh_claimer_fd(worker->claimer));
+	skh_fetch_watch_fd(worker->fetch, skh_sidecar_link_fd(port));
+	skh_fetch_watch_fd(worker->fetch, skh_claim_writer_fd(worker->claimer));
 	return worker;
 }
 
-void skh_worker_free(skh_worker_t *worker)
+void skh_attempt_runner_free(skh_attempt_runner_t *worker)
 {
-	skh_claimer_stop(worker->claimer);
-	skh_backlog_free(worker->backlog);
+	skh_claim_writer_stop(worker->claimer);
+	skh_claim_backlog_free(worker->backlog);
 	skh_fetch_free(worker->fetch);
 	skh_gate_free(worker->gate);
 	skh_buffer_free(&worker->piece);
--- a/src/backend.c
+++ b/src/backend.c
@@ -33,14 +33,14 @@
 		.url = url,
 		.headers = headers,
 		.body = skh_chunk_make(start->body.data, start->body.len),
-		.finish_by_us = finish_by_us,
-		.once = !start->idempotent,
+		.deadline_us = finish_by_us,
+		.at_most_once = !start->idempotent,
 	};
 
 	skh_fetch_start(fetch, &request, now_us);
 }
 
-static uint32_t count_events(skh_answer_t *answer, const uint8_t *data, size_t len)
+static uint32_t count_events(skh_response_parser_t *answer, const uint8_t *data, size_t len)
 {
 	const char *at = (const char *)data;
 	const char *end = at + len;
@@ -53,7 +53,7 @@
 			break;
 		if ((size_t)(next - at) >= strlen(LAST_EVENT) &&
 		    memcmp(at, LAST_EVENT, strlen(LAST_EVENT)) == 0)
-			answer->marked_end = true;
+			answer->end_marker_seen = true;
 		else
 			events++;
 		at = next + EVENT_END_BYTES;
@@ -71,8 +71,8 @@
 }
 
 /* Only whole events are passed on, so a resumed stream continues between two. */
-static uint32_t engine_pieces(skh_answer_t *answer, const char *content_type, skh_chunk_t bytes,
-			      skh_buffer_t *out)
+static uint32_t engine_pieces(skh_response_parser_t *answer, const char *content_type,
+			      skh_chunk_t bytes, skh_buffer_t *out)
 {
 	uint32_t events;
 	size_t whole;
@@ -81,22 +81,22 @@
 		skh_buffer_append(out, bytes);
 		return 0;
 	}
-	answer->stream = true;
-	skh_buffer_append(&answer->rest, bytes);
-	whole = last_event_end(&answer->rest);
+	answer->is_stream = true;
+	skh_buffer_append(&answer->partial_event, bytes);
+	whole = last_event_end(&answer->partial_event);
 	if (whole == 0)
 		return 0;
-	events = count_events(answer, answer->rest.data, whole);
-	skh_buffer_append(out, skh_chunk_make(answer->rest.data, whole));
-	skh_buffer_consume(&answer->rest, whole);
+	events = count_events(answer, answer->partial_event.data, whole);
+	skh_buffer_append(out, skh_chunk_make(answer->partial_event.data, whole));
+	skh_buffer_consume(&answer->partial_event, whole);
 	return events;
 }
 
-static bool engine_is_whole(const skh_answer_t *answer, int32_t status)
+static bool engine_is_whole(const skh_response_parser_t *answer, int32_t status)
 {
-	if (!answer->stream)
+	if (!answer->is_stream)
 		return status != 0;
-	return status == HTTP_OK && answer->marked_end && answer->rest.len == 0;
+	return status == HTTP_OK && answer->end_marker_seen && answer->partial_event.len == 0;
 }
 
 static void engine_cancel(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t attempt, uint64_t id,
@@ -108,7 +108,7 @@
 		.method = "POST",
 		.url = url,
 		.body = skh_chunk_from_string(""),
-		.finish_by_us = now_us + CANCEL_TIMEOUT_US,
+		.deadline_us = now_us + CANCEL_TIMEOUT_US,
 	};
 
 	skh_fetch_start(fetch, &request, now_us);
@@ -126,8 +126,8 @@
 		.url = url,
 		.headers = headers,
 		.body = skh_chunk_from_string(body),
-		.finish_by_us = now_us + ORDER_TIMEOUT_US,
-		.once = true,
+		.deadline_us = now_us + ORDER_TIMEOUT_US,
+		.at_most_once = true,
 	};
 
 	skh_fetch_start(fetch, &request, now_us);
@@ -144,7 +144,7 @@
 	post_order(backend, fetch, id, body, now_us);
 }
 
-static char *instruction_text(const skh_engine_order_t *order)
+static char *instruction_text(const skh_backend_order_t *order)
 {
 	static const char *const kinds[] = { "load_model", "load_adapter", "set_role" };
 	json_t *json =
@@ -159,7 +159,7 @@
 }
 
 static void engine_instruct(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-			    const skh_engine_order_t *order, int64_t now_us)
+			    const skh_backend_order_t *order, int64_t now_us)
 {
 	g_autofree char *body = instruction_text(order);
 
@@ -174,7 +174,7 @@
 		.id = id,
 		.method = "GET",
 		.url = url,
-		.finish_by_us = now_us + REPORT_TIMEOUT_US,
+		.deadline_us = now_us + REPORT_TIMEOUT_US,
 	};
 
 	skh_fetch_start(fetch, &request, now_us);
@@ -193,8 +193,8 @@
 	get(backend, fetch, id, path, now_us);
 }
 
-static uint32_t plain_pieces(skh_answer_t *answer, const char *content_type, skh_chunk_t bytes,
-			     skh_buffer_t *out)
+static uint32_t plain_pieces(skh_response_parser_t *answer, const char *content_type,
+			     skh_chunk_t bytes, skh_buffer_t *out)
 {
 	(void)answer;
 	(void)content_type;
@@ -202,7 +202,7 @@
 	return 0;
 }
 
-static bool plain_is_whole(const skh_answer_t *answer, int32_t status)
+static bool plain_is_whole(const skh_response_parser_t *answer, int32_t status)
 {
 	(void)answer;
 	return status != 0;
@@ -221,19 +221,19 @@
 
 static const skh_backend_ops_t engine_ops = {
 	.start = submit,
-	.pieces = engine_pieces,
-	.is_whole = engine_is_whole,
+	.parse_chunk = engine_pieces,
+	.is_complete = engine_is_whole,
 	.cancel = engine_cancel,
-	.order = engine_order,
-	.instruct = engine_instruct,
-	.ask_load = engine_ask_load,
-	.ask_events = engine_ask_events,
+	.send_map_order = engine_order,
+	.send_backend_order = engine_instruct,
+	.request_load_report = engine_ask_load,
+	.request_cache_events = engine_ask_events,
 };
 
 static const skh_backend_ops_t plain_ops = {
 	.start = submit,
-	.pieces = plain_pieces,
-	.is_whole = plain_is_whole,
+	.parse_chunk = plain_pieces,
+	.is_complete = plain_is_whole,
 	.cancel = plain_cancel,
 };
 
--- a/src/backend.h
+++ b/src/backend.h
@@ -21,28 +21,28 @@
 
 typedef struct skh_backend skh_backend_t;
 
-/** struct skh_answer - progress of one answer as its protocol sees it */
-typedef struct skh_answer {
-	bool stream;	   /* the answer is a stream of events */
-	bool marked_end;   /* the protocol's own end mark was seen */
-	skh_buffer_t rest; /* start of an event whose end has not come yet */
-} skh_answer_t;
+/** struct skh_response_parser - progress of one answer as its protocol sees it */
+typedef struct skh_response_parser {
+	bool is_stream;		    /* the answer is a stream of events */
+	bool end_marker_seen;	    /* the protocol's own end mark was seen */
+	skh_buffer_t partial_event; /* start of an event whose end has not come yet */
+} skh_response_parser_t;
 
-typedef enum skh_engine_order_kind {
-	SKH_ENGINE_LOAD_MODEL,
-	SKH_ENGINE_LOAD_ADAPTER,
-	SKH_ENGINE_SET_ROLE
-} skh_engine_order_kind_t;
+typedef enum skh_backend_order_kind {
+	SKH_BACKEND_ORDER_LOAD_MODEL,
+	SKH_BACKEND_ORDER_LOAD_ADAPTER,
+	SKH_BACKEND_ORDER_SET_ROLE
+} skh_backend_order_kind_t;
 
-#define SKH_ENGINE_NAME_BYTES 128
+#define SKH_BACKEND_ORDER_NAME_BYTES 128
 
-/** struct skh_engine_order - an order that concerns one engine alone */
-typedef struct skh_engine_order {
-	skh_engine_order_kind_t kind;
+/** struct skh_backend_order - an order that concerns one engine alone */
+typedef struct skh_backend_order {
+	skh_backend_order_kind_t kind;
 	uint64_t fence;
-	char name[SKH_ENGINE_NAME_BYTES]; /* of the model, adapter or role */
-	char version[SKH_ENGINE_NAME_BYTES];
-} skh_engine_order_t;
+	char name[SKH_BACKEND_ORDER_NAME_BYTES]; /* of the model, adapter or role */
+	char version[SKH_BACKEND_ORDER_NAME_BYTES];
+} skh_backend_order_t;
 
 /** struct skh_backend_ops - what a protocol implements */
 typedef struct skh_backend_ops {
@@ -50,24 +50,25 @@
 	void (*start)(skh_backend_t *backend, skh_fetch_t *fetch, const Skh__Start *start,
 		      int64_t finish_by_us, int64_t now_us);
 	/* Cut @bytes into what may be passed on now; returns whole events in @out. */
-	uint32_t (*pieces)(skh_answer_t *answer, const char *content_type, skh_chunk_t bytes,
-			   skh_buffer_t *out);
+	uint32_t (*parse_chunk)(skh_response_parser_t *answer, const char *content_type,
+				skh_chunk_t bytes, skh_buffer_t *out);
 	/* Whether an answer that ended without a transfer error is whole. */
-	bool (*is_whole)(const skh_answer_t *answer, int32_t status);
+	bool (*is_complete)(const skh_response_parser_t *answer, int32_t status);
 	/* Stop work on an attempt whose transfer was closed. */
 	void (*cancel)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t attempt, uint64_t id,
 		       int64_t now_us);
 	/* Give the engine an order of a map switch; NULL where there are none. */
-	void (*order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-		      const skh_order_t *order, const char *placement, int64_t now_us);
+	void (*send_map_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
+			       const skh_order_t *order, const char *placement, int64_t now_us);
 	/* Load a model or adapter, change role; NULL where there are none. */
-	void (*instruct)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-			 const skh_engine_order_t *order, int64_t now_us);
+	void (*send_backend_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
+				   const skh_backend_order_t *order, int64_t now_us);
 	/* Ask for the load report; NULL where there is none. */
-	void (*ask_load)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id, int64_t now_us);
+	void (*request_load_report)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
+				    int64_t now_us);
 	/* Ask for cache events from number @from on. */
-	void (*ask_events)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id, uint64_t from,
-			   int64_t now_us);
+	void (*request_cache_events)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
+				     uint64_t from, int64_t now_us);
 } skh_backend_ops_t;
 
 /** struct skh_backend - first member of every implementation */
--- a/src/backends.c
+++ b/src/backends.c
@@ -2,7 +2,7 @@
 
 #include "clock.h"
 #include "log.h"
-#include "ranksilence.h"
+#include "rank_liveness.h"
 
 #include <string.h>
 
@@ -26,18 +26,18 @@
 
 struct skh_backends {
 	uv_loop_t *loop;
-	const skh_pool_options_t *options;
+	const skh_upstream_pool_options_t *options;
 	GHashTable *targets; /* id -> skh_target_t */
-	GHashTable *fronts;  /* service -> skh_front_t */
+	GHashTable *fronts;  /* service -> skh_target_pool_t */
 	char *paces;	     /* of slow ranks, "\naddress pace" each */
 };
 
 static void free_front(gpointer data)
 {
-	skh_front_t *front = data;
+	skh_target_pool_t *front = data;
 
 	(void)g_ptr_array_free(front->targets, TRUE);
-	skh_waitline_free(front->line);
+	skh_request_queue_free(front->queue);
 	g_free(front->service);
 	g_free(front);
 }
@@ -47,11 +47,11 @@
 	skh_target_t *target = data;
 
 	target->listed = false;
-	(void)g_ptr_array_remove(target->front->targets, target);
+	(void)g_ptr_array_remove(target->target_pool->targets, target);
 	skh_target_unref(target);
 }
 
-skh_backends_t *skh_backends_new(uv_loop_t *loop, const skh_pool_options_t *options)
+skh_backends_t *skh_backends_new(uv_loop_t *loop, const skh_upstream_pool_options_t *options)
 {
 	skh_backends_t *backends = g_new0(skh_backends_t, 1);
 
@@ -71,27 +71,27 @@
 	g_free(backends);
 }
 
-skh_front_t *skh_backends_front(skh_backends_t *backends, const char *name)
+skh_target_pool_t *skh_backends_get_or_create_pool(skh_backends_t *backends, const char *name)
 {
-	skh_front_t *front = g_hash_table_lookup(backends->fronts, name);
+	skh_target_pool_t *front = g_hash_table_lookup(backends->fronts, name);
 
 	if (front)
 		return front;
-	front = g_new0(skh_front_t, 1);
+	front = g_new0(skh_target_pool_t, 1);
 	front->service = g_strdup(name);
 	front->targets = g_ptr_array_new();
-	front->line = skh_waitline_new();
-	front->first_ms = FIRST_MS_PLAIN;
+	front->queue = skh_request_queue_new();
+	front->typical_first_event_ms = FIRST_MS_PLAIN;
 	g_hash_table_insert(backends->fronts, front->service, front);
 	return front;
 }
 
-skh_target_t *skh_backends_target(skh_backends_t *backends, const char *id)
+skh_target_t *skh_backends_find_target(skh_backends_t *backends, const char *id)
 {
 	return g_hash_table_lookup(backends->targets, id);
 }
 
-void skh_backends_each_front(skh_backends_t *backends, skh_front_fn fn, void *context)
+void skh_backends_for_each_pool(skh_backends_t *backends, skh_target_pool_fn fn, void *context)
 {
 	GHashTableIter iter;
 	gpointer front;
@@ -101,7 +101,7 @@
 		fn(front, context);
 }
 
-void skh_backends_each_target(skh_backends_t *backends, skh_target_fn fn, void *context)
+void skh_backends_for_each_target(skh_backends_t *backends, skh_target_fn fn, void *context)
 {
 	GHashTableIter iter;
 	gpointer target;
@@ -113,8 +113,8 @@
 
 static bool is_same_instance(const skh_server_t *a, const skh_server_t *b)
 {
-	return strcmp(a->host, b->host) == 0 && a->port == b->port && a->born_ms == b->born_ms &&
-	       strcmp(a->service, b->service) == 0;
+	return strcmp(a->host, b->host) == 0 && a->port == b->port &&
+	       a->started_unix_ms == b->started_unix_ms && strcmp(a->service, b->service) == 0;
 }
 
 /* After a crash the entry of before stays listed for a while beside the new one. */
@@ -122,12 +122,12 @@
 {
 	skh_target_t *other = value;
 	skh_target_t *fresh = context;
-	bool is_later = fresh->server->born_ms > other->server->born_ms;
+	bool is_later = fresh->server->started_unix_ms > other->server->started_unix_ms;
 
 	(void)key;
 	if (other == fresh || other->server->port != fresh->server->port ||
 	    strcmp(other->server->host, fresh->server->host) != 0 ||
-	    fresh->server->born_ms == other->server->born_ms)
+	    fresh->server->started_unix_ms == other->server->started_unix_ms)
 		return;
 	other->superseded = other->superseded || is_later;
 	fresh->superseded = fresh->superseded || !is_later;
@@ -145,10 +145,10 @@
 	const char *line = strstr(paces, address);
 	double pace = line ? g_ascii_strtod(line + strlen(address), NULL) : 1.0;
 
-	if (pace != target->pace)
+	if (pace != target->slowdown)
 		skh_log(SKH_LOG_INFO, PART, "Pace of a rank.", "server=%s pace=%.1f",
 			target->server->id, pace);
-	target->pace = pace;
+	target->slowdown = pace;
 }
 
 static void set_pace(gpointer id, gpointer value, gpointer context)
@@ -157,7 +157,7 @@
 	follow_pace(value, context);
 }
 
-void skh_backends_set_paces(skh_backends_t *backends, const char *text)
+void skh_backends_set_slowdowns(skh_backends_t *backends, const char *text)
 {
 	g_free(backends->paces);
 	backends->paces = g_strconcat("\n", text, NULL);
@@ -169,14 +169,15 @@
 	skh_target_t *target = g_new0(skh_target_t, 1);
 
 	target->server = skh_server_copy(server);
-	target->front = skh_backends_front(backends, server->service);
-	target->pool = skh_pool_new(backends->loop, server->host, server->port, backends->options);
+	target->target_pool = skh_backends_get_or_create_pool(backends, server->service);
+	target->pool = skh_upstream_pool_new(backends->loop, server->host, server->port,
+					     backends->options);
 	target->references = 1;
-	target->pace = 1.0;
+	target->slowdown = 1.0;
 	target->listed = true;
 	follow_pace(target, backends->paces);
-	g_ptr_array_add(target->front->targets, target);
-	skh_groupgate_joined(&target->front->gate, skh_clock_boot_us());
+	g_ptr_array_add(target->target_pool->targets, target);
+	skh_group_breaker_record_rank_start(&target->target_pool->gate, skh_clock_boot_us());
 	g_hash_table_insert(backends->targets, target->server->id, target);
 	g_hash_table_foreach(backends->targets, note_address, target);
 	skh_log(SKH_LOG_INFO, PART, "Server listed.", "server=%s service=%s address=%s:%u",
@@ -219,12 +220,13 @@
 	if (roster)
 		(void)g_hash_table_foreach_remove(backends->targets, is_gone, (gpointer)roster);
 	for (guint i = 0; routing && i < routing->services->len; i++) {
-		const skh_service_info_t *service = skh_routing_service_at(routing, i);
-		skh_front_t *front = skh_backends_front(backends, service->name);
+		const skh_service_info_t *service = skh_routing_get_service(routing, i);
+		skh_target_pool_t *front = skh_backends_get_or_create_pool(backends, service->name);
 
-		front->lock_step = service->has_engine && service->engine.sets > 0;
+		front->lock_step = service->has_engine && service->engine.expert_sets > 0;
 		front->max_connections = service->max_connections;
-		front->first_ms = service->has_engine ? FIRST_MS_RANK : FIRST_MS_PLAIN;
+		front->typical_first_event_ms =
+			service->has_engine ? FIRST_MS_RANK : FIRST_MS_PLAIN;
 	}
 }
 
@@ -233,16 +235,17 @@
 	return tried && g_ptr_array_find((GPtrArray *)tried, target, NULL);
 }
 
-skh_target_t *skh_front_pick(skh_front_t *front, const GPtrArray *tried, int64_t now_us)
+skh_target_t *skh_target_pool_select(skh_target_pool_t *front, const GPtrArray *tried,
+				     int64_t now_us)
 {
 	g_autofree skh_candidate_t *list = g_new0(skh_candidate_t, front->targets->len + 1);
-	skh_pick_view_t view = { .list = list,
-				 .n = front->targets->len,
-				 .lock_step = front->lock_step,
-				 .overcommit =
-					 front->lock_step ? OVERCOMMIT_RANK : OVERCOMMIT_PLAIN,
-				 .draw = skh_random_u64() >> 1,
-				 .now_us = now_us };
+	skh_selection_view_t view = { .candidates = list,
+				      .n_candidates = front->targets->len,
+				      .lock_step = front->lock_step,
+				      .overcommit =
+					      front->lock_step ? OVERCOMMIT_RANK : OVERCOMMIT_PLAIN,
+				      .random = skh_random_u64() >> 1,
+				      .now_us = now_us };
 	int32_t chosen;
 
 	for (guint i = 0; i < front->targets->len; i++) {
@@ -251,21 +254,23 @@
 		list[i] = (skh_candidate_t){
 			.slots = target->server->slots,
 			.running = target->own_running + target->peers_running,
-			.work = target->own_work,
-			.mean_ms = target->mean_ms,
-			.pace = target->pace,
-			.failing = target->failing,
-			.avoid_till_us = target->avoid_till_us,
-			.full_till_us = target->full_till_us,
+			.expected_tokens = target->expected_tokens,
+			.mean_ms = target->mean_latency_ms,
+			.slowdown = target->slowdown,
+			.failure_ratio = target->failure_ratio,
+			.avoid_until_us = target->avoid_until_us,
+			.full_until_us = target->full_until_us,
 			.excluded = target->server->leaving || target->superseded ||
-				    now_us < target->misplaced_till_us || was_tried(tried, target),
+				    now_us < target->wrong_instance_until_us ||
+				    was_tried(tried, target),
 		};
 	}
-	chosen = skh_pick_server(&view);
-	return chosen == SKH_PICK_NONE ? NULL : g_ptr_array_index(front->targets, (guint)chosen);
+	chosen = skh_select_server(&view);
+	return chosen == SKH_SELECTION_NONE ? NULL
+					    : g_ptr_array_index(front->targets, (guint)chosen);
 }
 
-bool skh_front_has_servers(const skh_front_t *front)
+bool skh_target_pool_has_servers(const skh_target_pool_t *front)
 {
 	for (guint i = 0; i < front->targets->len; i++) {
 		const skh_target_t *target = g_ptr_array_index(front->targets, i);
@@ -276,40 +281,42 @@
 	return false;
 }
 
-static void advance_rate(skh_front_t *front, int64_t now_us)
+static void advance_rate(skh_target_pool_t *front, int64_t now_us)
 {
 	int64_t slot = now_us / RATE_SLOT_US;
 
-	if (slot - front->done_slot > SKH_FRONT_RATE_SLOTS)
-		front->done_slot = slot - SKH_FRONT_RATE_SLOTS;
-	while (front->done_slot < slot) {
-		front->done_slot++;
-		front->done[front->done_slot % SKH_FRONT_RATE_SLOTS] = 0.0;
+	if (slot - front->completed_slot > SKH_TARGET_POOL_RATE_SLOTS)
+		front->completed_slot = slot - SKH_TARGET_POOL_RATE_SLOTS;
+	while (front->completed_slot < slot) {
+		front->completed_slot++;
+		front->completed[front->completed_slot % SKH_TARGET_POOL_RATE_SLOTS] = 0.0;
 	}
 }
 
-double skh_front_rate(const skh_front_t *front, int64_t now_us)
+double skh_target_pool_completion_rate(const skh_target_pool_t *front, int64_t now_us)
 {
 	int64_t slot = now_us / RATE_SLOT_US;
 	double done = 0.0;
 
 	/* The slot that has just begun says little yet. */
-	for (int64_t i = 1; i < SKH_FRONT_RATE_SLOTS; i++) {
+	for (int64_t i = 1; i < SKH_TARGET_POOL_RATE_SLOTS; i++) {
 		int64_t at = slot - i;
 
-		if (at <= front->done_slot && at > front->done_slot - SKH_FRONT_RATE_SLOTS &&
-		    at >= 0)
-			done += front->done[at % SKH_FRONT_RATE_SLOTS];
+		if (at <= front->completed_slot &&
+		    at > front->completed_slot - SKH_TARGET_POOL_RATE_SLOTS && at >= 0)
+			done += front->completed[at % SKH_TARGET_POOL_RATE_SLOTS];
 	}
-	return done * (double)SKH_US_PER_S / (double)(RATE_SLOT_US * (SKH_FRONT_RATE_SLOTS - 1));
+	return done * (double)SKH_US_PER_S /
+	       (double)(RATE_SLOT_US * (SKH_TARGET_POOL_RATE_SLOTS - 1));
 }
 
-bool skh_front_is_lost(const skh_front_t *front, const skh_target_t *target, int64_t now_us)
+bool skh_target_pool_is_rank_lost(const skh_target_pool_t *front, const skh_target_t *target,
+				  int64_t now_us)
 {
-	skh_ranksilence_view_t view = {
+	skh_rank_liveness_view_t view = {
 		.running = target->own_running,
 		.streaming = target->own_streaming,
-		.heard_us = target->heard_us,
+		.last_received_us = target->last_received_us,
 		.busy_since_us = target->busy_since_us,
 		.now_us = now_us,
 	};
@@ -318,32 +325,33 @@
 		const skh_target_t *other = g_ptr_array_index(front->targets, i);
 
 		if (other != target)
-			view.group_heard_us = MAX(view.group_heard_us, other->heard_us);
+			view.group_last_received_us =
+				MAX(view.group_last_received_us, other->last_received_us);
 	}
-	return front->lock_step && skh_ranksilence_is_lost(&view);
+	return front->lock_step && skh_rank_liveness_is_unreachable(&view);
 }
 
-void skh_target_begin(skh_target_t *target, double work, int64_t now_us)
+void skh_target_begin_request(skh_target_t *target, double work, int64_t now_us)
 {
 	if (target->own_running == 0)
 		target->busy_since_us = now_us;
 	target->references++;
 	target->own_running++;
-	target->own_work += work;
+	target->expected_tokens += work;
 }
 
 static void note_failure(skh_target_t *target, skh_outcome_t outcome, int64_t now_us)
 {
-	uint32_t doublings = MIN(target->failures, AVOID_MOST);
+	uint32_t doublings = MIN(target->consecutive_failures, AVOID_MOST);
 
-	target->failing += FAILING_GAIN * (1.0 - target->failing);
-	target->failures++;
+	target->failure_ratio += FAILING_GAIN * (1.0 - target->failure_ratio);
+	target->consecutive_failures++;
 	/* A server that fails part of its requests is used less; a dead one not at all. */
-	if (outcome == SKH_OUTCOME_UNREACHABLE || target->failures > 2)
-		target->avoid_till_us = now_us + (AVOID_US << doublings);
+	if (outcome == SKH_OUTCOME_UNREACHABLE || target->consecutive_failures > 2)
+		target->avoid_until_us = now_us + (AVOID_US << doublings);
 }
 
-void skh_target_avoid(skh_target_t *target, int64_t now_us)
+void skh_target_mark_unreachable(skh_target_t *target, int64_t now_us)
 {
 	note_failure(target, SKH_OUTCOME_UNREACHABLE, now_us);
 }
@@ -352,31 +360,34 @@
 {
 	double took_ms = (double)took_us / (double)SKH_US_PER_MS;
 
-	target->failures = 0;
-	target->avoid_till_us = 0;
-	target->failing -= FAILING_GAIN * target->failing;
+	target->consecutive_failures = 0;
+	target->avoid_until_us = 0;
+	target->failure_ratio -= FAILING_GAIN * target->failure_ratio;
 	if (took_us > 0)
-		target->mean_ms =
-			target->mean_ms > 0.0
-				? target->mean_ms + MEAN_GAIN * (took_ms - target->mean_ms)
+		target->mean_latency_ms =
+			target->mean_latency_ms > 0.0
+				? target->mean_latency_ms +
+					  MEAN_GAIN * (took_ms - target->mean_latency_ms)
 				: took_ms;
-	advance_rate(target->front, now_us);
-	target->front->done[target->front->done_slot % SKH_FRONT_RATE_SLOTS] += 1.0;
+	advance_rate(target->target_pool, now_us);
+	target->target_pool
+		->completed[target->target_pool->completed_slot % SKH_TARGET_POOL_RATE_SLOTS] +=
+		1.0;
 }
 
-void skh_target_end(skh_target_t *target, const skh_target_use_t *use, int64_t now_us)
+void skh_target_end_request(skh_target_t *target, const skh_target_result_t *use, int64_t now_us)
 {
 	target->own_running--;
 	target->own_streaming -= use->streaming;
-	target->own_work -= use->work;
-	if (use->outcome == SKH_OUTCOME_GOOD)
-		note_success(target, use->took_us, now_us);
+	target->expected_tokens -= use->expected_tokens;
+	if (use->outcome == SKH_OUTCOME_SUCCEEDED)
+		note_success(target, use->latency_us, now_us);
 	else if (use->outcome == SKH_OUTCOME_FULL)
-		target->full_till_us =
+		target->full_until_us =
 			now_us + FULL_US + (int64_t)(skh_random_u64() % (uint64_t)FULL_US);
-	else if (use->outcome == SKH_OUTCOME_MISPLACED)
-		target->misplaced_till_us = now_us + MISPLACED_US;
-	else if (use->outcome != SKH_OUTCOME_WITHDRAWN)
+	else if (use->outcome == SKH_OUTCOME_WRONG_INSTANCE)
+		target->wrong_instance_until_us = now_us + MISPLACED_US;
+	else if (use->outcome != SKH_OUTCOME_CANCELED)
 		note_failure(target, use->outcome, now_us);
 	skh_target_unref(target);
 }
@@ -385,7 +396,7 @@
 {
 	if (--target->references > 0)
 		return;
-	skh_pool_free(target->pool);
+	skh_upstream_pool_free(target->pool);
 	skh_server_free(target->server);
 	g_free(target);
 }
--- a/src/balancer.c
+++ b/src/balancer.c
@@ -4,16 +4,16 @@
 #include "admin.h"
 #include "clock.h"
 #include "coordinator.h"
-#include "countfeed.h"
-#include "countpack.h"
+#include "count_reporter.h"
+#include "count_codec.h"
 #include "election.h"
 #include "feed.h"
 #include "log.h"
 #include "metrics.h"
 #include "process.h"
 #include "rankrelay.h"
-#include "rankwatch.h"
-#include "reload.h"
+#include "rank_poller.h"
+#include "settings_watcher.h"
 
 #include <inttypes.h>
 #include <stdlib.h>
@@ -45,22 +45,22 @@
 	uv_loop_t loop;
 	uv_timer_t tick;
 	uv_udp_t udp;
-	skh_pool_options_t pool_options;
+	skh_upstream_pool_options_t pool_options;
 	skh_store_t *store;
 	skh_board_t *board;
 	skh_admin_t *admin;
 	skh_election_t *election;
 	skh_engine_client_t *engine;
-	skh_rankwatch_t *watch;
+	skh_rank_poller_t *watch;
 	skh_rankrelay_t *relay;
-	skh_reload_t *reload;
+	skh_settings_watcher_t *reload;
 	char *notice_key;
 	skh_coordinator_t *coordinator; /* NULL before the engines' shape is known */
 	skh_election_view_t lease;
 	guint offer_next; /* index of the server that is asked next for its rank */
 	uint64_t sender;
 	uint64_t number;
-	skh_countfeed_t *counts; /* NULL before the engines' shape is known */
+	skh_count_reporter_t *counts; /* NULL before the engines' shape is known */
 	int64_t told_us;
 	bool tell_now; /* the rank's state has changed */
 	bool busy;     /* a change of the map is under way here */
@@ -79,35 +79,35 @@
 	balancer_t *balancer = context;
 	skh_election_view_t lease;
 
-	skh_election_look(balancer->election, &lease);
+	skh_election_get_view(balancer->election, &lease);
 	return json_pack("{s:s, s:s, s:s, s:b, s:I, s:s}", "id", balancer->settings->id, "role",
 			 "balancer", "failure_domain", balancer->settings->failure_domain,
-			 "coordinates", lease.holds, "fence", (json_int_t)lease.fence,
-			 "coordinator", lease.coordinator);
+			 "coordinates", lease.is_holder, "fence", (json_int_t)lease.fence,
+			 "coordinator", lease.coordinator_address);
 }
 
-static const skh_admin_ops_t admin_ops = { .is_ready = is_ready, .status = status };
+static const skh_admin_ops_t admin_ops = { .is_ready = is_ready, .get_status = status };
 
 static bool holds_lease(const balancer_t *balancer, int64_t now_us)
 {
-	return balancer->lease.holds && now_us < balancer->lease.holds_till_us;
+	return balancer->lease.is_holder && now_us < balancer->lease.lease_deadline_us;
 }
 
 static void pack_counts(const balancer_t *balancer, Skh__RankReport *message)
 {
-	const skh_engine_shape_t *shape = &balancer->lease.shape;
-	const skh_demand_sample_t *sample = skh_countfeed_sample(balancer->counts);
-	size_t n = (size_t)shape->sets * shape->experts;
+	const skh_engine_spec_t *shape = &balancer->lease.engine_spec;
+	const skh_demand_sample_t *sample = skh_count_reporter_pending_sample(balancer->counts);
+	size_t n = (size_t)shape->expert_sets * shape->experts_per_set;
 
-	message->counts.len = skh_countpack_bytes(n);
+	message->counts.len = skh_count_codec_encoded_size(n);
 	message->counts.data = g_malloc0(message->counts.len + 1);
 	message->n_counts = (uint32_t)n;
 	message->from_pass = sample->from_pass;
 	message->to_pass = sample->to_pass;
-	message->greatest_count = skh_countpack_write(sample->counts, n, message->counts.data);
+	message->greatest_count = skh_count_codec_encode(sample->counts, n, message->counts.data);
 }
 
-static void fill_report(balancer_t *balancer, const skh_rank_news_t *news, bool with_counts,
+static void fill_report(balancer_t *balancer, const skh_rank_snapshot_t *news, bool with_counts,
 			Skh__RankReport *message)
 {
 	const skh_engine_report_t *report = &news->report;
@@ -120,10 +120,10 @@
 	message->epoch = report->epoch;
 	message->pass = report->pass;
 	message->map_version = report->map_version;
-	message->prepared = report->prepared;
-	message->armed = report->armed;
-	message->held = report->held;
-	message->pace = report->pace;
+	message->prepared = report->prepared_version;
+	message->armed = report->armed_version;
+	message->held = report->held_pass;
+	message->pace = report->slowdown;
 	message->sender = balancer->sender;
 	message->number = ++balancer->number;
 	message->relay = (char *)balancer->settings->gossip_listen;
@@ -142,7 +142,7 @@
 	size_t len;
 
 	/* Nobody coordinates, or it is not known who. */
-	if (!skh_address_parse(balancer->lease.coordinator, &to))
+	if (!skh_address_parse(balancer->lease.coordinator_address, &to))
 		return 0;
 	packed = g_malloc(skh__rank_report__get_packed_size(message) + 1);
 	len = skh__rank_report__pack(message, packed);
@@ -162,20 +162,20 @@
 /* This process coordinates: it sees its own rank each time. */
 static void tell_oneself(balancer_t *balancer, int64_t now_us)
 {
-	const skh_rank_news_t *news = skh_rankwatch_news(balancer->watch);
+	const skh_rank_snapshot_t *news = skh_rank_poller_snapshot(balancer->watch);
 	Skh__RankReport message = SKH__RANK_REPORT__INIT;
 
 	if (!news->has_report)
 		return;
 	fill_report(balancer, news, false, &message);
-	skh_coordinator_report(balancer->coordinator, &message, true, now_us);
+	skh_coordinator_handle_report(balancer->coordinator, &message, true, now_us);
 }
 
 /* Tells another process, which coordinates, of the rank. */
 static void tell(balancer_t *balancer, int64_t now_us)
 {
-	const skh_rank_news_t *news = skh_rankwatch_news(balancer->watch);
-	bool with_counts = balancer->counts && skh_countfeed_is_due(balancer->counts, now_us);
+	const skh_rank_snapshot_t *news = skh_rank_poller_snapshot(balancer->watch);
+	bool with_counts = balancer->counts && skh_count_reporter_is_due(balancer->counts, now_us);
 	Skh__RankReport message = SKH__RANK_REPORT__INIT;
 	size_t sent;
 
@@ -190,7 +190,7 @@
 	balancer->tell_now = false;
 	balancer->told_us = now_us;
 	if (balancer->counts)
-		skh_countfeed_told(balancer->counts, sent, with_counts, now_us);
+		skh_count_reporter_record_sent(balancer->counts, sent, with_counts, now_us);
 }
 
 static void on_rank_changed(void *context)
@@ -211,16 +211,16 @@
 	int64_t now_us = skh_clock_boot_us();
 
 	if (coordinates(balancer, now_us))
-		skh_coordinator_sample(balancer->coordinator, sample, now_us);
+		skh_coordinator_handle_sample(balancer->coordinator, sample, now_us);
 	/* Also there: it may lose the lease. */
 	if (balancer->counts)
-		(void)skh_countfeed_look(balancer->counts, sample, now_us);
+		(void)skh_count_reporter_add_sample(balancer->counts, sample, now_us);
 	tell(balancer, now_us);
 }
 
-static const skh_rankwatch_ops_t watch_ops = {
+static const skh_rank_poller_ops_t watch_ops = {
 	.on_change = on_rank_changed,
-	.on_look = on_look,
+	.on_counts = on_look,
 };
 
 static void on_datagram(uv_udp_t *udp, ssize_t n, const uv_buf_t *buffer,
@@ -239,7 +239,8 @@
 		return;
 	}
 	if (strcmp(message->service, balancer->settings->backend_service) == 0)
-		skh_coordinator_report(balancer->coordinator, message, false, skh_clock_boot_us());
+		skh_coordinator_handle_report(balancer->coordinator, message, false,
+					      skh_clock_boot_us());
 	skh__rank_report__free_unpacked(message, NULL);
 }
 
@@ -262,26 +263,28 @@
 		.cost_weight = (double)balancer->settings->cost_weight,
 	};
 
-	if (balancer->coordinator || !balancer->lease.has_shape || balancer->lease.shape.sets == 0)
+	if (balancer->coordinator || !balancer->lease.has_engine_spec ||
+	    balancer->lease.engine_spec.expert_sets == 0)
 		return;
-	skh_rankwatch_set_shape(balancer->watch, &balancer->lease.shape);
-	balancer->counts = skh_countfeed_new(&balancer->lease.shape, BYTES_PER_S, skh_random_u64());
-	balancer->coordinator = skh_coordinator_new(&options, &balancer->lease.shape);
+	skh_rank_poller_set_engine_spec(balancer->watch, &balancer->lease.engine_spec);
+	balancer->counts =
+		skh_count_reporter_new(&balancer->lease.engine_spec, BYTES_PER_S, skh_random_u64());
+	balancer->coordinator = skh_coordinator_new(&options, &balancer->lease.engine_spec);
 }
 
 /* Ranks whose own process never spoke are found in the list of servers. */
 static void find_ranks(balancer_t *balancer, int64_t now_us)
 {
 	bool wanted = balancer->coordinator && holds_lease(balancer, now_us) &&
-		      skh_coordinator_lacks_ranks(balancer->coordinator);
-	GPtrArray *servers = skh_election_servers(balancer->election, wanted);
+		      skh_coordinator_has_unknown_ranks(balancer->coordinator);
+	GPtrArray *servers = skh_election_get_servers(balancer->election, wanted);
 
 	/* In turn, as an entry where nobody answers must not keep the others out. */
 	for (guint i = 0; wanted && i < servers->len; i++) {
 		guint at = balancer->offer_next % servers->len;
 
-		if (!skh_coordinator_offer(balancer->coordinator, g_ptr_array_index(servers, at),
-					   now_us))
+		if (!skh_coordinator_probe_engine(balancer->coordinator,
+						  g_ptr_array_index(servers, at), now_us))
 			break;
 		balancer->offer_next = at + 1;
 	}
@@ -313,14 +316,14 @@
 
 static void close_all(balancer_t *balancer)
 {
-	skh_log(SKH_LOG_INFO, PART, "Planned stop.", "coordinates=%d", balancer->lease.holds);
+	skh_log(SKH_LOG_INFO, PART, "Planned stop.", "coordinates=%d", balancer->lease.is_holder);
 	balancer->stopping = true;
 	uv_stop(&balancer->loop);
 }
 
 static void follow_settings(balancer_t *balancer, int64_t now_us)
 {
-	const skh_settings_t *fresh = skh_reload_look(balancer->reload, now_us);
+	const skh_settings_t *fresh = skh_settings_watcher_poll(balancer->reload, now_us);
 
 	if (!fresh)
 		return;
@@ -333,27 +336,27 @@
 /* Who coordinates from now on knows nothing yet. */
 static void follow_lease(balancer_t *balancer, int64_t now_us)
 {
-	skh_election_look(balancer->election, &balancer->lease);
-	if (strcmp(balancer->coordinated_by, balancer->lease.coordinator) == 0)
+	skh_election_get_view(balancer->election, &balancer->lease);
+	if (strcmp(balancer->coordinated_by, balancer->lease.coordinator_address) == 0)
 		return;
-	(void)g_strlcpy(balancer->coordinated_by, balancer->lease.coordinator,
+	(void)g_strlcpy(balancer->coordinated_by, balancer->lease.coordinator_address,
 			sizeof(balancer->coordinated_by));
 	balancer->tell_now = true;
 	if (balancer->counts)
-		skh_countfeed_hurry(balancer->counts, now_us);
+		skh_count_reporter_expedite(balancer->counts, now_us);
 }
 
 static void follow_pace(balancer_t *balancer, int64_t now_us)
 {
-	const skh_engine_report_t *report = &skh_rankwatch_news(balancer->watch)->report;
+	const skh_engine_report_t *report = &skh_rank_poller_snapshot(balancer->watch)->report;
 	int64_t since_us = 0;
-	int64_t version = skh_rankrelay_prepared(balancer->relay, &since_us);
-	bool copying = version > report->prepared && version > report->map_version &&
+	int64_t version = skh_rankrelay_last_prepared(balancer->relay, &since_us);
+	bool copying = version > report->prepared_version && version > report->map_version &&
 		       now_us - since_us < COPYING_US;
 	bool busy = copying || (coordinates(balancer, now_us) &&
-				skh_coordinator_is_changing(balancer->coordinator));
+				skh_coordinator_is_changing_map(balancer->coordinator));
 
-	skh_rankwatch_set_pace(balancer->watch, busy ? BUSY_REPORT_US : REPORT_US);
+	skh_rank_poller_set_report_period(balancer->watch, busy ? BUSY_REPORT_US : REPORT_US);
 	if (busy != balancer->busy)
 		uv_timer_set_repeat(&balancer->tick, busy ? BUSY_TICK_MS : TICK_MS);
 	balancer->busy = busy;
@@ -372,7 +375,7 @@
 	follow_lease(balancer, now_us);
 	follow_shape(balancer);
 	follow_pace(balancer, now_us);
-	skh_rankwatch_tick(balancer->watch, now_us);
+	skh_rank_poller_tick(balancer->watch, now_us);
 	if (coordinates(balancer, now_us))
 		tell_oneself(balancer, now_us);
 	else
@@ -402,8 +405,8 @@
 
 	const skh_election_options_t options = {
 		.store = balancer->store,
-		.release_store = balancer->dialect->open_store(skh_settings_endpoint(settings, 0),
-							       settings->store_timeout_ms),
+		.release_store = balancer->dialect->open_store(
+			skh_settings_store_endpoint(settings, 0), settings->store_timeout_ms),
 		.dialect = balancer->dialect,
 		.prefix = prefix,
 		.notice_key = balancer->notice_key,
@@ -419,13 +422,13 @@
 	const skh_settings_t *settings = balancer->settings;
 
 	balancer->sender = skh_random_u64();
-	balancer->notice_key = g_strconcat(SKH_NOTICE_PREFIX, settings->backend_service, NULL);
-	balancer->pool_options = (skh_pool_options_t){
-		.attempt_header = "",
+	balancer->notice_key = g_strconcat(SKH_RANK_NOTICE_PREFIX, settings->backend_service, NULL);
+	balancer->pool_options = (skh_upstream_pool_options_t){
+		.attempt_id_header = "",
 		.connect_timeout_us = CONNECT_TIMEOUT_US,
-		.silence_timeout_us = SILENCE_TIMEOUT_US,
-		.max_idle_us = MAX_IDLE_US,
-		.max_idle = 2,
+		.unacked_timeout_us = SILENCE_TIMEOUT_US,
+		.idle_timeout_us = MAX_IDLE_US,
+		.max_idle_connections = 2,
 	};
 	(void)uv_loop_init(&balancer->loop);
 	if (!open_udp(balancer, err))
@@ -433,7 +436,7 @@
 	balancer->engine = skh_engine_client_new(&balancer->loop, settings->engine_address,
 						 &balancer->pool_options);
 	balancer->watch =
-		skh_rankwatch_new(balancer->engine, balancer->dialect, &watch_ops, balancer);
+		skh_rank_poller_new(balancer->engine, balancer->dialect, &watch_ops, balancer);
 	balancer->relay =
 		skh_rankrelay_start(&balancer->loop, settings->gossip_listen, balancer->engine,
 				    balancer->dialect, &balancer->pool_options, err);
@@ -444,7 +447,7 @@
 					  balancer->board, NULL, err);
 	if (!balancer->admin)
 		return false;
-	balancer->store = balancer->dialect->open_store(skh_settings_endpoint(settings, 0),
+	balancer->store = balancer->dialect->open_store(skh_settings_store_endpoint(settings, 0),
 							settings->store_timeout_ms);
 	start_election(balancer, prefix);
 	(void)uv_timer_init(&balancer->loop, &balancer->tick);
@@ -480,6 +483,6 @@
 
 	skh_process_setup(settings);
 	balancer.settings = settings;
-	balancer.reload = skh_reload_new(settings);
+	balancer.reload = skh_settings_watcher_new(settings);
 	return run(&balancer);
 }
--- a/src/batch.c
+++ b/src/batch.c
@@ -7,9 +7,9 @@
 
 /* The writes that are still pending, as one transaction. */
 typedef struct round {
-	skh_compare_t compares[SKH_BATCH_MAX];
-	skh_op_t puts[SKH_BATCH_MAX];
-	skh_op_t reads[SKH_BATCH_MAX];
+	skh_txn_compare_t compares[SKH_BATCH_MAX_WRITES];
+	skh_txn_op_t puts[SKH_BATCH_MAX_WRITES];
+	skh_txn_op_t reads[SKH_BATCH_MAX_WRITES];
 	size_t n;
 } round_t;
 
@@ -21,10 +21,11 @@
 
 		if (write->state != SKH_WRITE_PENDING)
 			continue;
-		round->compares[round->n] = (skh_compare_t){ write->key, write->expected };
+		round->compares[round->n] =
+			(skh_txn_compare_t){ write->key, write->expected_revision };
 		round->puts[round->n] =
-			(skh_op_t){ SKH_OP_PUT, write->key, write->value, write->lease };
-		round->reads[round->n] = (skh_op_t){ SKH_OP_READ, write->key, NULL, 0 };
+			(skh_txn_op_t){ SKH_TXN_OP_PUT, write->key, write->value, write->lease_id };
+		round->reads[round->n] = (skh_txn_op_t){ SKH_TXN_OP_READ, write->key, NULL, 0 };
 		round->n++;
 	}
 }
@@ -50,22 +51,22 @@
 }
 
 /* What is stored tells each pending write whether it was done, lost or is still to do. */
-static void judge_pending(skh_write_t *writes, size_t n_writes, const skh_pairs_t *pairs)
+static void judge_pending(skh_write_t *writes, size_t n_writes, const skh_kv_pairs_t *pairs)
 {
 	for (size_t i = 0; i < n_writes; i++) {
 		skh_write_t *write = &writes[i];
-		const skh_pair_t *pair;
+		const skh_kv_pair_t *pair;
 
 		if (write->state != SKH_WRITE_PENDING)
 			continue;
-		pair = skh_pairs_find(pairs, write->key);
+		pair = skh_kv_pairs_find(pairs, write->key);
 		if (pair && strcmp(pair->value, write->value) == 0) {
 			write->state = SKH_WRITE_DONE;
 			write->mod_revision = pair->mod_revision;
-		} else if ((pair ? pair->mod_revision : 0) != write->expected) {
+		} else if ((pair ? pair->mod_revision : 0) != write->expected_revision) {
 			write->state = SKH_WRITE_CONFLICT;
 			write->mod_revision = pair ? pair->mod_revision : 0;
-			write->found = pair ? g_strdup(pair->value) : NULL;
+			write->found_value = pair ? g_strdup(pair->value) : NULL;
 		}
 	}
 }
@@ -79,7 +80,7 @@
 	if (!store->ops->txn(store, &txn, &result, err))
 		return false;
 	judge_pending(writes, n_writes, &result.pairs);
-	skh_pairs_clear(&result.pairs);
+	skh_kv_pairs_clear(&result.pairs);
 	return true;
 }
 
@@ -107,7 +108,7 @@
 		finish_pending(writes, n_writes, result.pairs.store_revision);
 	else
 		judge_pending(writes, n_writes, &result.pairs);
-	skh_pairs_clear(&result.pairs);
+	skh_kv_pairs_clear(&result.pairs);
 	return true;
 }
 
--- a/src/batch.h
+++ b/src/batch.h
@@ -16,7 +16,7 @@
 extern "C" {
 #endif
 
-#define SKH_BATCH_MAX 64
+#define SKH_BATCH_MAX_WRITES 64
 
 typedef enum skh_write_state {
 	SKH_WRITE_PENDING,
@@ -28,12 +28,12 @@
 /** struct skh_write - one write of a batch; keys in a batch differ */
 typedef struct skh_write {
 	const char *key;
-	const char *value; /* unique to this write */
-	int64_t expected;  /* mod revision that must be stored; 0 for absent */
-	int64_t lease;
+	const char *value;	   /* unique to this write */
+	int64_t expected_revision; /* mod revision that must be stored; 0 for absent */
+	int64_t lease_id;
 	skh_write_state_t state;
 	int64_t mod_revision;
-	char *found; /* owned */
+	char *found_value; /* owned */
 	skh_error_t err;
 } skh_write_t;
 
--- a/src/board.c
+++ b/src/board.c
@@ -13,7 +13,7 @@
 } header_t;
 
 struct skh_board {
-	header_t *sections[SKH_SECTION_COUNT];
+	header_t *sections[SKH_BOARD_SECTION_COUNT];
 };
 
 static void *payload_of(header_t *header)
@@ -48,7 +48,7 @@
 	drop(caa_container_of(rcu, header_t, rcu));
 }
 
-static void publish(skh_board_t *board, skh_section_id_t id, header_t *fresh)
+static void publish(skh_board_t *board, skh_board_section_t id, header_t *fresh)
 {
 	header_t *old = rcu_xchg_pointer(&board->sections[id], fresh);
 
@@ -57,7 +57,7 @@
 }
 
 /* The grace period keeps the count above zero until the lock is released. */
-static void *take(skh_board_t *board, skh_section_id_t id)
+static void *take(skh_board_t *board, skh_board_section_t id)
 {
 	header_t *header;
 
@@ -76,8 +76,8 @@
 
 void skh_board_free(skh_board_t *board)
 {
-	for (int32_t i = 0; i < SKH_SECTION_COUNT; i++)
-		publish(board, (skh_section_id_t)i, NULL);
+	for (int32_t i = 0; i < SKH_BOARD_SECTION_COUNT; i++)
+		publish(board, (skh_board_section_t)i, NULL);
 	rcu_barrier();
 	g_free(board);
 }
@@ -87,13 +87,13 @@
 	skh_config_t *config = payload;
 
 	skh_manifest_unref(config->manifest);
-	g_free(config->by);
+	g_free(config->author);
 	g_free(config->reason);
 }
 
 static void destroy_members(void *payload)
 {
-	skh_members_clear(payload);
+	skh_instances_clear(payload);
 }
 
 static void destroy_routing(void *payload)
@@ -112,7 +112,7 @@
 }
 
 /* The section takes over what @content holds; the struct itself is given up. */
-static void publish_content(skh_board_t *board, skh_section_id_t id, void *content, size_t size,
+static void publish_content(skh_board_t *board, skh_board_section_t id, void *content, size_t size,
 			    void (*destroy)(void *payload))
 {
 	header_t *header = new_section(size, destroy);
@@ -124,56 +124,58 @@
 
 void skh_board_publish_config(skh_board_t *board, skh_config_t *config)
 {
-	publish_content(board, SKH_SECTION_CONFIG, config, sizeof(*config), destroy_config);
+	publish_content(board, SKH_BOARD_SECTION_CONFIG, config, sizeof(*config), destroy_config);
 }
 
-void skh_board_publish_members(skh_board_t *board, skh_members_t *members)
+void skh_board_publish_instances(skh_board_t *board, skh_instances_t *members)
 {
-	publish_content(board, SKH_SECTION_MEMBERS, members, sizeof(*members), destroy_members);
+	publish_content(board, SKH_BOARD_SECTION_INSTANCES, members, sizeof(*members),
+			destroy_members);
 }
 
 void skh_board_publish_routing(skh_board_t *board, skh_routing_t *routing)
 {
-	publish_content(board, SKH_SECTION_ROUTING, routing, sizeof(*routing), destroy_routing);
+	publish_content(board, SKH_BOARD_SECTION_ROUTING, routing, sizeof(*routing),
+			destroy_routing);
 }
 
 void skh_board_publish_roster(skh_board_t *board, skh_roster_t *roster)
 {
-	publish_content(board, SKH_SECTION_ROSTER, roster, sizeof(*roster), destroy_roster);
+	publish_content(board, SKH_BOARD_SECTION_ROSTER, roster, sizeof(*roster), destroy_roster);
 }
 
-const skh_routing_t *skh_board_routing(skh_board_t *board)
+const skh_routing_t *skh_board_acquire_routing(skh_board_t *board)
 {
-	return take(board, SKH_SECTION_ROUTING);
+	return take(board, SKH_BOARD_SECTION_ROUTING);
 }
 
-const skh_roster_t *skh_board_roster(skh_board_t *board)
+const skh_roster_t *skh_board_acquire_roster(skh_board_t *board)
 {
-	return take(board, SKH_SECTION_ROSTER);
+	return take(board, SKH_BOARD_SECTION_ROSTER);
 }
 
-void skh_board_publish_self(skh_board_t *board, skh_self_t self)
+void skh_board_publish_lifecycle(skh_board_t *board, skh_lifecycle_t self)
 {
 	header_t *header = new_section(sizeof(self), destroy_nothing);
 
-	*(skh_self_t *)payload_of(header) = self;
-	publish(board, SKH_SECTION_SELF, header);
+	*(skh_lifecycle_t *)payload_of(header) = self;
+	publish(board, SKH_BOARD_SECTION_LIFECYCLE, header);
 }
 
-const skh_config_t *skh_board_config(skh_board_t *board)
+const skh_config_t *skh_board_acquire_config(skh_board_t *board)
 {
-	return take(board, SKH_SECTION_CONFIG);
+	return take(board, SKH_BOARD_SECTION_CONFIG);
 }
 
-const skh_members_t *skh_board_members(skh_board_t *board)
+const skh_instances_t *skh_board_acquire_instances(skh_board_t *board)
 {
-	return take(board, SKH_SECTION_MEMBERS);
+	return take(board, SKH_BOARD_SECTION_INSTANCES);
 }
 
-skh_self_t skh_board_self(skh_board_t *board)
+skh_lifecycle_t skh_board_get_lifecycle(skh_board_t *board)
 {
-	skh_self_t *section = take(board, SKH_SECTION_SELF);
-	skh_self_t self = section ? *section : (skh_self_t){ SKH_LIFE_STARTING, 0 };
+	skh_lifecycle_t *section = take(board, SKH_BOARD_SECTION_LIFECYCLE);
+	skh_lifecycle_t self = section ? *section : (skh_lifecycle_t){ SKH_LIFECYCLE_STARTING, 0 };
 
 	skh_board_release(section);
 	return self;
@@ -185,9 +187,9 @@
 		drop(header_of(section));
 }
 
-int64_t skh_board_revision(skh_board_t *board)
+int64_t skh_board_config_revision(skh_board_t *board)
 {
-	const skh_config_t *config = skh_board_config(board);
+	const skh_config_t *config = skh_board_acquire_config(board);
 	int64_t revision = config ? config->revision : 0;
 
 	skh_board_release(config);
--- a/src/caller.c
+++ b/src/caller_api.c
@@ -1,4 +1,4 @@
-#include "caller.h"
+#include "caller_api.h"
 
 #include "claim.h"
 #include "clock.h"
@@ -50,12 +50,12 @@
 
 /* The sink that writes an answer to the caller's connection. */
 typedef struct http_sink {
-	skh_sink_t base;
+	skh_response_sink_t base;
 	skh_http_request_t *http;
 	bool begun;
 } http_sink_t;
 
-static bool sink_begin(skh_sink_t *base, int32_t status, const char *content_type)
+static bool sink_begin(skh_response_sink_t *base, int32_t status, const char *content_type)
 {
 	http_sink_t *sink = (http_sink_t *)base;
 
@@ -63,18 +63,18 @@
 	return skh_http_stream_begin(sink->http, status, content_type);
 }
 
-static bool sink_write(skh_sink_t *base, skh_chunk_t bytes)
+static bool sink_write(skh_response_sink_t *base, skh_chunk_t bytes)
 {
 	return skh_http_stream_write(((http_sink_t *)base)->http, bytes);
 }
 
-static bool sink_end(skh_sink_t *base)
+static bool sink_end(skh_response_sink_t *base)
 {
 	return skh_http_stream_end(((http_sink_t *)base)->http);
 }
 
-static bool sink_whole(skh_sink_t *base, int32_t status, const char *content_type, skh_chunk_t body,
-		       bool replayed)
+static bool sink_whole(skh_response_sink_t *base, int32_t status, const char *content_type,
+		       skh_chunk_t body, bool replayed)
 {
 	http_sink_t *sink = (http_sink_t *)base;
 
@@ -83,42 +83,42 @@
 	return skh_http_respond(sink->http, status, content_type, body);
 }
 
-static void sink_fail(skh_sink_t *base, const skh_error_t *err)
+static void sink_fail(skh_response_sink_t *base, const skh_error_t *err)
 {
 	http_sink_t *sink = (http_sink_t *)base;
 	skh_buffer_t event = SKH_BUFFER_INIT;
 
 	if (!sink->begun) {
-		skh_http_problem(sink->http, err);
+		skh_http_respond_problem(sink->http, err);
 		return;
 	}
 	skh_buffer_append_string(&event, "event: error\ndata: ");
-	skh_http_problem_text(err, &event);
+	skh_http_append_problem(err, &event);
 	skh_buffer_append_string(&event, "\n\n");
 	(void)skh_http_stream_write(sink->http, skh_buffer_chunk(&event));
 	skh_http_stream_abort(sink->http);
 	skh_buffer_free(&event);
 }
 
-static const skh_sink_ops_t http_sink_ops = {
+static const skh_response_sink_ops_t http_sink_ops = {
 	.begin = sink_begin,
 	.write = sink_write,
 	.end = sink_end,
-	.whole = sink_whole,
+	.send_complete = sink_whole,
 	.fail = sink_fail,
 };
 
 static bool check_life(intake_t *intake, skh_error_t *err)
 {
-	skh_self_t self = skh_board_self(intake->entry->board);
+	skh_lifecycle_t self = skh_board_get_lifecycle(intake->entry->board);
 
-	if (self.life != SKH_LIFE_STOPPING && intake->config)
+	if (self.state != SKH_LIFECYCLE_STOPPING && intake->config)
 		return true;
 	(void)skh_error_set(err, SKH_NOT_READY, "%s",
 			    intake->config ? "this entry is stopping"
 					   : "no configuration is in force yet");
 	err->retry_at_us = intake->accepted_at_us + STOP_RETRY_US;
-	skh_http_close_after(intake->http);
+	skh_http_disable_keep_alive(intake->http);
 	return false;
 }
 
@@ -185,7 +185,7 @@
 
 static bool check_service(intake_t *intake, skh_error_t *err)
 {
-	if (!skh_customer_may_use(intake->customer, intake->service->name))
+	if (!skh_customer_can_use(intake->customer, intake->service->name))
 		return skh_error_set(err, SKH_FORBIDDEN, "the customer may not use \"%s\"",
 				     intake->service->name);
 	return read_priority(intake, err) && read_deadline(intake, err) && read_key(intake, err);
@@ -194,15 +194,15 @@
 static bool admit(intake_t *intake, skh_error_t *err)
 {
 	skh_entry_t *entry = intake->entry;
-	const skh_members_t *members = skh_board_members(entry->board);
-	size_t entries = members ? skh_members_count_role(members, "entry") : 1;
+	const skh_instances_t *members = skh_board_acquire_instances(entry->board);
+	size_t entries = members ? skh_instances_count_role(members, "entry") : 1;
 	bool admitted;
 
 	skh_board_release(members);
-	g_mutex_lock(&entry->admit_lock);
-	admitted = skh_admit_try(entry->admit, intake->customer, MAX(entries, 1),
-				 skh_clock_now_us(), err);
-	g_mutex_unlock(&entry->admit_lock);
+	g_mutex_lock(&entry->admission_lock);
+	admitted = skh_admission_acquire(entry->admission, intake->customer, MAX(entries, 1),
+					 skh_clock_now_us(), err);
+	g_mutex_unlock(&entry->admission_lock);
 	return admitted;
 }
 
@@ -210,9 +210,9 @@
 {
 	skh_entry_t *entry = intake->entry;
 
-	g_mutex_lock(&entry->admit_lock);
-	skh_admit_done(entry->admit, intake->customer->name);
-	g_mutex_unlock(&entry->admit_lock);
+	g_mutex_lock(&entry->admission_lock);
+	skh_admission_release(entry->admission, intake->customer->name);
+	g_mutex_unlock(&entry->admission_lock);
 }
 
 static bool serve(intake_t *intake, skh_error_t *err)
@@ -221,10 +221,10 @@
 	const char *content_type = skh_http_header(intake->http, "Content-Type");
 	const char *method = skh_http_method(intake->http);
 	skh_error_t result;
-	skh_job_t job = {
+	skh_entry_request_t job = {
 		.request_id = intake->request_id,
 		.customer = intake->customer->name,
-		.class_name = intake->priority->name,
+		.priority_name = intake->priority->name,
 		.priority = (uint32_t)intake->priority->level,
 		.weight = intake->customer->weight,
 		.service = intake->service->name,
@@ -233,9 +233,9 @@
 		.path = intake->path,
 		.content_type = content_type ? content_type : JSON_TYPE,
 		.body = skh_buffer_chunk(&intake->body),
-		.stream = intake->stream,
+		.is_streaming = intake->stream,
 		.idempotent = skh_service_is_idempotent(intake->service, method),
-		.key = intake->key,
+		.idempotency_key = intake->key,
 		.prefix_hash = intake->prefix_hash,
 		.accepted_at_us = intake->accepted_at_us,
 		.deadline_us = intake->deadline_us,
@@ -243,8 +243,8 @@
 
 	if (!admit(intake, err))
 		return false;
-	(void)skh_serve_run(intake->entry->link, intake->entry->quarantine, &job, &sink.base,
-			    &result);
+	(void)skh_serve_request(intake->entry->link, intake->entry->quarantine, &job, &sink.base,
+				&result);
 	release(intake);
 	return true;
 }
@@ -302,7 +302,7 @@
 		const skh_service_t *service = skh_manifest_service_at(manifest, i);
 
 		if (service->kind == SKH_SERVICE_MODEL &&
-		    skh_customer_may_use(intake->customer, service->name))
+		    skh_customer_can_use(intake->customer, service->name))
 			json_array_append_new(data, json_pack("{s:s, s:s, s:s}", "id",
 							      service->model, "object", "model",
 							      "owned_by", service->owner));
@@ -368,7 +368,7 @@
 	       route->handle(intake, err);
 }
 
-void skh_caller_handle(void *context, skh_http_request_t *request)
+void skh_caller_api_handle(void *context, skh_http_request_t *request)
 {
 	skh_entry_t *entry = context;
 	intake_t intake = { .entry = entry, .http = request, .body = SKH_BUFFER_INIT };
@@ -377,17 +377,18 @@
 	g_atomic_int_inc(&entry->in_flight);
 	skh_metrics_add(SKH_COUNT_REQUESTS, 1);
 	intake.accepted_at_us = skh_clock_now_us();
-	intake.config = skh_board_config(entry->board);
+	intake.config = skh_board_acquire_config(entry->board);
 	(void)g_snprintf(intake.request_id, sizeof(intake.request_id), "%016" PRIx64,
 			 skh_random_u64());
 	skh_http_add_header(request, "X-Request-Id", intake.request_id);
 	if (!handle(&intake, &err)) {
 		skh_metrics_add(SKH_COUNT_REFUSED, 1);
-		skh_decisions_note(intake.request_id, intake.customer ? intake.customer->name : "",
-				   intake.service ? intake.service->name : "", NULL, 0, &err);
+		skh_decisions_record(intake.request_id,
+				     intake.customer ? intake.customer->name : "",
+				     intake.service ? intake.service->name : "", NULL, 0, &err);
 		skh_log(SKH_LOG_DEBUG, PART, "Request refused.", "request=%s kind=%s reason=%s",
-			intake.request_id, skh_kind_name(err.kind), err.text);
-		skh_http_problem(request, &err);
+			intake.request_id, skh_error_kind_name(err.kind), err.text);
+		skh_http_respond_problem(request, &err);
 	}
 	skh_board_release(intake.config);
 	skh_buffer_free(&intake.body);
--- a/src/caller.h
+++ b/src/caller_api.h
@@ -1,5 +1,5 @@
-#ifndef SKH_CALLER_H
-#define SKH_CALLER_H
+#ifndef SKH_CALLER_API_H
+#define SKH_CALLER_API_H
 
 /**
  * DOC: Callers' API
@@ -14,8 +14,8 @@
 extern "C" {
 #endif
 
-/** skh_caller_handle() - answer one request of a caller; @context is a &skh_entry_t */
-void skh_caller_handle(void *context, skh_http_request_t *request);
+/** skh_caller_api_handle() - answer one request of a caller; @context is a &skh_entry_t */
+void skh_caller_api_handle(void *context, skh_http_request_t *request);
 
 #ifdef __cplusplus
 }
--- a/src/claim.c
+++ b/src/claim.c
@@ -16,7 +16,7 @@
 {
 	g_free(claim->owner);
 	g_free(claim->content_type);
-	skh_buffer_free(&claim->answer);
+	skh_buffer_free(&claim->response);
 	*claim = (skh_claim_t){ 0 };
 }
 
@@ -32,8 +32,9 @@
 		json_object_set_new(json, "status", json_integer(claim->status));
 		json_object_set_new(json, "type", json_string(claim->content_type));
 	}
-	if (claim->state == SKH_CLAIM_DONE && claim->has_answer) {
-		g_autofree char *answer = g_base64_encode(claim->answer.data, claim->answer.len);
+	if (claim->state == SKH_CLAIM_DONE && claim->has_response) {
+		g_autofree char *answer =
+			g_base64_encode(claim->response.data, claim->response.len);
 
 		json_object_set_new(json, "answer", json_string(answer));
 	}
@@ -63,11 +64,11 @@
 	gsize len = 0;
 	guchar *bytes;
 
-	claim->has_answer = text != NULL;
+	claim->has_response = text != NULL;
 	if (!text || !*text)
 		return;
 	bytes = g_base64_decode(text, &len);
-	skh_buffer_append(&claim->answer, skh_chunk_make(bytes, len));
+	skh_buffer_append(&claim->response, skh_chunk_make(bytes, len));
 	g_free(bytes);
 }
 
@@ -93,19 +94,20 @@
 	return true;
 }
 
-skh_claim_verdict_t skh_claim_judge(const skh_claim_t *found, const char *owner, uint64_t body_hash)
+skh_claim_decision_t skh_claim_decide(const skh_claim_t *found, const char *owner,
+				      uint64_t body_hash)
 {
 	if (strcmp(found->owner, owner) == 0)
-		return SKH_CLAIM_IS_MINE;
+		return SKH_CLAIM_DECISION_OWN_CLAIM;
 	if (found->body_hash != body_hash)
-		return SKH_CLAIM_IS_REUSED;
+		return SKH_CLAIM_DECISION_KEY_REUSED;
 	switch (found->state) {
 	case SKH_CLAIM_DONE:
-		return SKH_CLAIM_IS_DONE;
+		return SKH_CLAIM_DECISION_REPLAY;
 	case SKH_CLAIM_NOT_RUN:
-		return SKH_CLAIM_IS_FREE;
+		return SKH_CLAIM_DECISION_REPLACE;
 	default:
-		return SKH_CLAIM_IS_UNFINISHED;
+		return SKH_CLAIM_DECISION_OUTCOME_UNKNOWN;
 	}
 }
 
@@ -140,17 +142,17 @@
 		return skh_error_set(err, SKH_BAD_REQUEST,
 				     "Idempotency-Key must be a UUID of version 7");
 	age_ms = now_unix_ms - uuid_time_ms(key);
-	if (age_ms > SKH_CLAIM_HORIZON_MS)
+	if (age_ms > SKH_CLAIM_MAX_KEY_AGE_MS)
 		return skh_error_set(err, SKH_KEY_EXPIRED,
 				     "the key is older than the %" PRId64
 				     " hours that records last",
-				     SKH_CLAIM_HORIZON_MS / 3600000);
-	if (age_ms < -SKH_CLAIM_SKEW_MS)
+				     SKH_CLAIM_MAX_KEY_AGE_MS / 3600000);
+	if (age_ms < -SKH_CLAIM_MAX_CLOCK_SKEW_MS)
 		return skh_error_set(err, SKH_BAD_REQUEST, "the key's time is in the future");
 	return true;
 }
 
-char *skh_claim_path(const char *prefix, const char *customer, const char *key)
+char *skh_claim_store_key(const char *prefix, const char *customer, const char *key)
 {
 	g_autofree char *name = g_strconcat(customer, "\n", key, NULL);
 	g_autofree char *hash = g_compute_checksum_for_string(G_CHECKSUM_SHA256, name, -1);
--- a/src/claim.h
+++ b/src/claim.h
@@ -17,9 +17,9 @@
 extern "C" {
 #endif
 
-#define SKH_CLAIM_HORIZON_MS   ((int64_t)24 * 3600 * 1000)
-#define SKH_CLAIM_SKEW_MS      ((int64_t)5 * 60 * 1000)
-#define SKH_CLAIM_ANSWER_BYTES (64U << 10) /* longest answer that is recorded */
+#define SKH_CLAIM_MAX_KEY_AGE_MS     ((int64_t)24 * 3600 * 1000)
+#define SKH_CLAIM_MAX_CLOCK_SKEW_MS  ((int64_t)5 * 60 * 1000)
+#define SKH_CLAIM_MAX_RESPONSE_BYTES (64U << 10) /* longest answer that is recorded */
 
 typedef enum skh_claim_state {
 	SKH_CLAIM_CLAIMED, /* may be running, may have run */
@@ -34,26 +34,26 @@
 	uint64_t body_hash;
 	int32_t status;
 	char *content_type;
-	skh_buffer_t answer;
-	bool has_answer; /* false when it was too long to record */
+	skh_buffer_t response;
+	bool has_response; /* false when it was too long to record */
 } skh_claim_t;
 
 void skh_claim_clear(skh_claim_t *claim);
 char *skh_claim_encode(const skh_claim_t *claim);
 bool skh_claim_decode(const char *text, skh_claim_t *claim, skh_error_t *err);
 
-/** enum skh_claim_verdict - what a request may do */
-typedef enum skh_claim_verdict {
-	SKH_CLAIM_IS_MINE,
-	SKH_CLAIM_IS_FREE,	 /* the record says that nothing ran: it may be replaced */
-	SKH_CLAIM_IS_DONE,	 /* give the recorded answer again */
-	SKH_CLAIM_IS_UNFINISHED, /* another attempt may be running or have run */
-	SKH_CLAIM_IS_REUSED	 /* the same key with another body */
-} skh_claim_verdict_t;
+/** enum skh_claim_decision - what a request may do */
+typedef enum skh_claim_decision {
+	SKH_CLAIM_DECISION_OWN_CLAIM,
+	SKH_CLAIM_DECISION_REPLACE, /* the record says that nothing ran: it may be replaced */
+	SKH_CLAIM_DECISION_REPLAY,  /* give the recorded answer again */
+	SKH_CLAIM_DECISION_OUTCOME_UNKNOWN, /* another attempt may be running or have run */
+	SKH_CLAIM_DECISION_KEY_REUSED	    /* the same key with another body */
+} skh_claim_decision_t;
 
-/** skh_claim_judge() - what @found means for a request of @owner with @body_hash */
-skh_claim_verdict_t skh_claim_judge(const skh_claim_t *found, const char *owner,
-				    uint64_t body_hash);
+/** skh_claim_decide() - what @found means for a request of @owner with @body_hash */
+skh_claim_decision_t skh_claim_decide(const skh_claim_t *found, const char *owner,
+				      uint64_t body_hash);
 
 /**
  * skh_claim_check_key() - whether @key may still be claimed
@@ -64,8 +64,8 @@
  */
 bool skh_claim_check_key(const char *key, int64_t now_unix_ms, skh_error_t *err);
 
-/** skh_claim_path() - where the record of @customer's @key stands; free with g_free() */
-char *skh_claim_path(const char *prefix, const char *customer, const char *key);
+/** skh_claim_store_key() - where the record of @customer's @key stands; free with g_free() */
+char *skh_claim_store_key(const char *prefix, const char *customer, const char *key);
 
 #ifdef __cplusplus
 }
--- a/src/backlog.c
+++ b/src/claim_backlog.c
@@ -1,4 +1,4 @@
-#include "backlog.h"
+#include "claim_backlog.h"
 
 #include "clock.h"
 #include "wire.h"
@@ -8,7 +8,7 @@
 
 #define RETRY_US   (2 * SKH_US_PER_S)
 #define MAX_ITEMS  4096
-#define GIVE_UP_US (SKH_CLAIM_HORIZON_MS * SKH_US_PER_MS)
+#define GIVE_UP_US (SKH_CLAIM_MAX_KEY_AGE_MS * SKH_US_PER_MS)
 #define NEVER	   INT64_MAX
 
 typedef struct item {
@@ -21,7 +21,7 @@
 	int64_t give_up_us;
 } item_t;
 
-struct skh_backlog {
+struct skh_claim_backlog {
 	uint64_t n_added;
 	GHashTable *items; /* id -> item_t */
 };
@@ -36,29 +36,29 @@
 	g_free(item);
 }
 
-skh_backlog_t *skh_backlog_new(void)
+skh_claim_backlog_t *skh_claim_backlog_new(void)
 {
-	skh_backlog_t *backlog = g_new0(skh_backlog_t, 1);
+	skh_claim_backlog_t *backlog = g_new0(skh_claim_backlog_t, 1);
 
 	backlog->items = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_item);
 	return backlog;
 }
 
-void skh_backlog_free(skh_backlog_t *backlog)
+void skh_claim_backlog_free(skh_claim_backlog_t *backlog)
 {
 	g_hash_table_unref(backlog->items);
 	g_free(backlog);
 }
 
-void skh_backlog_add(skh_backlog_t *backlog, const char *path, const skh_claim_t *claim,
-		     int64_t expected, int64_t now_us)
+void skh_claim_backlog_add(skh_claim_backlog_t *backlog, const char *path, const skh_claim_t *claim,
+			   int64_t expected, int64_t now_us)
 {
 	item_t *item;
 
 	if (g_hash_table_size(backlog->items) >= MAX_ITEMS)
 		return;
 	item = g_new0(item_t, 1);
-	item->id = SKH_WIRE_RESERVED_ATTEMPT | ++backlog->n_added;
+	item->id = SKH_WIRE_LOCAL_TRANSFER_BIT | ++backlog->n_added;
 	item->path = g_strdup(path);
 	item->owner = g_strdup(claim->owner);
 	item->value = skh_claim_encode(claim);
@@ -68,7 +68,8 @@
 	g_hash_table_insert(backlog->items, &item->id, item);
 }
 
-bool skh_backlog_due(skh_backlog_t *backlog, int64_t now_us, skh_backlog_write_t *write)
+bool skh_claim_backlog_next_due(skh_claim_backlog_t *backlog, int64_t now_us,
+				skh_claim_backlog_write_t *write)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -84,18 +85,19 @@
 			continue;
 		}
 		item->due_us = NEVER;
-		*write = (skh_backlog_write_t){ item->id, item->path, item->value, item->expected };
+		*write = (skh_claim_backlog_write_t){ item->id, item->path, item->value,
+						      item->expected };
 		return true;
 	}
 	return false;
 }
 
-void skh_backlog_written(skh_backlog_t *backlog, uint64_t id)
+void skh_claim_backlog_mark_written(skh_claim_backlog_t *backlog, uint64_t id)
 {
 	g_hash_table_remove(backlog->items, &id);
 }
 
-void skh_backlog_failed(skh_backlog_t *backlog, uint64_t id, int64_t now_us)
+void skh_claim_backlog_mark_failed(skh_claim_backlog_t *backlog, uint64_t id, int64_t now_us)
 {
 	item_t *item = g_hash_table_lookup(backlog->items, &id);
 
@@ -115,8 +117,8 @@
 	return open;
 }
 
-void skh_backlog_conflict(skh_backlog_t *backlog, uint64_t id, const char *found,
-			  int64_t mod_revision, int64_t now_us)
+void skh_claim_backlog_resolve_conflict(skh_claim_backlog_t *backlog, uint64_t id,
+					const char *found, int64_t mod_revision, int64_t now_us)
 {
 	item_t *item = g_hash_table_lookup(backlog->items, &id);
 
@@ -130,7 +132,7 @@
 	item->due_us = now_us;
 }
 
-size_t skh_backlog_count(const skh_backlog_t *backlog)
+size_t skh_claim_backlog_count(const skh_claim_backlog_t *backlog)
 {
 	return g_hash_table_size(backlog->items);
 }
--- a/src/claimer.c
+++ b/src/claim_writer.c
@@ -1,4 +1,4 @@
-#include "claimer.h"
+#include "claim_writer.h"
 
 #include "clock.h"
 #include "lease.h"
@@ -14,7 +14,8 @@
 #define PART	       "claimer"
 #define LEASE_PERIOD_S 600
 /* A record must outlast the last moment at which its key is accepted. */
-#define RECORD_HOLD_S (SKH_CLAIM_HORIZON_MS / SKH_MS_PER_S + 4 * SKH_CLAIM_SKEW_MS / SKH_MS_PER_S)
+#define RECORD_HOLD_S                                                                              \
+	(SKH_CLAIM_MAX_KEY_AGE_MS / SKH_MS_PER_S + 4 * SKH_CLAIM_MAX_CLOCK_SKEW_MS / SKH_MS_PER_S)
 
 typedef struct submitted {
 	uint64_t id;
@@ -23,14 +24,14 @@
 	int64_t expected;
 } submitted_t;
 
-struct skh_claimer {
+struct skh_claim_writer {
 	skh_store_t *store;
 	int64_t interval_us;
 	pthread_t thread;
 	GMutex lock;
 	GCond wake;
 	GQueue queue; /* submitted_t */
-	GQueue done;  /* skh_claim_done_t */
+	GQueue done;  /* skh_claim_result_t */
 	bool stop;
 	int event_fd;
 	skh_period_lease_t lease; /* claimer thread only */
@@ -45,25 +46,25 @@
 	g_free(submitted);
 }
 
-void skh_claim_done_free(skh_claim_done_t *done)
+void skh_claim_result_free(skh_claim_result_t *done)
 {
-	g_free(done->found);
+	g_free(done->found_value);
 	g_free(done);
 }
 
 static void free_done(gpointer item)
 {
-	skh_claim_done_free(item);
+	skh_claim_result_free(item);
 }
 
 /* Takes queued writes of differing keys; a second write of a key waits for the first. */
-static size_t take_batch(skh_claimer_t *claimer, submitted_t **batch)
+static size_t take_batch(skh_claim_writer_t *claimer, submitted_t **batch)
 {
 	g_autoptr(GHashTable) keys = g_hash_table_new(g_str_hash, g_str_equal);
 	GList *item = claimer->queue.head;
 	size_t n = 0;
 
-	while (item && n < SKH_BATCH_MAX) {
+	while (item && n < SKH_BATCH_MAX_WRITES) {
 		GList *next = item->next;
 		submitted_t *submitted = item->data;
 
@@ -76,18 +77,18 @@
 	return n;
 }
 
-static void report(skh_claimer_t *claimer, submitted_t **batch, skh_write_t *writes, size_t n)
+static void report(skh_claim_writer_t *claimer, submitted_t **batch, skh_write_t *writes, size_t n)
 {
 	const uint64_t one = 1;
 
 	g_mutex_lock(&claimer->lock);
 	for (size_t i = 0; i < n; i++) {
-		skh_claim_done_t *done = g_new0(skh_claim_done_t, 1);
+		skh_claim_result_t *done = g_new0(skh_claim_result_t, 1);
 
 		done->id = batch[i]->id;
 		done->state = writes[i].state;
 		done->mod_revision = writes[i].mod_revision;
-		done->found = writes[i].found;
+		done->found_value = writes[i].found_value;
 		done->err = writes[i].err;
 		g_queue_push_tail(&claimer->done, done);
 		free_submitted(batch[i]);
@@ -97,9 +98,9 @@
 		skh_log(SKH_LOG_ERROR, PART, "Waking the sidecar failed.", "errno=%d", errno);
 }
 
-static void run_batch(skh_claimer_t *claimer, submitted_t **batch, size_t n)
+static void run_batch(skh_claim_writer_t *claimer, submitted_t **batch, size_t n)
 {
-	skh_write_t writes[SKH_BATCH_MAX] = { 0 };
+	skh_write_t writes[SKH_BATCH_MAX_WRITES] = { 0 };
 	skh_error_t err;
 	bool leased =
 		skh_period_lease_ensure(&claimer->lease, claimer->store, skh_clock_now_us(), &err);
@@ -107,8 +108,8 @@
 	for (size_t i = 0; i < n; i++) {
 		writes[i].key = batch[i]->key;
 		writes[i].value = batch[i]->value;
-		writes[i].expected = batch[i]->expected;
-		writes[i].lease = claimer->lease.id;
+		writes[i].expected_revision = batch[i]->expected;
+		writes[i].lease_id = claimer->lease.id;
 		if (leased)
 			continue;
 		writes[i].state = SKH_WRITE_FAILED;
@@ -124,8 +125,8 @@
 
 static void *run(void *argument)
 {
-	skh_claimer_t *claimer = argument;
-	submitted_t *batch[SKH_BATCH_MAX];
+	skh_claim_writer_t *claimer = argument;
+	submitted_t *batch[SKH_BATCH_MAX_WRITES];
 
 	for (;;) {
 		size_t n;
@@ -142,14 +143,14 @@
 	}
 }
 
-skh_claimer_t *skh_claimer_start(skh_store_t *store, int64_t interval_us)
+skh_claim_writer_t *skh_claim_writer_start(skh_store_t *store, int64_t interval_us)
 {
-	skh_claimer_t *claimer = g_new0(skh_claimer_t, 1);
+	skh_claim_writer_t *claimer = g_new0(skh_claim_writer_t, 1);
 
 	claimer->store = store;
 	claimer->interval_us = interval_us;
 	claimer->lease.period_s = LEASE_PERIOD_S;
-	claimer->lease.hold_s = RECORD_HOLD_S;
+	claimer->lease.min_ttl_s = RECORD_HOLD_S;
 	claimer->event_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	g_mutex_init(&claimer->lock);
 	g_cond_init(&claimer->wake);
@@ -159,7 +160,7 @@
 	return claimer;
 }
 
-void skh_claimer_stop(skh_claimer_t *claimer)
+void skh_claim_writer_stop(skh_claim_writer_t *claimer)
 {
 	g_mutex_lock(&claimer->lock);
 	claimer->stop = true;
@@ -174,8 +175,8 @@
 	g_free(claimer);
 }
 
-void skh_claimer_submit(skh_claimer_t *claimer, uint64_t id, const char *key, const char *value,
-			int64_t expected)
+void skh_claim_writer_submit(skh_claim_writer_t *claimer, uint64_t id, const char *key,
+			     const char *value, int64_t expected)
 {
 	submitted_t *submitted = g_new0(submitted_t, 1);
 
@@ -189,14 +190,14 @@
 	g_mutex_unlock(&claimer->lock);
 }
 
-int skh_claimer_fd(const skh_claimer_t *claimer)
+int skh_claim_writer_fd(const skh_claim_writer_t *claimer)
 {
 	return claimer->event_fd;
 }
 
-skh_claim_done_t *skh_claimer_take(skh_claimer_t *claimer)
+skh_claim_result_t *skh_claim_writer_poll_result(skh_claim_writer_t *claimer)
 {
-	skh_claim_done_t *done;
+	skh_claim_result_t *done;
 	uint64_t count;
 
 	g_mutex_lock(&claimer->lock);
--- a/src/clock.c
+++ b/src/clock.c
@@ -34,7 +34,7 @@
 	return (int64_t)now.tv_sec * SKH_MS_PER_S + now.tv_nsec / NS_PER_MS;
 }
 
-void skh_clock_pause(int64_t pause_us, const bool *stop)
+void skh_clock_sleep(int64_t pause_us, const bool *stop)
 {
 	while (pause_us > 0 && !__atomic_load_n(stop, __ATOMIC_ACQUIRE)) {
 		(void)usleep((useconds_t)(pause_us < SLICE_US ? pause_us : SLICE_US));
--- a/src/clock.h
+++ b/src/clock.h
@@ -32,8 +32,8 @@
 /** skh_clock_unix_ms() - wall clock, milliseconds since 1970 (UTC) */
 int64_t skh_clock_unix_ms(void);
 
-/** skh_clock_pause() - let this thread rest for @pause_us, or until @stop is set by another */
-void skh_clock_pause(int64_t pause_us, const bool *stop);
+/** skh_clock_sleep() - let this thread rest for @pause_us, or until @stop is set by another */
+void skh_clock_sleep(int64_t pause_us, const bool *stop);
 
 /** skh_random_u64() - unpredictable number for identifiers and jitter */
 uint64_t skh_random_u64(void);
--- a/src/cmd.c
+++ b/src/cmd.c
@@ -30,10 +30,10 @@
 	return true;
 }
 
-void skh_cmd_print_faults(FILE *out, const char *file, skh_faults_t *faults)
+void skh_cmd_print_validation_errors(FILE *out, const char *file, skh_validation_errors_t *faults)
 {
-	for (size_t i = 0; i < skh_faults_count(faults); i++) {
-		const skh_fault_t *fault = skh_faults_at(faults, i);
+	for (size_t i = 0; i < skh_validation_errors_count(faults); i++) {
+		const skh_validation_error_t *fault = skh_validation_errors_at(faults, i);
 
 		(void)fprintf(out, "%s:%u: %s: %s\n", file, fault->line,
 			      *fault->key ? fault->key : "(document)", fault->reason);
@@ -42,15 +42,15 @@
 
 skh_settings_t *skh_cmd_load_settings(const char *file, skh_role_t role)
 {
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 	skh_settings_t *settings = skh_settings_load(file, role, faults);
 
-	if (skh_faults_count(faults) > 0) {
-		skh_cmd_print_faults(stderr, file, faults);
+	if (skh_validation_errors_count(faults) > 0) {
+		skh_cmd_print_validation_errors(stderr, file, faults);
 		skh_settings_free(settings);
 		settings = NULL;
 	}
-	skh_faults_free(faults);
+	skh_validation_errors_free(faults);
 	return settings;
 }
 
@@ -64,7 +64,7 @@
 	struct arg_end *end = arg_end(4);
 	void *table[] = { file, help, end };
 	skh_settings_t *settings;
-	int status = SKH_EXIT_FAULT;
+	int status = SKH_EXIT_FAILURE;
 
 	if (skh_cmd_parse(argc, argv, table, help, end, summary, &status)) {
 		settings = skh_cmd_load_settings(file->filename[0], role);
--- a/src/cmd.h
+++ b/src/cmd.h
@@ -23,8 +23,8 @@
 bool skh_cmd_parse(int argc, char **argv, void **table, const struct arg_lit *help,
 		   struct arg_end *end, const char *summary, int *status);
 
-/** skh_cmd_print_faults() - one line per fault: FILE:LINE: KEY: REASON */
-void skh_cmd_print_faults(FILE *out, const char *file, skh_faults_t *faults);
+/** skh_cmd_print_validation_errors() - one line per fault: FILE:LINE: KEY: REASON */
+void skh_cmd_print_validation_errors(FILE *out, const char *file, skh_validation_errors_t *faults);
 
 /** skh_cmd_load_settings() - settings without fault, or NULL after printing the faults */
 skh_settings_t *skh_cmd_load_settings(const char *file, skh_role_t role);
--- a/src/cmd_apply.c
+++ b/src/cmd_apply.c
@@ -1,7 +1,7 @@
 #include "apply.h"
 #include "clock.h"
 #include "cmd.h"
-#include "config.h"
+#include "config_watcher.h"
 #include "fleet.h"
 
 #include <inttypes.h>
@@ -29,26 +29,26 @@
 	g_autoptr(GError) fault = NULL;
 	g_autofree char *text = NULL;
 	gsize len = 0;
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 	skh_manifest_t *manifest = NULL;
 
 	if (g_file_get_contents(file, &text, &len, &fault))
 		manifest = skh_manifest_from_toml(skh_chunk_make(text, len), faults);
 	else
-		skh_faults_add(faults, 0, "", "%s", fault->message);
-	skh_cmd_print_faults(stderr, file, faults);
-	skh_faults_free(faults);
+		skh_validation_errors_add(faults, 0, "", "%s", fault->message);
+	skh_cmd_print_validation_errors(stderr, file, faults);
+	skh_validation_errors_free(faults);
 	return manifest;
 }
 
-static size_t count_in_force(const skh_members_t *members, int64_t revision)
+static size_t count_in_force(const skh_instances_t *members, int64_t revision)
 {
-	json_t **statuses = skh_fleet_ask(members);
+	json_t **statuses = skh_fleet_get_statuses(members);
 	size_t count = 0;
 
 	for (size_t i = 0; i < members->count; i++)
 		count += json_integer_value(json_object_get(statuses[i], "revision")) >= revision;
-	skh_fleet_free(statuses, members->count);
+	skh_fleet_free_statuses(statuses, members->count);
 	return count;
 }
 
@@ -56,18 +56,18 @@
 static int64_t newest_in_force(skh_store_t *store, const char *instances_prefix)
 {
 	skh_error_t err;
-	skh_members_t *members = skh_fleet_read(store, instances_prefix, &err);
+	skh_instances_t *members = skh_fleet_read_members(store, instances_prefix, &err);
 	int64_t newest = 0;
 
 	json_t **statuses;
 
 	if (!members)
 		return 0;
-	statuses = skh_fleet_ask(members);
+	statuses = skh_fleet_get_statuses(members);
 	for (size_t i = 0; i < members->count; i++)
 		newest = MAX(newest, json_integer_value(json_object_get(statuses[i], "revision")));
-	skh_fleet_free(statuses, members->count);
-	skh_members_free(members);
+	skh_fleet_free_statuses(statuses, members->count);
+	skh_instances_free(members);
 	return newest;
 }
 
@@ -77,11 +77,12 @@
 
 	while (skh_clock_now_us() < options->wait_by_us) {
 		skh_error_t err;
-		skh_members_t *members = skh_fleet_read(store, options->instances_prefix, &err);
+		skh_instances_t *members =
+			skh_fleet_read_members(store, options->instances_prefix, &err);
 		size_t count = members ? count_in_force(members, revision) : 0;
 		size_t total = members ? members->count : 0;
 
-		skh_members_free(members);
+		skh_instances_free(members);
 		if (count != last)
 			(void)printf("in force at %zu of %zu instances\n", count, total);
 		(void)fflush(stdout);
@@ -91,15 +92,15 @@
 		(void)usleep(POLL_US);
 	}
 	(void)fprintf(stderr, "apply: accepted, but not seen in force everywhere in time\n");
-	return SKH_EXIT_FAULT;
+	return SKH_EXIT_FAILURE;
 }
 
 static int report_failure(const skh_error_t *err)
 {
-	(void)fprintf(stderr, "apply: %s: %s\n", skh_kind_name(err->kind), err->text);
+	(void)fprintf(stderr, "apply: %s: %s\n", skh_error_kind_name(err->kind), err->text);
 	if (err->kind == SKH_CONFLICT)
 		return SKH_EXIT_CONFLICT;
-	return err->kind == SKH_OUTCOME_UNKNOWN ? SKH_EXIT_UNKNOWN : SKH_EXIT_FAULT;
+	return err->kind == SKH_OUTCOME_UNKNOWN ? SKH_EXIT_UNKNOWN : SKH_EXIT_FAILURE;
 }
 
 static int run(const apply_options_t *options)
@@ -113,10 +114,11 @@
 	int status;
 
 	if (!manifest)
-		return SKH_EXIT_FAULT;
+		return SKH_EXIT_FAILURE;
 	store = skh_store_open_etcd(endpoints, STORE_TIMEOUT_MS);
 	floor = newest_in_force(store, options->instances_prefix);
-	if (skh_apply(store, options->prefix, manifest, options->base, floor, &result, &err)) {
+	if (skh_apply_manifest(store, options->prefix, manifest, options->base, floor, &result,
+			       &err)) {
 		if (result.unchanged)
 			(void)printf("revision %" PRId64 " already holds this manifest\n",
 				     result.revision);
--- a/src/cmd_check.c
+++ b/src/cmd_check.c
@@ -5,26 +5,26 @@
 #include <stdio.h>
 #include <string.h>
 
-static int report(const char *file, skh_faults_t *faults)
+static int report(const char *file, skh_validation_errors_t *faults)
 {
-	size_t n = skh_faults_count(faults);
+	size_t n = skh_validation_errors_count(faults);
 
-	skh_cmd_print_faults(stdout, file, faults);
+	skh_cmd_print_validation_errors(stdout, file, faults);
 	if (n > 0)
 		(void)printf("%s: %zu fault%s\n", file, n, n == 1 ? "" : "s");
 	else
 		(void)printf("%s: no faults\n", file);
-	return n > 0 ? SKH_EXIT_FAULT : SKH_EXIT_OK;
+	return n > 0 ? SKH_EXIT_FAILURE : SKH_EXIT_OK;
 }
 
 static int check_settings(const char *file, skh_role_t role)
 {
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 	int status;
 
 	skh_settings_free(skh_settings_load(file, role, faults));
 	status = report(file, faults);
-	skh_faults_free(faults);
+	skh_validation_errors_free(faults);
 	return status;
 }
 
@@ -33,15 +33,15 @@
 	g_autoptr(GError) fault = NULL;
 	g_autofree char *text = NULL;
 	gsize len = 0;
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 	int status;
 
 	if (g_file_get_contents(file, &text, &len, &fault))
 		skh_manifest_unref(skh_manifest_from_toml(skh_chunk_make(text, len), faults));
 	else
-		skh_faults_add(faults, 0, "", "%s", fault->message);
+		skh_validation_errors_add(faults, 0, "", "%s", fault->message);
 	status = report(file, faults);
-	skh_faults_free(faults);
+	skh_validation_errors_free(faults);
 	return status;
 }
 
--- a/src/cmd_status.c
+++ b/src/cmd_status.c
@@ -1,5 +1,5 @@
 #include "cmd.h"
-#include "config.h"
+#include "config_watcher.h"
 #include "fleet.h"
 
 #include <inttypes.h>
@@ -21,7 +21,7 @@
 	return json_integer_value(json_object_get(status, key));
 }
 
-static void print_row(const skh_member_t *member, const json_t *status)
+static void print_row(const skh_instance_t *member, const json_t *status)
 {
 	bool is_entry = strcmp(member->role, "entry") == 0;
 	const char *state = json_is_true(json_object_get(status, "ready")) ? "ready" : "not ready";
@@ -39,20 +39,20 @@
 static int print_fleet(skh_store_t *store, const char *instances_prefix)
 {
 	skh_error_t err;
-	skh_members_t *members = skh_fleet_read(store, instances_prefix, &err);
+	skh_instances_t *members = skh_fleet_read_members(store, instances_prefix, &err);
 	json_t **statuses;
 
 	if (!members) {
-		(void)fprintf(stderr, "status: %s: %s\n", skh_kind_name(err.kind), err.text);
-		return SKH_EXIT_FAULT;
+		(void)fprintf(stderr, "status: %s: %s\n", skh_error_kind_name(err.kind), err.text);
+		return SKH_EXIT_FAILURE;
 	}
 	(void)printf("%-16s %-8s %-16s %-10s %9s %8s %s\n", "INSTANCE", "ROLE", "FAILURE DOMAIN",
 		     "STATE", "REVISION", "RUNNING", "SERVICE");
-	statuses = skh_fleet_ask(members);
+	statuses = skh_fleet_get_statuses(members);
 	for (size_t i = 0; i < members->count; i++)
 		print_row(&members->list[i], statuses[i]);
-	skh_fleet_free(statuses, members->count);
-	skh_members_free(members);
+	skh_fleet_free_statuses(statuses, members->count);
+	skh_instances_free(members);
 	return SKH_EXIT_OK;
 }
 
--- a/src/coordinator.c
+++ b/src/coordinator.c
@@ -1,7 +1,7 @@
 #include "coordinator.h"
 
 #include "clock.h"
-#include "countpack.h"
+#include "count_codec.h"
 #include "demand.h"
 #include "fence.h"
 #include "groupview.h"
@@ -99,15 +99,15 @@
 
 	if (!coordinator->changing)
 		return;
-	if (asked_us > 0 && rank == coordinator->change.deputy)
-		skh_mapchange_contact(&coordinator->change, asked_us);
-	skh_mapchange_report(&coordinator->change, rank, &coordinator->view.ranks[rank].report,
-			     now_us);
+	if (asked_us > 0 && rank == coordinator->change.proxy_rank)
+		skh_mapchange_record_proxy_probe(&coordinator->change, asked_us);
+	skh_mapchange_record_report(&coordinator->change, rank,
+				    &coordinator->view.ranks[rank].report, now_us);
 	send_orders(coordinator, now_us);
 }
 
 skh_coordinator_t *skh_coordinator_new(const skh_coordinator_options_t *options,
-				       const skh_engine_shape_t *shape)
+				       const skh_engine_spec_t *shape)
 {
 	skh_coordinator_t *coordinator = g_new0(skh_coordinator_t, 1);
 	const skh_groupview_options_t view_options = {
@@ -122,7 +122,7 @@
 	for (uint32_t rank = 0; rank < SKH_MAPCHANGE_MAX_RANKS; rank++)
 		coordinator->paces[rank] = 1.0;
 	coordinator->demand = skh_demand_new(shape);
-	coordinator->counts = g_new0(double, (size_t)shape->sets * shape->experts);
+	coordinator->counts = g_new0(double, (size_t)shape->expert_sets * shape->experts_per_set);
 	skh_groupview_init(&coordinator->view, &view_options, shape);
 	return coordinator;
 }
@@ -144,18 +144,18 @@
 
 static void consider(skh_coordinator_t *coordinator, int64_t now_us);
 
-void skh_coordinator_sample(skh_coordinator_t *coordinator, const skh_demand_sample_t *sample,
-			    int64_t now_us)
+void skh_coordinator_handle_sample(skh_coordinator_t *coordinator,
+				   const skh_demand_sample_t *sample, int64_t now_us)
 {
-	skh_demand_news_t news = skh_demand_add(coordinator->demand, sample, now_us);
+	skh_demand_update_t news = skh_demand_add_sample(coordinator->demand, sample, now_us);
 
-	if (news == SKH_DEMAND_SHIFT || news == SKH_DEMAND_BREAK) {
+	if (news == SKH_DEMAND_SHIFTED || news == SKH_DEMAND_SHIFTED_MID_SAMPLE) {
 		skh_log(SKH_LOG_INFO, PART, "Demand shifts.",
 			"after_pass=%" PRId64 " up_to_pass=%" PRId64 " whole=%d", sample->from_pass,
-			sample->to_pass, news == SKH_DEMAND_SHIFT);
+			sample->to_pass, news == SKH_DEMAND_SHIFTED);
 		coordinator->shifted = true;
 	}
-	coordinator->fresh_counts = coordinator->fresh_counts || news != SKH_DEMAND_NONE;
+	coordinator->fresh_counts = coordinator->fresh_counts || news != SKH_DEMAND_IGNORED;
 	if (coordinator->fence != 0)
 		consider(coordinator, now_us);
 }
@@ -163,8 +163,8 @@
 static void take_counts(skh_coordinator_t *coordinator, const Skh__RankReport *message,
 			int64_t now_us)
 {
-	const skh_engine_shape_t *shape = &coordinator->view.shape;
-	size_t n = (size_t)shape->sets * shape->experts;
+	const skh_engine_spec_t *shape = &coordinator->view.engine_spec;
+	size_t n = (size_t)shape->expert_sets * shape->experts_per_set;
 	const skh_demand_sample_t sample = {
 		.counts = coordinator->counts,
 		.epoch = message->epoch,
@@ -172,33 +172,35 @@
 		.to_pass = message->to_pass,
 	};
 
-	if (message->n_counts != n || message->counts.len != skh_countpack_bytes(n))
+	if (message->n_counts != n || message->counts.len != skh_count_codec_encoded_size(n))
 		return;
 	memset(coordinator->counts, 0, n * sizeof(double));
-	skh_countpack_add(message->counts.data, n, message->greatest_count, coordinator->counts);
-	skh_coordinator_sample(coordinator, &sample, now_us);
+	skh_count_codec_decode_add(message->counts.data, n, message->greatest_count,
+				   coordinator->counts);
+	skh_coordinator_handle_sample(coordinator, &sample, now_us);
 }
 
-void skh_coordinator_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
-			    bool own, int64_t now_us)
+void skh_coordinator_handle_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
+				   bool own, int64_t now_us)
 {
-	if (skh_groupview_report(&coordinator->view, message, own, now_us))
+	if (skh_groupview_handle_report(&coordinator->view, message, own, now_us))
 		take_counts(coordinator, message, now_us);
 }
 
-bool skh_coordinator_is_changing(const skh_coordinator_t *coordinator)
+bool skh_coordinator_is_changing_map(const skh_coordinator_t *coordinator)
 {
 	return coordinator->changing;
 }
 
-bool skh_coordinator_lacks_ranks(const skh_coordinator_t *coordinator)
+bool skh_coordinator_has_unknown_ranks(const skh_coordinator_t *coordinator)
 {
-	return skh_groupview_lacks_ranks(&coordinator->view);
+	return skh_groupview_has_unknown_ranks(&coordinator->view);
 }
 
-bool skh_coordinator_offer(skh_coordinator_t *coordinator, const char *address, int64_t now_us)
+bool skh_coordinator_probe_engine(skh_coordinator_t *coordinator, const char *address,
+				  int64_t now_us)
 {
-	return skh_groupview_offer(&coordinator->view, address, now_us);
+	return skh_groupview_probe_engine(&coordinator->view, address, now_us);
 }
 
 /* --- Orders --- */
@@ -214,42 +216,43 @@
 	return names[op];
 }
 
-static skh_order_answer_t answer_of(int32_t status)
+static skh_engine_order_result_t answer_of(int32_t status)
 {
 	switch (status) {
 	case 200:
 	case 202:
-		return SKH_ORDER_ACCEPTED;
+		return SKH_ENGINE_ORDER_ACCEPTED;
 	case 412:
-		return SKH_ORDER_OUTDATED;
+		return SKH_ENGINE_ORDER_FENCED;
 	case 0:
-	case SKH_RANKRELAY_NO_BASE:
+	case SKH_RANKRELAY_STATUS_NO_BASE:
 	case 502:
 	case 503:
 	case 504:
-		return SKH_ORDER_NO_ANSWER;
+		return SKH_ENGINE_ORDER_NO_ANSWER;
 	default:
-		return SKH_ORDER_CONFLICT;
+		return SKH_ENGINE_ORDER_CONFLICT;
 	}
 }
 
 static bool is_by_deputy(const skh_coordinator_t *coordinator, skh_engine_op_t op)
 {
-	return op == SKH_ENGINE_HOLD && coordinator->change.deputy != coordinator->change.own &&
+	return op == SKH_ENGINE_HOLD &&
+	       coordinator->change.proxy_rank != coordinator->change.own_rank &&
 	       !coordinator->holds_itself;
 }
 
 static void note_way(skh_coordinator_t *coordinator, uint32_t rank, int32_t status)
 {
 	way_t *way = &coordinator->ways[rank];
-	bool no_answer = answer_of(status) == SKH_ORDER_NO_ANSWER;
+	bool no_answer = answer_of(status) == SKH_ENGINE_ORDER_NO_ANSWER;
 
-	if (is_by_deputy(coordinator, coordinator->change.ranks[rank].op)) {
+	if (is_by_deputy(coordinator, coordinator->change.ranks[rank].order_op)) {
 		coordinator->holds_itself = no_answer;
 		return;
 	}
 	/* A process that is gone or frozen must not keep its engine from the order. */
-	way->wants_whole = status == SKH_RANKRELAY_NO_BASE;
+	way->wants_whole = status == SKH_RANKRELAY_STATUS_NO_BASE;
 	way->direct = no_answer && !way->wants_whole && !way->direct;
 }
 
@@ -263,22 +266,22 @@
 {
 	skh_coordinator_t *coordinator = context;
 	int64_t now_us = skh_clock_boot_us();
-	skh_order_answer_t answer = answer_of(status);
+	skh_engine_order_result_t answer = answer_of(status);
 	uint32_t rank = tag % SKH_MAPCHANGE_MAX_RANKS;
 
 	(void)body;
 	if (tag != tag_of(coordinator, rank))
 		return;
 	note_way(coordinator, rank, status);
-	if (answer != SKH_ORDER_ACCEPTED)
+	if (answer != SKH_ENGINE_ORDER_ACCEPTED)
 		skh_log(SKH_LOG_INFO, PART, "Order not done.",
 			"rank=%u op=%s status=%d version=%" PRId64 " direct=%d", rank,
-			op_name(coordinator->change.ranks[rank].op), status,
+			op_name(coordinator->change.ranks[rank].order_op), status,
 			coordinator->change.version, coordinator->ways[rank].direct);
 	if (!coordinator->changing)
 		return;
-	skh_mapchange_answer(&coordinator->change, rank, answer, now_us);
-	coordinator->outdated = coordinator->outdated || answer == SKH_ORDER_OUTDATED;
+	skh_mapchange_record_result(&coordinator->change, rank, answer, now_us);
+	coordinator->outdated = coordinator->outdated || answer == SKH_ENGINE_ORDER_FENCED;
 	send_orders(coordinator, now_us);
 }
 
@@ -303,8 +306,8 @@
 {
 	skh_buffer_t body = SKH_BUFFER_INIT;
 	const skh_groupview_t *view = &coordinator->view;
-	const skh_rank_map_t base = { view->ranks[rank].report.map_version,
-				      skh_groupview_map_size(view), view->map };
+	const skh_versioned_map_t base = { view->ranks[rank].report.map_version,
+					   skh_groupview_map_size(view), view->map };
 
 	skh_rankrelay_pack(
 		order, coordinator->ways[rank].wants_whole ? NULL : &base,
@@ -320,16 +323,16 @@
 {
 	const skh_groupview_t *view = &coordinator->view;
 
-	order->map = view->next;
-	order->sets = view->shape.sets;
-	order->ranks = view->n_ranks;
-	order->places = view->shape.placements;
+	order->map = view->next_map;
+	order->n_sets = view->engine_spec.expert_sets;
+	order->n_ranks = view->n_ranks;
+	order->n_slots = view->engine_spec.expert_slots;
 	skh_log(SKH_LOG_DEBUG, PART, "Order sent.",
 		"rank=%u op=%s version=%" PRId64 " pass=%" PRId64, rank, op_name(order->op),
-		order->version, order->pass);
-	skh_metrics_add(SKH_COUNT_ORDERS, 1);
+		order->map_version, order->pass);
+	skh_metrics_add(SKH_COUNT_ENGINE_ORDERS, 1);
 	if (is_by_deputy(coordinator, order->op))
-		send_relayed(coordinator, rank, coordinator->change.deputy, order);
+		send_relayed(coordinator, rank, coordinator->change.proxy_rank, order);
 	else if (view->ranks[rank].relay && !coordinator->ways[rank].direct)
 		send_relayed(coordinator, rank, rank, order);
 	else
@@ -342,11 +345,11 @@
 
 	for (uint32_t rank = 0; coordinator->changing && rank < coordinator->view.n_ranks; rank++) {
 		if (coordinator->view.ranks[rank].engine &&
-		    skh_mapchange_next(&coordinator->change, rank, now_us, &order))
+		    skh_mapchange_next_order(&coordinator->change, rank, now_us, &order))
 			send_order(coordinator, rank, &order);
 	}
-	if (coordinator->changing && skh_mapchange_wants_contact(&coordinator->change))
-		skh_groupview_ask(&coordinator->view, coordinator->change.deputy, now_us);
+	if (coordinator->changing && skh_mapchange_is_proxy_probe_due(&coordinator->change))
+		skh_groupview_poll_rank(&coordinator->view, coordinator->change.proxy_rank, now_us);
 }
 
 /* --- Decisions --- */
@@ -359,23 +362,23 @@
 	for (uint32_t i = 1; i <= view->n_ranks; i++) {
 		uint32_t rank = (coordinator->deputy + i) % view->n_ranks;
 
-		if (rank != view->own && view->ranks[rank].relay &&
-		    now_us - view->ranks[rank].heard_us < DEPUTY_HEARD_US)
+		if (rank != view->own_rank && view->ranks[rank].relay &&
+		    now_us - view->ranks[rank].last_received_us < DEPUTY_HEARD_US)
 			return rank;
 	}
-	return view->own;
+	return view->own_rank;
 }
 
 static void begin_change(skh_coordinator_t *coordinator, int64_t now_us)
 {
 	skh_groupview_t *view = &coordinator->view;
-	int64_t epoch = view->ranks[view->own].report.epoch;
-	int64_t fence =
-		skh_fence_next(&coordinator->fences, coordinator->fence, SKH_MAPCHANGE_FENCES);
+	int64_t epoch = view->ranks[view->own_rank].report.epoch;
+	int64_t fence = skh_fence_reserve(&coordinator->fences, coordinator->fence,
+					  SKH_MAPCHANGE_MAX_FENCES);
 	const skh_mapchange_options_t options = {
 		.n_ranks = view->n_ranks,
-		.own = view->own,
-		.deputy = choose_deputy(coordinator, now_us),
+		.own_rank = view->own_rank,
+		.proxy_rank = choose_deputy(coordinator, now_us),
 		.epoch = epoch,
 		/* Fences only grow, from holder to holder, and so do versions named after them. */
 		.version = fence,
@@ -384,28 +387,29 @@
 
 	skh_mapchange_init(&coordinator->change, &options, now_us);
 	coordinator->change_number++;
-	coordinator->deputy = options.deputy;
+	coordinator->deputy = options.proxy_rank;
 	coordinator->holds_itself = false;
 	view->next_epoch = epoch;
 	view->next_version = fence;
-	view->switched_pass = 0;
+	view->switch_pass = 0;
 	coordinator->changing = true;
 	coordinator->change_since_us = now_us;
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
-		if (view->ranks[rank].reported)
-			skh_mapchange_report(&coordinator->change, rank, &view->ranks[rank].report,
-					     now_us);
+		if (view->ranks[rank].has_report)
+			skh_mapchange_record_report(&coordinator->change, rank,
+						    &view->ranks[rank].report, now_us);
 	}
 	skh_log(SKH_LOG_INFO, PART, "Map change begins.",
 		"version=%" PRId64 " epoch=%" PRId64 " skew_before=%.3f skew_after=%.3f new=%u"
 		" most_new=%u repair=%d",
 		fence, epoch, coordinator->plan.skew_before, coordinator->plan.skew_after,
-		coordinator->plan.n_new, coordinator->plan.most_new, coordinator->repair);
+		coordinator->plan.n_copies, coordinator->plan.max_copies_per_rank,
+		coordinator->repair);
 	send_orders(coordinator, now_us);
 }
 
 /* Experts that a rank can copy in @time_ms; @least at least. */
-static uint32_t copies_in(const skh_engine_shape_t *shape, double time_ms, double least)
+static uint32_t copies_in(const skh_engine_spec_t *shape, double time_ms, double least)
 {
 	double bits = shape->expert_mb * 8.0e6;
 	double copy_ms = shape->link_mbps > 0.0 ? bits / (shape->link_mbps * 1000.0) : 0.0;
@@ -416,9 +420,9 @@
 
 static bool has_short_passes(const skh_groupview_t *view)
 {
-	const skh_engine_shape_t *shape = &view->shape;
-	double full_ms = (double)shape->steps_a_pass *
-			 (shape->step_ms + (double)shape->slots * shape->step_ms_each);
+	const skh_engine_spec_t *shape = &view->engine_spec;
+	double full_ms = (double)shape->steps_per_pass *
+			 (shape->step_ms + (double)shape->slots * shape->step_ms_per_request);
 	double pass_ms = (double)view->pass_us / (double)SKH_US_PER_MS;
 
 	return pass_ms > 0.0 && pass_ms < SHORT_PASS_PART * full_ms;
@@ -427,7 +431,7 @@
 /* Time that a rank takes for its part, 1 is usual. */
 static double pace_of(const skh_coordinator_t *coordinator, uint32_t rank)
 {
-	double pace = coordinator->view.ranks[rank].report.pace;
+	double pace = coordinator->view.ranks[rank].report.slowdown;
 
 	return pace > SLOW_PACE ? pace : 1.0;
 }
@@ -466,23 +470,24 @@
 	const double *shares = skh_demand_shares(coordinator->demand);
 	double skew;
 	bool relief;
-	skh_mapplan_weights_t weights;
+	skh_mapplan_options_t weights;
 
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++)
 		coordinator->paces[rank] = pace_of(coordinator, rank);
-	skew = skh_mapplan_skew(&view->shape, view->n_ranks, shares, coordinator->paces, view->map);
+	skew = skh_mapplan_skew(&view->engine_spec, view->n_ranks, shares, coordinator->paces,
+				view->map);
 	relief = skew > RELIEF_SKEW;
-	weights = (skh_mapplan_weights_t){
-		.quick_target = idle	 ? SKEW_TARGET_IDLE
-				: relief ? RELIEF_TARGET
-					 : SKEW_TARGET,
+	weights = (skh_mapplan_options_t){
+		.greedy_target_skew = idle     ? SKEW_TARGET_IDLE
+				      : relief ? RELIEF_TARGET
+					       : SKEW_TARGET,
 		.skew_weight = coordinator->options.skew_weight,
 		.cost_weight = coordinator->options.cost_weight,
-		.load_cost = LOAD_COST,
-		.most_new = relief ? copies_in(&view->shape, RELIEF_MS, RELIEF_LEAST)
-				   : copies_in(&view->shape, COPY_MS, COPY_LEAST),
-		.quick = relief || skh_groupview_map_size(view) > SEARCH_PLACES,
-		.paces = coordinator->paces,
+		.copy_cost = LOAD_COST,
+		.max_new_per_rank = relief ? copies_in(&view->engine_spec, RELIEF_MS, RELIEF_LEAST)
+					   : copies_in(&view->engine_spec, COPY_MS, COPY_LEAST),
+		.greedy_only = relief || skh_groupview_map_size(view) > SEARCH_PLACES,
+		.slowdowns = coordinator->paces,
 	};
 
 	/* Whether more pays depends on how long passes are now. */
@@ -490,7 +495,7 @@
 		return;
 	if (skew - 1.0 < (idle ? LEAST_GAIN_IDLE : LEAST_GAIN))
 		return;
-	skh_mapplan_make(&view->shape, view->n_ranks, &weights, shares, view->next,
+	skh_mapplan_make(&view->engine_spec, view->n_ranks, &weights, shares, view->next_map,
 			 &coordinator->plan);
 }
 
@@ -498,20 +503,20 @@
 {
 	return (coordinator->fresh_counts || has_pace_changed(coordinator)) &&
 	       (coordinator->shifted || now_us >= coordinator->plan_us) &&
-	       skh_demand_is_known(coordinator->demand, now_us);
+	       skh_demand_has_enough_counts(coordinator->demand, now_us);
 }
 
 static void decide(skh_coordinator_t *coordinator, int64_t now_us)
 {
 	skh_groupview_t *view = &coordinator->view;
 	bool idle = has_short_passes(view);
-	bool repair = coordinator->repair || skh_groupview_is_held(view, now_us);
+	bool repair = coordinator->repair || skh_groupview_is_held_too_long(view, now_us);
 	bool judged = is_plan_due(coordinator, now_us);
 	double gain;
 
 	if (!judged && !repair)
 		return;
-	memcpy(view->next, view->map, skh_groupview_map_size(view) * sizeof(uint32_t));
+	memcpy(view->next_map, view->map, skh_groupview_map_size(view) * sizeof(uint32_t));
 	coordinator->plan = (skh_mapplan_result_t){ 0 };
 	if (judged) {
 		coordinator->fresh_counts = false;
@@ -519,13 +524,13 @@
 		coordinator->plan_us = now_us + PLAN_PAUSE_US;
 		plan(coordinator, idle);
 	}
-	if (!skh_mapplan_is_valid(&view->shape, view->n_ranks, view->next)) {
+	if (!skh_mapplan_is_valid(&view->engine_spec, view->n_ranks, view->next_map)) {
 		skh_log(SKH_LOG_ERROR, PART, "Plan is no map.", "judged=%d", judged);
 		return;
 	}
 	gain = coordinator->plan.skew_before - coordinator->plan.skew_after;
 	if (repair ||
-	    (coordinator->plan.n_new > 0 && gain >= (idle ? LEAST_GAIN_IDLE : LEAST_GAIN)))
+	    (coordinator->plan.n_copies > 0 && gain >= (idle ? LEAST_GAIN_IDLE : LEAST_GAIN)))
 		begin_change(coordinator, now_us);
 }
 
@@ -540,11 +545,12 @@
 
 static void consider(skh_coordinator_t *coordinator, int64_t now_us)
 {
-	if (now_us < coordinator->decide_us || !skh_groupview_is_whole(&coordinator->view, now_us))
+	if (now_us < coordinator->decide_us ||
+	    !skh_groupview_is_complete(&coordinator->view, now_us))
 		return;
 	if (coordinator->changing) {
 		if (!coordinator->shifted || !is_plan_due(coordinator, now_us) ||
-		    !skh_mapchange_may_withdraw(&coordinator->change))
+		    !skh_mapchange_can_withdraw(&coordinator->change))
 			return;
 		withdraw_change(coordinator, now_us);
 	}
@@ -559,13 +565,13 @@
 static void end_change(skh_coordinator_t *coordinator, int64_t now_us)
 {
 	const skh_mapchange_t *change = &coordinator->change;
-	bool done = change->phase == SKH_CHANGE_DONE;
+	bool done = change->phase == SKH_MAPCHANGE_DONE;
 
-	if (!done && change->phase != SKH_CHANGE_FAILED)
+	if (!done && change->phase != SKH_MAPCHANGE_FAILED)
 		return;
 	coordinator->changing = false;
 	if (done)
-		skh_groupview_switched(&coordinator->view, change->pass, now_us);
+		skh_groupview_adopt_next_map(&coordinator->view, change->switch_pass, now_us);
 	/* A rank may be left armed or holding. */
 	coordinator->repair = !done && change->held_since_us != 0;
 	skh_log(SKH_LOG_INFO, PART, done ? "Map changed." : "Map change failed.",
@@ -573,10 +579,10 @@
 		" hold_ms=%" PRId64 " arm_ms=%" PRId64 " go_ms=%" PRId64 " settle_ms=%" PRId64
 		" reason=%s",
 		change->version, (now_us - coordinator->change_since_us) / SKH_US_PER_MS,
-		spent_ms(change, SKH_CHANGE_PREPARE), spent_ms(change, SKH_CHANGE_COPY),
-		spent_ms(change, SKH_CHANGE_HOLD), spent_ms(change, SKH_CHANGE_ARM),
-		spent_ms(change, SKH_CHANGE_GO), spent_ms(change, SKH_CHANGE_SETTLE),
-		done ? "-" : change->why);
+		spent_ms(change, SKH_MAPCHANGE_PREPARE), spent_ms(change, SKH_MAPCHANGE_COPY),
+		spent_ms(change, SKH_MAPCHANGE_HOLD), spent_ms(change, SKH_MAPCHANGE_ARM),
+		spent_ms(change, SKH_MAPCHANGE_GO), spent_ms(change, SKH_MAPCHANGE_SETTLE),
+		done ? "-" : change->cause);
 	skh_metrics_add(done ? SKH_COUNT_MAP_CHANGES : SKH_COUNT_MAP_FAILURES, 1);
 }
 
@@ -600,7 +606,7 @@
 	follow_lease(coordinator, fence, now_us);
 	if (fence == 0)
 		return true;
-	skh_groupview_ask_silent(&coordinator->view, now_us);
+	skh_groupview_poll_silent_ranks(&coordinator->view, now_us);
 	if (coordinator->changing) {
 		skh_mapchange_tick(&coordinator->change, now_us);
 		send_orders(coordinator, now_us);
--- a/src/countpack.c
+++ b/src/count_codec.c
@@ -1,4 +1,4 @@
-#include "countpack.h"
+#include "count_codec.h"
 
 #include <math.h>
 #include <string.h>
@@ -17,11 +17,11 @@
 	return (uint8_t)(step > 0 ? step : 0);
 }
 
-uint32_t skh_countpack_write(const double *counts, size_t n, uint8_t *out)
+uint32_t skh_count_codec_encode(const double *counts, size_t n, uint8_t *out)
 {
 	double greatest = 0.0;
 
-	memset(out, 0, skh_countpack_bytes(n));
+	memset(out, 0, skh_count_codec_encoded_size(n));
 	for (size_t i = 0; i < n; i++)
 		greatest = counts[i] > greatest ? counts[i] : greatest;
 	for (size_t i = 0; i < n; i++) {
@@ -32,7 +32,7 @@
 	return (uint32_t)greatest;
 }
 
-void skh_countpack_add(const uint8_t *packed, size_t n, uint32_t greatest, double *sums)
+void skh_count_codec_decode_add(const uint8_t *packed, size_t n, uint32_t greatest, double *sums)
 {
 	double value[TOP_STEP + 1] = { 0.0 };
 
--- a/src/countfeed.c
+++ b/src/count_reporter.c
@@ -1,4 +1,4 @@
-#include "countfeed.h"
+#include "count_reporter.h"
 
 #include "clock.h"
 
@@ -19,8 +19,8 @@
 #define FEW_WAIT_US   (80 * SKH_US_PER_MS)
 #define FEW_SPREAD_US (80 * SKH_US_PER_MS)
 
-struct skh_countfeed {
-	skh_engine_shape_t shape;
+struct skh_count_reporter {
+	skh_engine_spec_t shape;
 	skh_demand_t *demand; /* this rank's own picture, to see shifts */
 	double *counts;	      /* since the last report or shift, [sets][experts] */
 	skh_demand_sample_t sample;
@@ -34,15 +34,15 @@
 	int64_t due_us; /* at the latest; the steady rhythm, or somebody is in a hurry */
 };
 
-static size_t size_of(const skh_countfeed_t *feed)
+static size_t size_of(const skh_count_reporter_t *feed)
 {
-	return (size_t)feed->shape.sets * feed->shape.experts;
+	return (size_t)feed->shape.expert_sets * feed->shape.experts_per_set;
 }
 
-skh_countfeed_t *skh_countfeed_new(const skh_engine_shape_t *shape, int64_t bytes_a_s,
-				   uint64_t draw)
+skh_count_reporter_t *skh_count_reporter_new(const skh_engine_spec_t *shape, int64_t bytes_a_s,
+					     uint64_t draw)
 {
-	skh_countfeed_t *feed = g_new0(skh_countfeed_t, 1);
+	skh_count_reporter_t *feed = g_new0(skh_count_reporter_t, 1);
 
 	feed->shape = *shape;
 	feed->demand = skh_demand_new(shape);
@@ -56,31 +56,31 @@
 	return feed;
 }
 
-void skh_countfeed_free(skh_countfeed_t *feed)
+void skh_count_reporter_free(skh_count_reporter_t *feed)
 {
 	skh_demand_free(feed->demand);
 	g_free(feed->counts);
 	g_free(feed);
 }
 
-static void clear(skh_countfeed_t *feed)
+static void clear(skh_count_reporter_t *feed)
 {
 	memset(feed->counts, 0, size_of(feed) * sizeof(double));
 	feed->sample.from_pass = 0;
 	feed->sample.to_pass = 0;
 }
 
-skh_demand_news_t skh_countfeed_look(skh_countfeed_t *feed, const skh_demand_sample_t *sample,
-				     int64_t now_us)
+skh_demand_update_t skh_count_reporter_add_sample(skh_count_reporter_t *feed,
+						  const skh_demand_sample_t *sample, int64_t now_us)
 {
-	skh_demand_news_t news = skh_demand_add(feed->demand, sample, now_us);
+	skh_demand_update_t news = skh_demand_add_sample(feed->demand, sample, now_us);
 
-	if (news == SKH_DEMAND_SHIFT || news == SKH_DEMAND_BREAK ||
+	if (news == SKH_DEMAND_SHIFTED || news == SKH_DEMAND_SHIFTED_MID_SAMPLE ||
 	    sample->epoch != feed->sample.epoch) {
 		clear(feed);
 		feed->shifted_us = now_us;
 	}
-	if (news == SKH_DEMAND_BREAK)
+	if (news == SKH_DEMAND_SHIFTED_MID_SAMPLE)
 		return news;
 	if (feed->sample.to_pass == 0)
 		feed->sample.from_pass = sample->from_pass;
@@ -91,38 +91,38 @@
 	return news;
 }
 
-void skh_countfeed_hurry(skh_countfeed_t *feed, int64_t now_us)
+void skh_count_reporter_expedite(skh_count_reporter_t *feed, int64_t now_us)
 {
 	feed->due_us = MIN(feed->due_us, now_us + feed->spread_us);
 }
 
-static double saved_at(const skh_countfeed_t *feed, int64_t now_us)
+static double saved_at(const skh_count_reporter_t *feed, int64_t now_us)
 {
 	double more = feed->bytes_a_s * (double)(now_us - feed->saved_us) / (double)SKH_US_PER_S;
 
 	return MIN(feed->saved_bytes + more, MOST_SAVED_BYTES);
 }
 
-static double choices_of(const skh_countfeed_t *feed)
+static double choices_of(const skh_count_reporter_t *feed)
 {
 	double sum = 0.0;
 
-	for (uint32_t i = 0; i < feed->shape.experts; i++)
+	for (uint32_t i = 0; i < feed->shape.experts_per_set; i++)
 		sum += feed->counts[i];
 	return sum;
 }
 
-static bool is_news(const skh_countfeed_t *feed, double choices, int64_t now_us)
+static bool is_news(const skh_count_reporter_t *feed, double choices, int64_t now_us)
 {
 	int64_t since_us = now_us - feed->shifted_us;
 
 	if (since_us > NEWS_US || now_us - feed->told_us < LEAST_PAUSE_US)
 		return false;
-	return choices >= WORTH_TELLING_PER_EXPERT * (double)feed->shape.experts ||
+	return choices >= WORTH_TELLING_PER_EXPERT * (double)feed->shape.experts_per_set ||
 	       since_us > FEW_WAIT_US + feed->spread_us;
 }
 
-bool skh_countfeed_is_due(const skh_countfeed_t *feed, int64_t now_us)
+bool skh_count_reporter_is_due(const skh_count_reporter_t *feed, int64_t now_us)
 {
 	double choices = choices_of(feed);
 
@@ -131,12 +131,13 @@
 	return now_us >= feed->due_us || is_news(feed, choices, now_us);
 }
 
-const skh_demand_sample_t *skh_countfeed_sample(const skh_countfeed_t *feed)
+const skh_demand_sample_t *skh_count_reporter_pending_sample(const skh_count_reporter_t *feed)
 {
 	return &feed->sample;
 }
 
-void skh_countfeed_told(skh_countfeed_t *feed, size_t bytes, bool with_counts, int64_t now_us)
+void skh_count_reporter_record_sent(skh_count_reporter_t *feed, size_t bytes, bool with_counts,
+				    int64_t now_us)
 {
 	feed->saved_bytes = saved_at(feed, now_us) - (double)bytes;
 	feed->saved_us = now_us;
