--- a/src/culprits.c
+++ b/src/crash_suspects.c
@@ -1,4 +1,4 @@
-#include "culprits.h"
+#include "crash_suspects.h"
 
 #include "buffer.h"
 
@@ -15,26 +15,26 @@
 } loss_t;
 
 typedef struct record {
-	uint64_t crashes[SKH_CULPRITS_BARRED];
+	uint64_t crashes[SKH_CRASH_SUSPECTS_REJECT_CRASHES];
 	uint32_t n_crashes;
 	int64_t until_us;
 } record_t;
 
-struct skh_culprits {
+struct skh_crash_suspects {
 	loss_t losses[MAX_LOSSES]; /* a ring */
 	uint32_t next;
 	GHashTable *records; /* content -> record_t */
 };
 
-skh_culprits_t *skh_culprits_new(void)
+skh_crash_suspects_t *skh_crash_suspects_new(void)
 {
-	skh_culprits_t *culprits = g_new0(skh_culprits_t, 1);
+	skh_crash_suspects_t *culprits = g_new0(skh_crash_suspects_t, 1);
 
 	culprits->records = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	return culprits;
 }
 
-void skh_culprits_free(skh_culprits_t *culprits)
+void skh_crash_suspects_free(skh_crash_suspects_t *culprits)
 {
 	g_hash_table_unref(culprits->records);
 	g_free(culprits);
@@ -45,14 +45,14 @@
 	return skh_chunk_hash(skh_chunk_from_string(server), 0);
 }
 
-void skh_culprits_note(skh_culprits_t *culprits, uint64_t content, const char *server,
-		       int64_t now_us)
+void skh_crash_suspects_record_loss(skh_crash_suspects_t *culprits, uint64_t content,
+				    const char *server, int64_t now_us)
 {
 	culprits->losses[culprits->next] = (loss_t){ content, server_hash(server), now_us };
 	culprits->next = (culprits->next + 1) % MAX_LOSSES;
 }
 
-static record_t *record_of(skh_culprits_t *culprits, uint64_t content, int64_t now_us)
+static record_t *record_of(skh_crash_suspects_t *culprits, uint64_t content, int64_t now_us)
 {
 	const int64_t key = (int64_t)content;
 	record_t *record = g_hash_table_lookup(culprits->records, &key);
@@ -64,7 +64,8 @@
 	return record;
 }
 
-static bool add_crash(skh_culprits_t *culprits, uint64_t content, uint64_t crash, int64_t now_us)
+static bool add_crash(skh_crash_suspects_t *culprits, uint64_t content, uint64_t crash,
+		      int64_t now_us)
 {
 	record_t *record = record_of(culprits, content, now_us);
 
@@ -72,15 +73,15 @@
 		if (record->crashes[i] == crash)
 			return false;
 	}
-	record->until_us = now_us + SKH_CULPRITS_HOLD_US;
-	if (record->n_crashes == SKH_CULPRITS_BARRED)
+	record->until_us = now_us + SKH_CRASH_SUSPECTS_EXPIRY_US;
+	if (record->n_crashes == SKH_CRASH_SUSPECTS_REJECT_CRASHES)
 		return false;
 	record->crashes[record->n_crashes++] = crash;
 	return true;
 }
 
-void skh_culprits_crashed(skh_culprits_t *culprits, const char *server, int64_t now_us,
-			  skh_culprits_fn fn, void *context)
+void skh_crash_suspects_record_crash(skh_crash_suspects_t *culprits, const char *server,
+				     int64_t now_us, skh_crash_suspects_fn fn, void *context)
 {
 	uint64_t hash = server_hash(server);
 
@@ -89,29 +90,30 @@
 		uint64_t crash;
 
 		if (loss->at_us == 0 || loss->server != hash ||
-		    now_us - loss->at_us > SKH_CULPRITS_PROOF_US)
+		    now_us - loss->at_us > SKH_CRASH_SUSPECTS_LOSS_WINDOW_US)
 			continue;
 		/* A server may crash again under its old id; copies lost together count once. */
-		crash = hash + (uint64_t)(loss->at_us / SKH_CULPRITS_PROOF_US);
+		crash = hash + (uint64_t)(loss->at_us / SKH_CRASH_SUSPECTS_LOSS_WINDOW_US);
 		loss->at_us = 0;
 		if (add_crash(culprits, loss->content, crash, now_us) && fn)
 			fn(context, loss->content, crash);
 	}
 }
 
-void skh_culprits_hold(skh_culprits_t *culprits, uint64_t content, uint64_t crash, int64_t now_us)
+void skh_crash_suspects_add_remote_crash(skh_crash_suspects_t *culprits, uint64_t content,
+					 uint64_t crash, int64_t now_us)
 {
 	(void)add_crash(culprits, content, crash, now_us);
 }
 
-void skh_culprits_clear(skh_culprits_t *culprits, uint64_t content)
+void skh_crash_suspects_clear(skh_crash_suspects_t *culprits, uint64_t content)
 {
 	const int64_t key = (int64_t)content;
 
 	(void)g_hash_table_remove(culprits->records, &key);
 }
 
-static uint32_t crashes_of(const skh_culprits_t *culprits, uint64_t content, int64_t now_us)
+static uint32_t crashes_of(const skh_crash_suspects_t *culprits, uint64_t content, int64_t now_us)
 {
 	const int64_t key = (int64_t)content;
 	const record_t *record = g_hash_table_lookup(culprits->records, &key);
@@ -119,12 +121,14 @@
 	return record && now_us < record->until_us ? record->n_crashes : 0;
 }
 
-bool skh_culprits_is_held(const skh_culprits_t *culprits, uint64_t content, int64_t now_us)
+bool skh_crash_suspects_is_retry_blocked(const skh_crash_suspects_t *culprits, uint64_t content,
+					 int64_t now_us)
 {
-	return crashes_of(culprits, content, now_us) >= SKH_CULPRITS_HELD;
+	return crashes_of(culprits, content, now_us) >= SKH_CRASH_SUSPECTS_NO_RETRY_CRASHES;
 }
 
-bool skh_culprits_is_barred(const skh_culprits_t *culprits, uint64_t content, int64_t now_us)
+bool skh_crash_suspects_is_rejected(const skh_crash_suspects_t *culprits, uint64_t content,
+				    int64_t now_us)
 {
-	return crashes_of(culprits, content, now_us) >= SKH_CULPRITS_BARRED;
+	return crashes_of(culprits, content, now_us) >= SKH_CRASH_SUSPECTS_REJECT_CRASHES;
 }
--- a/src/guard.c
+++ b/src/curve_auth.c
@@ -1,4 +1,4 @@
-#include "guard.h"
+#include "curve_auth.h"
 
 #include "log.h"
 #include "wire.h"
@@ -23,7 +23,7 @@
 	ZAP_KEY = 6
 };
 
-struct skh_guard {
+struct skh_curve_auth {
 	void *zap;
 	uint8_t key[KEY_BYTES];
 	pthread_t thread;
@@ -73,7 +73,7 @@
 	return difference == 0;
 }
 
-static bool is_ours(const skh_guard_t *guard, const zap_question_t *question)
+static bool is_ours(const skh_curve_auth_t *guard, const zap_question_t *question)
 {
 	return question->count == ZAP_PARTS && question->len[ZAP_MECHANISM] == strlen("CURVE") &&
 	       memcmp(question->part[ZAP_MECHANISM], "CURVE", strlen("CURVE")) == 0 &&
@@ -85,7 +85,7 @@
 	(void)zmq_send(socket, text, strlen(text), flags);
 }
 
-static void answer(const skh_guard_t *guard, const zap_question_t *question)
+static void answer(const skh_curve_auth_t *guard, const zap_question_t *question)
 {
 	bool good = is_ours(guard, question);
 	size_t id_len = question->count > ZAP_REQUEST_ID ? question->len[ZAP_REQUEST_ID] : 0;
@@ -102,7 +102,7 @@
 
 static void *run(void *argument)
 {
-	skh_guard_t *guard = argument;
+	skh_curve_auth_t *guard = argument;
 	zap_question_t question;
 
 	while (!__atomic_load_n(&guard->stop, __ATOMIC_ACQUIRE)) {
@@ -112,15 +112,15 @@
 	return NULL;
 }
 
-skh_guard_t *skh_guard_start(void *context, const skh_settings_t *settings)
+skh_curve_auth_t *skh_curve_auth_start(void *context, const skh_settings_t *settings)
 {
-	skh_guard_t *guard;
+	skh_curve_auth_t *guard;
 
 	if (!has_keys(settings)) {
 		skh_log(SKH_LOG_WARNING, PART, "Peers are not checked: no keys are set.", "%s", "");
 		return NULL;
 	}
-	guard = g_new0(skh_guard_t, 1);
+	guard = g_new0(skh_curve_auth_t, 1);
 	(void)zmq_z85_decode(guard->key, settings->link_public_key);
 	guard->zap = zmq_socket(context, ZMQ_REP);
 	skh_wire_set_option(guard->zap, ZMQ_RCVTIMEO, STOP_POLL_MS);
@@ -130,7 +130,7 @@
 	return guard;
 }
 
-void skh_guard_stop(skh_guard_t *guard)
+void skh_curve_auth_stop(skh_curve_auth_t *guard)
 {
 	if (!guard)
 		return;
@@ -145,7 +145,7 @@
 	(void)zmq_setsockopt(socket, option, text, strlen(text));
 }
 
-void skh_guard_as_server(void *socket, const skh_settings_t *settings)
+void skh_curve_auth_set_server(void *socket, const skh_settings_t *settings)
 {
 	if (!has_keys(settings))
 		return;
@@ -154,7 +154,7 @@
 	set_text(socket, ZMQ_ZAP_DOMAIN, ZAP_DOMAIN);
 }
 
-void skh_guard_as_client(void *socket, const skh_settings_t *settings)
+void skh_curve_auth_set_client(void *socket, const skh_settings_t *settings)
 {
 	if (!has_keys(settings))
 		return;
--- a/src/decisions.c
+++ b/src/decisions.c
@@ -10,8 +10,8 @@
 	char customer[64];
 	char service[64];
 	char servers[512];
-	skh_kind_t kind;
-	skh_run_t run;
+	skh_error_kind_t kind;
+	skh_run_state_t run;
 	char text[SKH_ERROR_TEXT_BYTES];
 } decision_t;
 
@@ -19,8 +19,8 @@
 static decision_t ring[KEPT];
 static uint64_t n_noted;
 
-void skh_decisions_note(const char *request_id, const char *customer, const char *service,
-			const char *const *servers, size_t n_servers, const skh_error_t *err)
+void skh_decisions_record(const char *request_id, const char *customer, const char *service,
+			  const char *const *servers, size_t n_servers, const skh_error_t *err)
 {
 	decision_t *decision;
 
@@ -35,7 +35,7 @@
 		(void)g_strlcat(decision->servers, servers[i], sizeof(decision->servers));
 	}
 	decision->kind = err->kind;
-	decision->run = err->kind == SKH_OK ? SKH_RUN_RAN : err->run;
+	decision->run = err->kind == SKH_OK ? SKH_RUN_RAN : err->run_state;
 	(void)g_strlcpy(decision->text, err->kind == SKH_OK ? "" : err->text,
 			sizeof(decision->text));
 	g_mutex_unlock(&lock);
@@ -45,8 +45,8 @@
 {
 	return json_pack("{s:s, s:s, s:s, s:s, s:s, s:s, s:s}", "request", decision->request_id,
 			 "customer", decision->customer, "service", decision->service, "servers",
-			 decision->servers, "kind", skh_kind_name(decision->kind), "run",
-			 skh_run_name(decision->run), "reason", decision->text);
+			 decision->servers, "kind", skh_error_kind_name(decision->kind), "run",
+			 skh_run_state_name(decision->run), "reason", decision->text);
 }
 
 json_t *skh_decisions_find(const char *request_id)
--- a/src/demand.c
+++ b/src/demand.c
@@ -37,7 +37,7 @@
 #define UNSEEN_COUNT 0.5
 
 struct skh_demand {
-	skh_engine_shape_t shape;
+	skh_engine_spec_t shape;
 	double *sums;	 /* weighed counts since the last shift, [sets][experts] */
 	double *weights; /* their sum, by set */
 	double *shares;
@@ -50,17 +50,17 @@
 
 static size_t size_of(const skh_demand_t *demand)
 {
-	return (size_t)demand->shape.sets * demand->shape.experts;
+	return (size_t)demand->shape.expert_sets * demand->shape.experts_per_set;
 }
 
-skh_demand_t *skh_demand_new(const skh_engine_shape_t *shape)
+skh_demand_t *skh_demand_new(const skh_engine_spec_t *shape)
 {
 	skh_demand_t *demand = g_new0(skh_demand_t, 1);
 
 	demand->shape = *shape;
 	demand->sums = g_new0(double, size_of(demand));
 	demand->shares = g_new0(double, size_of(demand));
-	demand->weights = g_new0(double, shape->sets);
+	demand->weights = g_new0(double, shape->expert_sets);
 	return demand;
 }
 
@@ -84,7 +84,7 @@
 /* Squared Hellinger distance of one set of a sample from what was counted before, less chance. */
 static double distance_of(const skh_demand_t *demand, uint32_t set, const double *counts, double n)
 {
-	uint32_t experts = demand->shape.experts;
+	uint32_t experts = demand->shape.experts_per_set;
 	const double *sums = demand->sums + (size_t)set * experts;
 	double before = demand->weights[set];
 	double scale = MIN(n, before);
@@ -103,16 +103,17 @@
 static bool find_distance(const skh_demand_t *demand, const skh_demand_sample_t *sample,
 			  double *distance)
 {
-	uint32_t experts = demand->shape.experts;
+	uint32_t experts = demand->shape.experts_per_set;
 
 	*distance = 0.0;
-	for (uint32_t set = 0; set < demand->shape.sets; set++) {
+	for (uint32_t set = 0; set < demand->shape.expert_sets; set++) {
 		const double *counts = sample->counts + (size_t)set * experts;
 		double n = sum_of(counts, experts);
 
 		if (n < LEAST_CHOICES || demand->weights[set] < LEAST_CHOICES)
 			return false;
-		*distance += distance_of(demand, set, counts, n) / (double)demand->shape.sets;
+		*distance +=
+			distance_of(demand, set, counts, n) / (double)demand->shape.expert_sets;
 	}
 	return true;
 }
@@ -133,7 +134,7 @@
 static void restart(skh_demand_t *demand, int64_t epoch, int64_t from_pass, int64_t now_us)
 {
 	memset(demand->sums, 0, size_of(demand) * sizeof(double));
-	memset(demand->weights, 0, demand->shape.sets * sizeof(double));
+	memset(demand->weights, 0, demand->shape.expert_sets * sizeof(double));
 	demand->n_samples = 0;
 	demand->epoch = epoch;
 	demand->from_pass = from_pass;
@@ -142,7 +143,7 @@
 
 static void fade(skh_demand_t *demand, uint32_t set)
 {
-	uint32_t experts = demand->shape.experts;
+	uint32_t experts = demand->shape.experts_per_set;
 
 	if (demand->weights[set] < MEMORY_PER_EXPERT * (double)experts)
 		return;
@@ -153,9 +154,9 @@
 
 static void take_in(skh_demand_t *demand, const skh_demand_sample_t *sample)
 {
-	uint32_t experts = demand->shape.experts;
+	uint32_t experts = demand->shape.experts_per_set;
 
-	for (uint32_t set = 0; set < demand->shape.sets; set++) {
+	for (uint32_t set = 0; set < demand->shape.expert_sets; set++) {
 		const double *counts = sample->counts + (size_t)set * experts;
 		double n = sum_of(counts, experts);
 		double weight = 1.0 / (1.0 + n / (SATURATION_PER_EXPERT * (double)experts));
@@ -167,41 +168,42 @@
 	}
 }
 
-skh_demand_news_t skh_demand_add(skh_demand_t *demand, const skh_demand_sample_t *sample,
-				 int64_t now_us)
+skh_demand_update_t skh_demand_add_sample(skh_demand_t *demand, const skh_demand_sample_t *sample,
+					  int64_t now_us)
 {
 	bool is_later = sample->from_pass > demand->from_pass;
 	bool shifts = false;
 
-	if (sample->epoch < demand->epoch || sum_of(sample->counts, demand->shape.experts) <= 0.0)
-		return SKH_DEMAND_NONE;
+	if (sample->epoch < demand->epoch ||
+	    sum_of(sample->counts, demand->shape.experts_per_set) <= 0.0)
+		return SKH_DEMAND_IGNORED;
 	if (sample->epoch > demand->epoch)
 		restart(demand, sample->epoch, sample->from_pass, now_us);
 	else if (sample->from_pass < demand->from_pass)
-		return SKH_DEMAND_NONE;
+		return SKH_DEMAND_IGNORED;
 	else if (demand->n_samples > 0)
 		shifts = departs(demand, sample);
 	/* It begins as late and differs: it counts some pass of before the shift. */
 	if (shifts && !is_later)
-		return SKH_DEMAND_NONE;
+		return SKH_DEMAND_IGNORED;
 	/* Of several passes the first may be of before, and the next certainly is not. */
 	if (shifts && sample->to_pass > sample->from_pass + 1) {
 		restart(demand, sample->epoch, sample->from_pass + 1, now_us);
-		return SKH_DEMAND_BREAK;
+		return SKH_DEMAND_SHIFTED_MID_SAMPLE;
 	}
 	if (shifts)
 		restart(demand, sample->epoch, sample->from_pass, now_us);
 	take_in(demand, sample);
 	demand->n_samples++;
-	return shifts ? SKH_DEMAND_SHIFT : SKH_DEMAND_FRESH;
+	return shifts ? SKH_DEMAND_SHIFTED : SKH_DEMAND_UPDATED;
 }
 
-bool skh_demand_is_known(const skh_demand_t *demand, int64_t now_us)
+bool skh_demand_has_enough_counts(const skh_demand_t *demand, int64_t now_us)
 {
 	double weight = demand->weights[0];
-	double experts = (double)demand->shape.experts;
+	double experts = (double)demand->shape.experts_per_set;
 
-	for (uint32_t set = 1; set < demand->shape.sets; set++)
+	for (uint32_t set = 1; set < demand->shape.expert_sets; set++)
 		weight = MIN(weight, demand->weights[set]);
 	return weight >= KNOWN_PER_EXPERT * experts ||
 	       (weight >= ROUGH_PER_EXPERT * experts && now_us - demand->since_us > ROUGH_AFTER_US);
@@ -209,7 +211,7 @@
 
 static double share_of(const skh_demand_t *demand, uint32_t set, uint32_t expert)
 {
-	uint32_t experts = demand->shape.experts;
+	uint32_t experts = demand->shape.experts_per_set;
 
 	return (demand->sums[(size_t)set * experts + expert] + UNSEEN_COUNT) /
 	       (demand->weights[set] + UNSEEN_COUNT * (double)experts);
@@ -217,9 +219,9 @@
 
 const double *skh_demand_shares(skh_demand_t *demand)
 {
-	uint32_t experts = demand->shape.experts;
+	uint32_t experts = demand->shape.experts_per_set;
 
-	for (uint32_t set = 0; set < demand->shape.sets; set++) {
+	for (uint32_t set = 0; set < demand->shape.expert_sets; set++) {
 		for (uint32_t i = 0; i < experts; i++)
 			demand->shares[(size_t)set * experts + i] = share_of(demand, set, i);
 	}
--- a/src/demand.h
+++ b/src/demand.h
@@ -27,23 +27,23 @@
 	int64_t to_pass;      /* ... up to the second */
 } skh_demand_sample_t;
 
-/** enum skh_demand_news - what a sample has brought */
-typedef enum skh_demand_news {
-	SKH_DEMAND_NONE,  /* it says nothing, or of before the last shift */
-	SKH_DEMAND_FRESH, /* the shares are newer */
-	SKH_DEMAND_SHIFT, /* demand has shifted, and the shares are of after it */
-	SKH_DEMAND_BREAK  /* demand has shifted amid the sample, and the shares are unknown */
-} skh_demand_news_t;
-
-skh_demand_t *skh_demand_new(const skh_engine_shape_t *shape);
+/** enum skh_demand_update - what a sample has brought */
+typedef enum skh_demand_update {
+	SKH_DEMAND_IGNORED,	      /* it says nothing, or of before the last shift */
+	SKH_DEMAND_UPDATED,	      /* the shares are newer */
+	SKH_DEMAND_SHIFTED,	      /* demand has shifted, and the shares are of after it */
+	SKH_DEMAND_SHIFTED_MID_SAMPLE /* demand has shifted amid the sample, and the shares are unknown */
+} skh_demand_update_t;
+
+skh_demand_t *skh_demand_new(const skh_engine_spec_t *shape);
 void skh_demand_free(skh_demand_t *demand);
 
-/** skh_demand_add() - take in a sample */
-skh_demand_news_t skh_demand_add(skh_demand_t *demand, const skh_demand_sample_t *sample,
-				 int64_t now_us);
+/** skh_demand_add_sample() - take in a sample */
+skh_demand_update_t skh_demand_add_sample(skh_demand_t *demand, const skh_demand_sample_t *sample,
+					  int64_t now_us);
 
-/** skh_demand_is_known() - enough was counted since the last shift to plan a map by it */
-bool skh_demand_is_known(const skh_demand_t *demand, int64_t now_us);
+/** skh_demand_has_enough_counts() - enough was counted since the last shift to plan a map by it */
+bool skh_demand_has_enough_counts(const skh_demand_t *demand, int64_t now_us);
 
 /** skh_demand_shares() - expected, [sets][experts]; a set's sum is 1 */
 const double *skh_demand_shares(skh_demand_t *demand);
--- a/src/node_toml.cc
+++ b/src/doc_node_toml.cc
@@ -1,5 +1,5 @@
-/* The only C++ file of the product: toml++ behind the C header node.h. */
-#include "node.h"
+/* The only C++ file of the product: toml++ behind the C header doc_node.h. */
+#include "doc_node.h"
 
 #include <string>
 #include <string_view>
@@ -8,27 +8,27 @@
 namespace
 {
 
-skh_node_t *convert(const toml::node &source);
+skh_doc_node_t *convert(const toml::node &source);
 
-skh_node_t *convert_table(const toml::table &table)
+skh_doc_node_t *convert_table(const toml::table &table)
 {
-	skh_node_t *node = skh_node_new_table(table.source().begin.line);
+	skh_doc_node_t *node = skh_doc_node_new_table(table.source().begin.line);
 
 	for (auto &&[key, child] : table)
-		skh_node_add(node, std::string(key.str()).c_str(), convert(child));
+		skh_doc_node_add(node, std::string(key.str()).c_str(), convert(child));
 	return node;
 }
 
-skh_node_t *convert_array(const toml::array &array)
+skh_doc_node_t *convert_array(const toml::array &array)
 {
-	skh_node_t *node = skh_node_new_array(array.source().begin.line);
+	skh_doc_node_t *node = skh_doc_node_new_array(array.source().begin.line);
 
 	for (auto &&child : array)
-		skh_node_add(node, nullptr, convert(child));
+		skh_doc_node_add(node, nullptr, convert(child));
 	return node;
 }
 
-skh_node_t *convert(const toml::node &source)
+skh_doc_node_t *convert(const toml::node &source)
 {
 	const uint32_t line = source.source().begin.line;
 
@@ -37,15 +37,15 @@
 	if (const auto *array = source.as_array())
 		return convert_array(*array);
 	if (const auto *text = source.as_string())
-		return skh_node_new_text(text->get().c_str(), line);
+		return skh_doc_node_new_text(text->get().c_str(), line);
 	if (const auto *integer = source.as_integer())
-		return skh_node_new_integer(integer->get(), line);
+		return skh_doc_node_new_integer(integer->get(), line);
 	if (const auto *real = source.as_floating_point())
-		return skh_node_new_real(real->get(), line);
+		return skh_doc_node_new_real(real->get(), line);
 	if (const auto *flag = source.as_boolean())
-		return skh_node_new_bool(flag->get(), line);
+		return skh_doc_node_new_bool(flag->get(), line);
 	/* Dates are not part of any schema; the reader refuses them as text. */
-	return skh_node_new_text("", line);
+	return skh_doc_node_new_text("", line);
 }
 
 /*
@@ -65,7 +65,7 @@
 
 } // namespace
 
-skh_node_t *skh_node_from_toml(skh_chunk_t text, uint32_t *fault_line, skh_error_t *err)
+skh_doc_node_t *skh_doc_node_from_toml(skh_chunk_t text, uint32_t *fault_line, skh_error_t *err)
 {
 	if (!is_ascii(text, fault_line)) {
 		(void)skh_error_set(
--- a/src/downstream.c
+++ b/src/downstream.c
@@ -49,7 +49,7 @@
 	skh_listener_t *listener;
 	GList link;
 	phase_t phase;
-	skh_message_t request;
+	skh_http_message_t request;
 	skh_buffer_t ahead; /* read while the answer was due */
 	void *exchange;
 	int64_t received_us;
@@ -73,7 +73,7 @@
 {
 	skh_caller_conn_t *conn = handle->data;
 
-	skh_message_free(&conn->request);
+	skh_http_message_free(&conn->request);
 	skh_buffer_free(&conn->ahead);
 	g_free(conn);
 }
@@ -95,7 +95,7 @@
 	conn->exchange = NULL;
 	close_conn(conn);
 	if (exchange)
-		conn->listener->ops->on_gone(conn->listener->context, exchange);
+		conn->listener->ops->on_disconnect(conn->listener->context, exchange);
 }
 
 static void on_written(uv_write_t *request, int status)
@@ -111,10 +111,10 @@
 		lose_caller(conn);
 		return;
 	}
-	if (conn->told_slow && !skh_caller_conn_is_slow(conn)) {
+	if (conn->told_slow && !skh_caller_conn_has_write_backlog(conn)) {
 		conn->told_slow = false;
 		if (conn->exchange)
-			conn->listener->ops->on_drained(conn->listener->context, conn->exchange);
+			conn->listener->ops->on_writable(conn->listener->context, conn->exchange);
 	}
 }
 
@@ -142,7 +142,7 @@
 	g_free(write);
 }
 
-void skh_caller_conn_bind(skh_caller_conn_t *conn, void *exchange)
+void skh_caller_conn_set_exchange(skh_caller_conn_t *conn, void *exchange)
 {
 	conn->exchange = exchange;
 }
@@ -152,12 +152,12 @@
 	return conn->received_us;
 }
 
-bool skh_caller_conn_is_slow(const skh_caller_conn_t *conn)
+bool skh_caller_conn_has_write_backlog(const skh_caller_conn_t *conn)
 {
 	return uv_stream_get_write_queue_size((const uv_stream_t *)&conn->tcp) > SLOW_BYTES;
 }
 
-void skh_caller_conn_begin(skh_caller_conn_t *conn, const skh_answer_head_t *head)
+void skh_caller_conn_begin_response(skh_caller_conn_t *conn, const skh_response_head_t *head)
 {
 	skh_buffer_t out = SKH_BUFFER_INIT;
 
@@ -185,7 +185,7 @@
 	if (conn->chunked)
 		skh_buffer_append_string(&out, "\r\n");
 	write_out(conn, &out);
-	conn->told_slow = conn->told_slow || skh_caller_conn_is_slow(conn);
+	conn->told_slow = conn->told_slow || skh_caller_conn_has_write_backlog(conn);
 }
 
 static void on_shutdown(uv_shutdown_t *request, int status)
@@ -211,7 +211,7 @@
 	conn->phase_until_us = skh_clock_boot_us() + conn->listener->limits.idle_timeout_us;
 }
 
-void skh_caller_conn_end(skh_caller_conn_t *conn)
+void skh_caller_conn_end_response(skh_caller_conn_t *conn)
 {
 	skh_buffer_t out = SKH_BUFFER_INIT;
 
@@ -241,24 +241,24 @@
 /* An answer of the connection itself: what was sent is no request, or too slow. */
 static void refuse(skh_caller_conn_t *conn, const skh_error_t *err)
 {
-	skh_answer_head_t head = { .status = skh_kind_http_status(err->kind),
-				   .reason = "Refused",
-				   .headers = "Content-Type: text/plain\r\n" };
+	skh_response_head_t head = { .status = skh_error_kind_http_status(err->kind),
+				     .reason = "Refused",
+				     .headers = "Content-Type: text/plain\r\n" };
 	skh_chunk_t text = skh_chunk_from_string(err->text);
 
 	skh_log(SKH_LOG_INFO, PART, "Request refused.", "kind=%s reason=%s",
-		skh_kind_name(err->kind), err->text);
+		skh_error_kind_name(err->kind), err->text);
 	head.content_length = text.len;
 	conn->keep = false;
-	skh_caller_conn_begin(conn, &head);
+	skh_caller_conn_begin_response(conn, &head);
 	skh_caller_conn_write(conn, text);
 	linger(conn);
 }
 
-static bool on_request_head(void *context, skh_message_t *request)
+static bool on_request_head(void *context, skh_http_message_t *request)
 {
 	skh_caller_conn_t *conn = context;
-	const char *expect = skh_message_header(request, "Expect");
+	const char *expect = skh_http_message_header(request, "Expect");
 	skh_buffer_t out = SKH_BUFFER_INIT;
 
 	if (request->parser.http_major != 1 || request->parser.method == HTTP_CONNECT)
@@ -271,14 +271,14 @@
 	return true;
 }
 
-static const skh_message_ops_t request_ops = { .on_head = on_request_head };
+static const skh_http_message_ops_t request_ops = { .on_head = on_request_head };
 
 static void begin_request(skh_caller_conn_t *conn)
 {
 	conn->phase = PHASE_READING;
 	conn->received_us = skh_clock_boot_us();
 	conn->phase_until_us = conn->received_us + conn->listener->limits.header_timeout_us;
-	skh_message_reset(&conn->request, HTTP_REQUEST, &request_ops, conn);
+	skh_http_message_reset(&conn->request, HTTP_REQUEST, &request_ops, conn);
 	conn->request.max_header_bytes = conn->listener->limits.max_header_bytes;
 	conn->request.max_body_bytes = conn->listener->limits.max_body_bytes;
 }
@@ -287,7 +287,7 @@
 {
 	conn->phase = PHASE_SERVING;
 	conn->phase_until_us = 0;
-	conn->keep = skh_message_keeps_alive(&conn->request);
+	conn->keep = skh_http_message_can_keep_alive(&conn->request);
 	conn->listener->ops->on_request(conn->listener->context, conn, &conn->request);
 }
 
@@ -300,8 +300,8 @@
 
 		if (conn->phase == PHASE_IDLE)
 			begin_request(conn);
-		if (!skh_message_feed(&conn->request, skh_buffer_chunk(&conn->ahead), &used,
-				      &err)) {
+		if (!skh_http_message_feed(&conn->request, skh_buffer_chunk(&conn->ahead), &used,
+					   &err)) {
 			refuse(conn, &err);
 			return;
 		}
@@ -437,7 +437,7 @@
 		listener->limits.idle_timeout_us = DEFAULT_TIMEOUT_US;
 }
 
-void skh_listener_retire(skh_listener_t *listener)
+void skh_listener_drain(skh_listener_t *listener)
 {
 	int64_t now_us = skh_clock_boot_us();
 
@@ -451,7 +451,7 @@
 	}
 }
 
-void skh_listener_turn_away(skh_listener_t *listener, bool away)
+void skh_listener_set_close_after_response(skh_listener_t *listener, bool away)
 {
 	listener->away = away;
 }
@@ -475,7 +475,7 @@
 		lose_caller(item->data);
 }
 
-uint32_t skh_listener_connections(const skh_listener_t *listener)
+uint32_t skh_listener_count_connections(const skh_listener_t *listener)
 {
 	return g_queue_get_length((GQueue *)&listener->connections);
 }
--- a/src/election.c
+++ b/src/election.c
@@ -53,7 +53,7 @@
 {
 	int64_t jitter_us = (int64_t)(skh_random_u64() % (uint64_t)pause_us) / 2;
 
-	skh_clock_pause(pause_us * 3 / 4 + jitter_us, &election->stop);
+	skh_clock_sleep(pause_us * 3 / 4 + jitter_us, &election->stop);
 }
 
 static void fail(const char *what, const skh_error_t *err)
@@ -65,27 +65,27 @@
 static void set_coordinator(skh_election_t *election, const char *value)
 {
 	size_t len = value ? strcspn(value, " ") : 0;
-	char address[sizeof(election->view.coordinator)] = "";
+	char address[sizeof(election->view.coordinator_address)] = "";
 
 	if (len < sizeof(address) && value)
 		memcpy(address, value, len);
 	g_mutex_lock(&election->lock);
-	if (strcmp(election->view.coordinator, address) != 0)
+	if (strcmp(election->view.coordinator_address, address) != 0)
 		skh_log(SKH_LOG_INFO, PART, "Coordinator known.", "address=%s revision=%" PRId64,
 			*address ? address : "-", election->revision);
-	(void)g_strlcpy(election->view.coordinator, address, sizeof(address));
+	(void)g_strlcpy(election->view.coordinator_address, address, sizeof(address));
 	g_mutex_unlock(&election->lock);
 }
 
 static void set_hold(skh_election_t *election, int64_t fence, int64_t till_us)
 {
 	g_mutex_lock(&election->lock);
-	if (election->view.holds != (fence != 0))
+	if (election->view.is_holder != (fence != 0))
 		skh_log(SKH_LOG_INFO, PART, fence ? "Lease taken." : "Lease lost.",
 			"fence=%" PRId64, fence ? fence : election->view.fence);
-	election->view.holds = fence != 0;
+	election->view.is_holder = fence != 0;
 	election->view.fence = fence;
-	election->view.holds_till_us = till_us;
+	election->view.lease_deadline_us = till_us;
 	g_mutex_unlock(&election->lock);
 }
 
@@ -93,7 +93,7 @@
 {
 	skh_store_t *store = election->options.store;
 	const skh_dialect_t *dialect = election->options.dialect;
-	skh_pairs_t pairs;
+	skh_kv_pairs_t pairs;
 	skh_error_t err;
 	skh_routing_t *routing = NULL;
 	int32_t index = -1;
@@ -104,13 +104,14 @@
 	}
 	if (pairs.count > 0)
 		routing = dialect->read_config(skh_chunk_from_string(pairs.list[0].value), &err);
-	skh_pairs_clear(&pairs);
+	skh_kv_pairs_clear(&pairs);
 	if (routing)
-		index = skh_routing_service(routing, election->options.service);
+		index = skh_routing_find_service(routing, election->options.service);
 	if (index >= 0) {
 		g_mutex_lock(&election->lock);
-		election->view.shape = skh_routing_service_at(routing, (uint32_t)index)->engine;
-		election->view.has_shape = true;
+		election->view.engine_spec =
+			skh_routing_get_service(routing, (uint32_t)index)->engine;
+		election->view.has_engine_spec = true;
 		g_mutex_unlock(&election->lock);
 	}
 	skh_routing_free(routing);
@@ -121,7 +122,7 @@
 static bool read_holder(skh_election_t *election, bool *taken, skh_error_t *err)
 {
 	skh_store_t *store = election->options.store;
-	skh_pairs_t pairs;
+	skh_kv_pairs_t pairs;
 
 	if (!store->ops->range(store, election->key, false, &pairs, err))
 		return false;
@@ -131,15 +132,15 @@
 	/* An answer that was lost is settled here: the value is this process's alone. */
 	if (*taken && strcmp(pairs.list[0].value, election->value) == 0 && election->lease != 0)
 		set_hold(election, pairs.list[0].create_revision, skh_clock_boot_us() + 1);
-	skh_pairs_clear(&pairs);
+	skh_kv_pairs_clear(&pairs);
 	return true;
 }
 
 static bool take_lease(skh_election_t *election, skh_error_t *err)
 {
 	skh_store_t *store = election->options.store;
-	const skh_compare_t compare = { election->key, 0 };
-	skh_op_t put = { SKH_OP_PUT, election->key, election->value, 0 };
+	const skh_txn_compare_t compare = { election->key, 0 };
+	skh_txn_op_t put = { SKH_TXN_OP_PUT, election->key, election->value, 0 };
 	const skh_txn_t txn = { .compares = &compare, .n_compares = 1, .ops = &put, .n_ops = 1 };
 	skh_txn_result_t result;
 	int64_t asked_us = skh_clock_boot_us();
@@ -157,7 +158,7 @@
 			 asked_us + LEASE_S * SKH_US_PER_S - MARGIN_US);
 		set_coordinator(election, election->value);
 	}
-	skh_pairs_clear(&result.pairs);
+	skh_kv_pairs_clear(&result.pairs);
 	return true;
 }
 
@@ -165,10 +166,10 @@
 static bool watch_holder(skh_election_t *election, bool *taken, skh_error_t *err)
 {
 	skh_store_t *store = election->options.store;
-	skh_changes_t changes;
+	skh_kv_changes_t changes;
 
-	if (!store->ops->changes(store, election->key, election->revision, WATCH_MS, &changes,
-				 err)) {
+	if (!store->ops->poll_changes(store, election->key, election->revision, WATCH_MS, &changes,
+				      err)) {
 		if (err->kind == SKH_STORE_COMPACTED)
 			return read_holder(election, taken, err);
 		return false;
@@ -178,7 +179,7 @@
 		*taken = changes.list[i].value != NULL;
 		set_coordinator(election, changes.list[i].value);
 	}
-	skh_changes_clear(&changes);
+	skh_kv_changes_clear(&changes);
 	return true;
 }
 
@@ -222,7 +223,7 @@
 	skh_store_t *store = election->options.store;
 	const skh_dialect_t *dialect = election->options.dialect;
 	GPtrArray *found = g_ptr_array_new_with_free_func(g_free);
-	skh_pairs_t pairs;
+	skh_kv_pairs_t pairs;
 	skh_error_t err;
 
 	election->servers_us = skh_clock_boot_us();
@@ -240,14 +241,14 @@
 					g_strdup_printf("%s:%u", server->host, server->port));
 		skh_server_free(server);
 	}
-	skh_pairs_clear(&pairs);
+	skh_kv_pairs_clear(&pairs);
 	g_mutex_lock(&election->lock);
 	g_ptr_array_unref(election->servers);
 	election->servers = found;
 	g_mutex_unlock(&election->lock);
 }
 
-GPtrArray *skh_election_servers(skh_election_t *election, bool wanted)
+GPtrArray *skh_election_get_servers(skh_election_t *election, bool wanted)
 {
 	GPtrArray *servers;
 
@@ -273,9 +274,9 @@
 {
 	skh_store_t *store = election->options.store;
 	g_autofree char *notice = copy_notice(election);
-	const skh_compare_t held = { election->key, fence };
-	const skh_op_t op = { *notice ? SKH_OP_PUT : SKH_OP_DELETE,
-			      (char *)election->options.notice_key, notice, election->lease };
+	const skh_txn_compare_t held = { election->key, fence };
+	const skh_txn_op_t op = { *notice ? SKH_TXN_OP_PUT : SKH_TXN_OP_DELETE,
+				  (char *)election->options.notice_key, notice, election->lease };
 	const skh_txn_t txn = { .compares = &held, .n_compares = 1, .ops = &op, .n_ops = 1 };
 	skh_txn_result_t result;
 	skh_error_t err;
@@ -286,7 +287,7 @@
 		fail("Notice not written.", &err);
 		return;
 	}
-	skh_pairs_clear(&result.pairs);
+	skh_kv_pairs_clear(&result.pairs);
 	g_free(election->told);
 	election->told = g_steal_pointer(&notice);
 	skh_log(SKH_LOG_INFO, PART, "Notice written.", "fence=%" PRId64 " bytes=%zu", fence,
@@ -300,7 +301,7 @@
 	int64_t ttl_s = 0;
 	skh_error_t err;
 
-	if (!store->ops->lease_keep(store, election->lease, &ttl_s, &err)) {
+	if (!store->ops->lease_renew(store, election->lease, &ttl_s, &err)) {
 		fail("Lease not renewed.", &err);
 		pause_thread(election, PAUSE_US);
 		return;
@@ -313,7 +314,7 @@
 		skh_log(SKH_LOG_INFO, PART, "Lease renewed slowly.", "took_ms=%" PRId64,
 			(skh_clock_boot_us() - asked_us) / SKH_US_PER_MS);
 	g_mutex_lock(&election->lock);
-	election->view.holds_till_us = asked_us + ttl_s * SKH_US_PER_S - MARGIN_US;
+	election->view.lease_deadline_us = asked_us + ttl_s * SKH_US_PER_S - MARGIN_US;
 	g_mutex_unlock(&election->lock);
 	tell_notice(election, fence);
 	if (wants_servers(election))
@@ -333,10 +334,11 @@
 	while (!is_stopped(election)) {
 		skh_election_view_t view;
 
-		skh_election_look(election, &view);
-		if (view.holds && skh_clock_boot_us() > view.holds_till_us + LEASE_S * SKH_US_PER_S)
+		skh_election_get_view(election, &view);
+		if (view.is_holder &&
+		    skh_clock_boot_us() > view.lease_deadline_us + LEASE_S * SKH_US_PER_S)
 			set_hold(election, 0, 0);
-		else if (view.holds)
+		else if (view.is_holder)
 			renew(election, view.fence);
 		else
 			follow(election, &known, &taken);
@@ -363,26 +365,26 @@
 void skh_election_stop(skh_election_t *election)
 {
 	skh_store_t *store = election->options.release_store;
-	const skh_op_t remove = { SKH_OP_DELETE, election->key, NULL, 0 };
+	const skh_txn_op_t remove = { SKH_TXN_OP_DELETE, election->key, NULL, 0 };
 	skh_election_view_t view;
-	skh_compare_t held = { election->key, 0 };
+	skh_txn_compare_t held = { election->key, 0 };
 	skh_txn_t txn = { .compares = &held, .n_compares = 1, .ops = &remove, .n_ops = 1 };
 	skh_txn_result_t result;
 	skh_error_t err;
 
 	__atomic_store_n(&election->stop, true, __ATOMIC_RELEASE);
-	skh_election_look(election, &view);
-	if (!view.holds)
+	skh_election_get_view(election, &view);
+	if (!view.is_holder)
 		return;
 	/* Only this holder's key: its revision is the fence. */
 	held.mod_revision = view.fence;
 	if (store->ops->txn(store, &txn, &result, &err))
-		skh_pairs_clear(&result.pairs);
+		skh_kv_pairs_clear(&result.pairs);
 	else
 		fail("Lease not given up; it lapses.", &err);
 }
 
-void skh_election_look(skh_election_t *election, skh_election_view_t *view)
+void skh_election_get_view(skh_election_t *election, skh_election_view_t *view)
 {
 	g_mutex_lock(&election->lock);
 	*view = election->view;
--- a/src/election.h
+++ b/src/election.h
@@ -29,12 +29,12 @@
 
 /** struct skh_election_view - what is known of the lease */
 typedef struct skh_election_view {
-	bool holds;
-	int64_t fence;	       /* of this process's lease */
-	int64_t holds_till_us; /* boot clock; it acts only before */
-	char coordinator[64];  /* address, "" when not known */
-	bool has_shape;
-	skh_engine_shape_t shape; /* by the configuration */
+	bool is_holder;
+	int64_t fence;		      /* of this process's lease */
+	int64_t lease_deadline_us;    /* boot clock; it acts only before */
+	char coordinator_address[64]; /* address, "" when not known */
+	bool has_engine_spec;
+	skh_engine_spec_t engine_spec; /* by the configuration */
 } skh_election_view_t;
 
 typedef struct skh_election skh_election_t;
@@ -48,14 +48,14 @@
  * the process.
  */
 void skh_election_stop(skh_election_t *election);
-void skh_election_look(skh_election_t *election, skh_election_view_t *view);
+void skh_election_get_view(skh_election_t *election, skh_election_view_t *view);
 
 /**
- * skh_election_servers() - addresses of the service's servers, read while asked for
+ * skh_election_get_servers() - addresses of the service's servers, read while asked for
  * @wanted: whether they are needed now
  * Return: "host:port" each; free with g_ptr_array_unref().
  */
-GPtrArray *skh_election_servers(skh_election_t *election, bool wanted);
+GPtrArray *skh_election_get_servers(skh_election_t *election, bool wanted);
 
 /**
  * skh_election_set_notice() - what the holder tells gateways of its group, in the store
--- a/src/engine.c
+++ b/src/engine.c
@@ -25,7 +25,7 @@
 	skh_fetch_t *fetch;
 	GMutex lock; /* guards the view and the queue */
 	skh_engine_view_t view;
-	GQueue orders; /* skh_engine_order_t, owned */
+	GQueue orders; /* skh_backend_order_t, owned */
 	bool order_under_way;
 	bool load_under_way;
 	bool events_under_way;
@@ -160,22 +160,22 @@
 	if (!engine->load_under_way) {
 		engine->load_under_way = true;
 		skh_buffer_clear(&engine->load_text);
-		ops->ask_load(engine->backend, engine->fetch, new_transfer(engine, TRANSFER_LOAD),
-			      now_us);
+		ops->request_load_report(engine->backend, engine->fetch,
+					 new_transfer(engine, TRANSFER_LOAD), now_us);
 	}
 	if (!engine->events_under_way) {
 		engine->events_under_way = true;
 		skh_buffer_clear(&engine->events_text);
-		ops->ask_events(engine->backend, engine->fetch,
-				new_transfer(engine, TRANSFER_EVENTS), engine->view.next_event,
-				now_us);
+		ops->request_cache_events(engine->backend, engine->fetch,
+					  new_transfer(engine, TRANSFER_EVENTS),
+					  engine->view.next_event, now_us);
 	}
 }
 
 /* One at a time and in order, so that a later order is never overtaken by an earlier one. */
 static void give_next_order(skh_engine_t *engine, int64_t now_us)
 {
-	skh_engine_order_t *order = NULL;
+	skh_backend_order_t *order = NULL;
 
 	g_mutex_lock(&engine->lock);
 	if (!engine->order_under_way)
@@ -184,39 +184,40 @@
 		engine->order_under_way = true;
 	g_mutex_unlock(&engine->lock);
 	if (order)
-		engine->backend->ops->instruct(engine->backend, engine->fetch,
-					       new_transfer(engine, TRANSFER_ORDER), order, now_us);
+		engine->backend->ops->send_backend_order(engine->backend, engine->fetch,
+							 new_transfer(engine, TRANSFER_ORDER),
+							 order, now_us);
 	g_free(order);
 }
 
 void skh_engine_tick(skh_engine_t *engine, int64_t now_us)
 {
-	skh_fetch_wait(engine->fetch, now_us);
+	skh_fetch_poll(engine->fetch, now_us);
 	ask_for_reports(engine, now_us);
 	give_next_order(engine, now_us);
 }
 
-void skh_engine_look(skh_engine_t *engine, skh_engine_view_t *view)
+void skh_engine_get_view(skh_engine_t *engine, skh_engine_view_t *view)
 {
 	g_mutex_lock(&engine->lock);
 	*view = engine->view;
 	g_mutex_unlock(&engine->lock);
 }
 
-void skh_engine_order(skh_engine_t *engine, const skh_engine_order_t *order)
+void skh_engine_enqueue_order(skh_engine_t *engine, const skh_backend_order_t *order)
 {
 	g_mutex_lock(&engine->lock);
 	g_queue_push_tail(&engine->orders, g_memdup2(order, sizeof(*order)));
 	g_mutex_unlock(&engine->lock);
 }
 
-static const skh_fetch_events_t fetch_events = { .bytes = on_bytes, .done = on_done };
+static const skh_fetch_ops_t fetch_events = { .on_body = on_bytes, .on_done = on_done };
 
 skh_engine_t *skh_engine_new(skh_backend_t *backend)
 {
 	skh_engine_t *engine;
 
-	if (!backend->ops->ask_load)
+	if (!backend->ops->request_load_report)
 		return NULL;
 	engine = g_new0(skh_engine_t, 1);
 	engine->backend = backend;
--- a/src/engine.h
+++ b/src/engine.h
@@ -38,11 +38,11 @@
 /** skh_engine_tick() - run transfers and ask for what is due */
 void skh_engine_tick(skh_engine_t *engine, int64_t now_us);
 
-/** skh_engine_look() - a copy, from any thread */
-void skh_engine_look(skh_engine_t *engine, skh_engine_view_t *view);
+/** skh_engine_get_view() - a copy, from any thread */
+void skh_engine_get_view(skh_engine_t *engine, skh_engine_view_t *view);
 
-/** skh_engine_order() - give @order soon, after those before it; from any thread */
-void skh_engine_order(skh_engine_t *engine, const skh_engine_order_t *order);
+/** skh_engine_enqueue_order() - give @order soon, after those before it; from any thread */
+void skh_engine_enqueue_order(skh_engine_t *engine, const skh_backend_order_t *order);
 
 /** skh_engine_read_load() - a load report; pure */
 bool skh_engine_read_load(skh_chunk_t text, skh_engine_view_t *view);
--- a/src/enginecall.c
+++ b/src/engine_client.c
@@ -1,4 +1,4 @@
-#include "enginecall.h"
+#include "engine_client.h"
 
 #include "address.h"
 #include "clock.h"
@@ -11,7 +11,7 @@
 struct skh_engine_client {
 	uv_loop_t *loop;
 	char *address;
-	skh_pool_t *pool;
+	skh_upstream_pool_t *pool;
 	GQueue calls;
 };
 
@@ -48,7 +48,7 @@
 		fn(call->context, call->tag, status, skh_buffer_chunk(&call->body));
 }
 
-static bool on_head(void *context, const skh_message_t *answer)
+static bool on_head(void *context, const skh_http_message_t *answer)
 {
 	(void)context;
 	(void)answer;
@@ -60,7 +60,7 @@
 	skh_buffer_append(&((call_t *)context)->body, bytes);
 }
 
-static void on_end(void *context, const skh_message_t *answer)
+static void on_end(void *context, const skh_http_message_t *answer)
 {
 	call_t *call = context;
 
@@ -68,7 +68,7 @@
 	end_call(call, (int32_t)answer->parser.status_code);
 }
 
-static void on_lost(void *context, skh_lost_t lost, bool handed_over)
+static void on_lost(void *context, skh_upstream_error_t lost, bool handed_over)
 {
 	call_t *call = context;
 
@@ -82,7 +82,7 @@
 	.on_head = on_head,
 	.on_body = on_body,
 	.on_end = on_end,
-	.on_lost = on_lost,
+	.on_error = on_lost,
 };
 
 static void on_timeout(uv_timer_t *timer)
@@ -93,7 +93,7 @@
 static void begin_call(skh_engine_client_t *client, skh_buffer_t *bytes, int64_t timeout_us,
 		       call_t *call)
 {
-	const skh_send_t send = { .bytes = skh_buffer_chunk(bytes) };
+	const skh_upstream_request_t send = { .bytes = skh_buffer_chunk(bytes) };
 
 	call->client = client;
 	call->link.data = call;
@@ -101,12 +101,12 @@
 	(void)uv_timer_init(client->loop, &call->timer);
 	call->timer.data = call;
 	(void)uv_timer_start(&call->timer, on_timeout, (uint64_t)(timeout_us / SKH_US_PER_MS), 0);
-	call->upstream = skh_pool_send(client->pool, &send, &call_ops, call);
+	call->upstream = skh_upstream_pool_send(client->pool, &send, &call_ops, call);
 	skh_buffer_free(bytes);
 }
 
 skh_engine_client_t *skh_engine_client_new(uv_loop_t *loop, const char *address,
-					   const skh_pool_options_t *options)
+					   const skh_upstream_pool_options_t *options)
 {
 	skh_engine_client_t *client = g_new0(skh_engine_client_t, 1);
 	g_autofree char *host = NULL;
@@ -117,7 +117,7 @@
 	/* Calls to an address that can't be read fail as those to nobody do. */
 	if (!skh_address_split(address, &host, &port))
 		skh_log(SKH_LOG_WARNING, PART, "Engine's address not read.", "address=%s", address);
-	client->pool = skh_pool_new(loop, host ? host : "", port, options);
+	client->pool = skh_upstream_pool_new(loop, host ? host : "", port, options);
 	g_queue_init(&client->calls);
 	return client;
 }
@@ -132,7 +132,7 @@
 		call->fn = NULL;
 		end_call(call, 0);
 	}
-	skh_pool_free(client->pool);
+	skh_upstream_pool_free(client->pool);
 	g_free(client->address);
 	g_free(client);
 }
--- a/src/enginecall.h
+++ b/src/engine_client.h
@@ -1,5 +1,5 @@
-#ifndef SKH_ENGINECALL_H
-#define SKH_ENGINECALL_H
+#ifndef SKH_ENGINE_CLIENT_H
+#define SKH_ENGINE_CLIENT_H
 
 /**
  * DOC: Calls to an engine
@@ -25,7 +25,7 @@
 
 /** skh_engine_client_new() - for the engine at "host:port"; @options must outlive it */
 skh_engine_client_t *skh_engine_client_new(uv_loop_t *loop, const char *address,
-					   const skh_pool_options_t *options);
+					   const skh_upstream_pool_options_t *options);
 
 /** skh_engine_client_free() - calls under way end without being told */
 void skh_engine_client_free(skh_engine_client_t *client);
--- a/src/entry.c
+++ b/src/entry.c
@@ -1,7 +1,7 @@
 #include "entry.h"
 
 #include "admin.h"
-#include "caller.h"
+#include "caller_api.h"
 #include "clock.h"
 #include "log.h"
 #include "process.h"
@@ -16,8 +16,8 @@
 {
 	skh_entry_t *entry = context;
 
-	return skh_board_self(entry->board).life == SKH_LIFE_SERVING &&
-	       skh_board_revision(entry->board) > 0;
+	return skh_board_get_lifecycle(entry->board).state == SKH_LIFECYCLE_SERVING &&
+	       skh_board_config_revision(entry->board) > 0;
 }
 
 static void add_peer(const skh_peer_t *peer, void *context)
@@ -30,24 +30,24 @@
 		json_pack("{s:s, s:s, s:s, s:s, s:b, s:b, s:i, s:i, s:i, s:i, s:I}", "id", peer->id,
 			  "service", peer->service, "failure_domain", peer->failure_domain, "phase",
 			  phases[peer->phase], "reachable", peer->reachable, "listed_leaving",
-			  peer->list_says_leaving, "running", (int)peer->running, "queued",
+			  peer->listed_leaving, "running", (int)peer->running, "queued",
 			  (int)peer->queued, "capacity", (int)peer->capacity, "own_in_flight",
-			  (int)peer->own_in_flight, "revision", (json_int_t)peer->revision));
+			  (int)peer->own_in_flight, "revision", (json_int_t)peer->config_revision));
 }
 
 static json_t *status(void *context)
 {
 	skh_entry_t *entry = context;
 	json_t *peers = json_array();
-	const skh_config_t *config = skh_board_config(entry->board);
+	const skh_config_t *config = skh_board_acquire_config(entry->board);
 	json_t *json;
 
-	skh_link_each_peer(entry->link, add_peer, peers);
+	skh_link_for_each_peer(entry->link, add_peer, peers);
 	json = json_pack("{s:s, s:s, s:s, s:b, s:I, s:s, s:s, s:i, s:o}", "id", entry->settings->id,
 			 "role", "entry", "failure_domain", entry->settings->failure_domain,
 			 "ready", is_ready(entry), "revision",
 			 (json_int_t)(config ? config->revision : 0), "by",
-			 config ? config->by : "", "reason", config ? config->reason : "",
+			 config ? config->author : "", "reason", config ? config->reason : "",
 			 "in_flight", g_atomic_int_get(&entry->in_flight), "sidecars", peers);
 	skh_board_release(config);
 	return json;
@@ -66,18 +66,18 @@
 
 static const skh_admin_ops_t admin_ops = {
 	.is_ready = is_ready,
-	.status = status,
-	.suspects = suspects,
+	.get_status = status,
+	.list_suspects = suspects,
 	.clear_suspect = clear_suspect,
 };
 
 static bool open_entry(skh_entry_t *entry, skh_error_t *err)
 {
 	entry->board = skh_board_new();
-	entry->store = skh_settings_store(entry->settings);
-	entry->admit = skh_admit_new();
-	g_mutex_init(&entry->admit_lock);
-	entry->follower = skh_follower_start(entry->store, entry->settings, entry->board);
+	entry->store = skh_settings_open_store(entry->settings);
+	entry->admission = skh_admission_new();
+	g_mutex_init(&entry->admission_lock);
+	entry->follower = skh_config_watcher_start(entry->store, entry->settings, entry->board);
 	entry->quarantine = skh_quarantine_start(entry->store, entry->settings->store_prefix);
 	entry->link = skh_link_start(entry->settings, entry->board, err);
 	return entry->link != NULL;
@@ -88,10 +88,10 @@
 	if (entry->link)
 		skh_link_stop(entry->link);
 	skh_quarantine_stop(entry->quarantine);
-	skh_follower_stop(entry->follower);
+	skh_config_watcher_stop(entry->follower);
 	entry->store->ops->close(entry->store);
-	skh_admit_free(entry->admit);
-	g_mutex_clear(&entry->admit_lock);
+	skh_admission_free(entry->admission);
+	g_mutex_clear(&entry->admission_lock);
 	skh_board_free(entry->board);
 }
 
@@ -104,10 +104,12 @@
 
 	skh_log(SKH_LOG_INFO, PART, "Planned stop begins.", "in_flight=%d",
 		g_atomic_int_get(&entry->in_flight));
-	skh_board_publish_self(entry->board, (skh_self_t){ SKH_LIFE_LEAVING, stop_by_us });
+	skh_board_publish_lifecycle(entry->board,
+				    (skh_lifecycle_t){ SKH_LIFECYCLE_LEAVING, stop_by_us });
 	while (skh_clock_now_us() < refuse_at_us)
 		(void)usleep(LOOP_US);
-	skh_board_publish_self(entry->board, (skh_self_t){ SKH_LIFE_STOPPING, stop_by_us });
+	skh_board_publish_lifecycle(entry->board,
+				    (skh_lifecycle_t){ SKH_LIFECYCLE_STOPPING, stop_by_us });
 	while (g_atomic_int_get(&entry->in_flight) > 0 && skh_clock_now_us() < stop_by_us)
 		(void)usleep(LOOP_US);
 	skh_log(SKH_LOG_INFO, PART, "Planned stop ends.", "in_flight=%d",
@@ -119,26 +121,27 @@
 	const skh_settings_t *settings = entry->settings;
 	const skh_http_options_t options = { settings->http_listen, settings->http_threads,
 					     settings->http_stack_kib, settings->max_body_bytes };
-	const skh_control_t control = { settings, entry->store, entry->board };
+	const skh_config_admin_t control = { settings, entry->store, entry->board };
 	skh_error_t err;
 	skh_admin_t *admin = skh_admin_start(settings->admin_listen, &admin_ops, entry,
 					     entry->board, &control, &err);
 	skh_http_server_t *server = NULL;
 
 	if (admin)
-		server = skh_http_start(&options, skh_caller_handle, entry, &err);
+		server = skh_http_start(&options, skh_caller_api_handle, entry, &err);
 	if (!server) {
 		skh_log(SKH_LOG_ERROR, PART, "Start failed.", "reason=%s", err.text);
 		if (admin)
 			skh_admin_stop(admin);
 		return 1;
 	}
-	skh_board_publish_self(entry->board, (skh_self_t){ SKH_LIFE_SERVING, 0 });
+	skh_board_publish_lifecycle(entry->board, (skh_lifecycle_t){ SKH_LIFECYCLE_SERVING, 0 });
 	skh_log(SKH_LOG_INFO, PART, "Entry is listening.", "id=%s callers=%s admin=%s",
 		settings->id, settings->http_listen, settings->admin_listen);
 	while (skh_process_stop_requests() == 0) {
 		(void)usleep(LOOP_US);
-		skh_follower_hint(entry->follower, skh_link_newest_revision(entry->link));
+		skh_config_watcher_hint_revision(entry->follower,
+						 skh_link_newest_revision(entry->link));
 	}
 	drain(entry);
 	skh_http_stop(server);
--- a/src/entry.h
+++ b/src/entry.h
@@ -8,9 +8,9 @@
  * nothing that must outlast it.
  */
 
-#include "admit.h"
+#include "admission.h"
 #include "board.h"
-#include "config.h"
+#include "config_watcher.h"
 #include "link.h"
 #include "quarantine.h"
 #include "settings.h"
@@ -24,11 +24,11 @@
 	const skh_settings_t *settings;
 	skh_board_t *board;
 	skh_store_t *store;
-	skh_follower_t *follower;
+	skh_config_watcher_t *follower;
 	skh_link_t *link;
 	skh_quarantine_t *quarantine;
-	GMutex admit_lock;
-	skh_admit_t *admit;
+	GMutex admission_lock;
+	skh_admission_t *admission;
 	gint in_flight; /* callers' requests being handled */
 } skh_entry_t;
 
--- a/src/error.c
+++ b/src/error.c
@@ -7,11 +7,11 @@
 typedef struct kind_row {
 	const char *name;
 	int32_t http_status;
-	skh_run_t run;
+	skh_run_state_t run;
 	bool may_retry;
 } kind_row_t;
 
-static const kind_row_t kind_table[SKH_KIND_COUNT] = {
+static const kind_row_t kind_table[SKH_ERROR_KIND_COUNT] = {
 	[SKH_OK] = { "ok", 200, SKH_RUN_RAN, false },
 	[SKH_BAD_REQUEST] = { "bad_request", 400, SKH_RUN_NOT_RUN, false },
 	[SKH_UNAUTHORIZED] = { "unauthorized", 401, SKH_RUN_NOT_RUN, false },
@@ -46,12 +46,12 @@
 	[SKH_INTERNAL] = { "internal", 500, SKH_RUN_UNKNOWN, false },
 };
 
-bool skh_error_set(skh_error_t *err, skh_kind_t kind, const char *format, ...)
+bool skh_error_set(skh_error_t *err, skh_error_kind_t kind, const char *format, ...)
 {
 	va_list args;
 
 	err->kind = kind;
-	err->run = kind_table[kind].run;
+	err->run_state = kind_table[kind].run;
 	err->retry_at_us = 0;
 	va_start(args, format);
 	(void)vsnprintf(err->text, sizeof(err->text), format, args);
@@ -59,31 +59,31 @@
 	return false;
 }
 
-const char *skh_kind_name(skh_kind_t kind)
+const char *skh_error_kind_name(skh_error_kind_t kind)
 {
 	return kind_table[kind].name;
 }
 
-skh_kind_t skh_kind_from_name(const char *name)
+skh_error_kind_t skh_error_kind_from_name(const char *name)
 {
-	for (int32_t i = 0; i < SKH_KIND_COUNT; i++) {
+	for (int32_t i = 0; i < SKH_ERROR_KIND_COUNT; i++) {
 		if (strcmp(kind_table[i].name, name) == 0)
-			return (skh_kind_t)i;
+			return (skh_error_kind_t)i;
 	}
 	return SKH_INTERNAL;
 }
 
-int32_t skh_kind_http_status(skh_kind_t kind)
+int32_t skh_error_kind_http_status(skh_error_kind_t kind)
 {
 	return kind_table[kind].http_status;
 }
 
-bool skh_kind_may_retry(skh_kind_t kind)
+bool skh_error_kind_is_retryable(skh_error_kind_t kind)
 {
 	return kind_table[kind].may_retry;
 }
 
-const char *skh_run_name(skh_run_t run)
+const char *skh_run_state_name(skh_run_state_t run)
 {
 	static const char *const names[] = { "not_run", "ran", "unknown" };
 
--- a/src/error.h
+++ b/src/error.h
@@ -16,8 +16,8 @@
 extern "C" {
 #endif
 
-/** enum skh_kind - every way in which an operation can fail */
-typedef enum skh_kind {
+/** enum skh_error_kind - every way in which an operation can fail */
+typedef enum skh_error_kind {
 	SKH_OK = 0,
 	SKH_BAD_REQUEST,
 	SKH_UNAUTHORIZED,
@@ -50,15 +50,15 @@
 	SKH_CANCELLED,
 	SKH_CONFIG_INVALID,
 	SKH_INTERNAL,
-	SKH_KIND_COUNT
-} skh_kind_t;
+	SKH_ERROR_KIND_COUNT
+} skh_error_kind_t;
 
-/** enum skh_run - what is known about whether a request ran */
-typedef enum skh_run {
+/** enum skh_run_state - what is known about whether a request ran */
+typedef enum skh_run_state {
 	SKH_RUN_NOT_RUN = 0,
 	SKH_RUN_RAN,
 	SKH_RUN_UNKNOWN
-} skh_run_t;
+} skh_run_state_t;
 
 #define SKH_ERROR_TEXT_BYTES 256
 
@@ -70,30 +70,30 @@
  * @text: one sentence for a person, NUL-terminated
  */
 typedef struct skh_error {
-	skh_kind_t kind;
-	skh_run_t run;
+	skh_error_kind_t kind;
+	skh_run_state_t run_state;
 	int64_t retry_at_us;
 	char text[SKH_ERROR_TEXT_BYTES];
 } skh_error_t;
 
 /** skh_error_set() - fill @err and return false, so callers can return it */
-bool skh_error_set(skh_error_t *err, skh_kind_t kind, const char *format, ...)
+bool skh_error_set(skh_error_t *err, skh_error_kind_t kind, const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 
-/** skh_kind_name() - stable name of @kind as it appears in answers and logs */
-const char *skh_kind_name(skh_kind_t kind);
+/** skh_error_kind_name() - stable name of @kind as it appears in answers and logs */
+const char *skh_error_kind_name(skh_error_kind_t kind);
 
-/** skh_kind_from_name() - the kind called @name, or SKH_INTERNAL */
-skh_kind_t skh_kind_from_name(const char *name);
+/** skh_error_kind_from_name() - the kind called @name, or SKH_INTERNAL */
+skh_error_kind_t skh_error_kind_from_name(const char *name);
 
-/** skh_kind_http_status() - HTTP status that answers @kind */
-int32_t skh_kind_http_status(skh_kind_t kind);
+/** skh_error_kind_http_status() - HTTP status that answers @kind */
+int32_t skh_error_kind_http_status(skh_error_kind_t kind);
 
-/** skh_kind_may_retry() - true when the same request may succeed later */
-bool skh_kind_may_retry(skh_kind_t kind);
+/** skh_error_kind_is_retryable() - true when the same request may succeed later */
+bool skh_error_kind_is_retryable(skh_error_kind_t kind);
 
-/** skh_run_name() - "not_run", "ran" or "unknown" */
-const char *skh_run_name(skh_run_t run);
+/** skh_run_state_name() - "not_run", "ran" or "unknown" */
+const char *skh_run_state_name(skh_run_state_t run);
 
 #ifdef __cplusplus
 }
--- a/src/events.c
+++ b/src/event_stream.c
@@ -1,24 +1,24 @@
-#include "events.h"
+#include "event_stream.h"
 
 #include <glib.h>
 #include <string.h>
 
-void skh_events_init(skh_events_t *events)
+void skh_event_stream_init(skh_event_stream_t *events)
 {
-	*events = (skh_events_t){ .last_id = -1 };
+	*events = (skh_event_stream_t){ .last_event_id = -1 };
 }
 
-void skh_events_clear(skh_events_t *events)
+void skh_event_stream_clear(skh_event_stream_t *events)
 {
 	skh_buffer_free(&events->pending);
 }
 
-void skh_events_restart(skh_events_t *events)
+void skh_event_stream_discard_pending(skh_event_stream_t *events)
 {
 	skh_buffer_clear(&events->pending);
 }
 
-bool skh_events_is_whole(const skh_events_t *events)
+bool skh_event_stream_is_at_boundary(const skh_event_stream_t *events)
 {
 	return events->pending.len == 0;
 }
@@ -56,24 +56,24 @@
 }
 
 /* Takes one whole event; false when one before it is missing. */
-static bool take_event(skh_events_t *events, const char *event, size_t len, skh_buffer_t *out)
+static bool take_event(skh_event_stream_t *events, const char *event, size_t len, skh_buffer_t *out)
 {
 	int64_t id = id_of(event, len);
 
-	if (id >= 0 && events->last_id >= 0) {
-		if (id <= events->last_id)
+	if (id >= 0 && events->last_event_id >= 0) {
+		if (id <= events->last_event_id)
 			return true;
-		if (id != events->last_id + 1)
+		if (id != events->last_event_id + 1)
 			return false;
 	}
 	if (id >= 0)
-		events->last_id = id;
-	events->any = true;
+		events->last_event_id = id;
+	events->has_event = true;
 	skh_buffer_append(out, skh_chunk_make(event, len));
 	return true;
 }
 
-bool skh_events_feed(skh_events_t *events, skh_chunk_t bytes, skh_buffer_t *out)
+bool skh_event_stream_feed(skh_event_stream_t *events, skh_chunk_t bytes, skh_buffer_t *out)
 {
 	size_t used = 0;
 	bool follows = true;
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -23,8 +23,8 @@
 /** skh_exchange_tick() - end what has waited too long, then dispatch */
 void skh_exchange_tick(skh_gateway_t *gateway);
 
-/** skh_exchange_follow_paces() - ranks have turned slow or usual: move what they hold up */
-void skh_exchange_follow_paces(skh_gateway_t *gateway);
+/** skh_exchange_move_off_slow_ranks() - ranks have turned slow or usual: move what they hold up */
+void skh_exchange_move_off_slow_ranks(skh_gateway_t *gateway);
 
 #ifdef __cplusplus
 }
--- a/src/fair.c
+++ b/src/fair_queue.c
@@ -1,4 +1,4 @@
-#include "fair.h"
+#include "fair_queue.h"
 
 #include <glib.h>
 
@@ -10,27 +10,27 @@
 	uint32_t running;
 } account_t;
 
-struct skh_fair {
+struct skh_fair_queue {
 	double now;	      /* greatest tag that has started */
 	double active_weight; /* of all customers that wait or run */
 	GHashTable *accounts; /* customer -> account_t */
 };
 
-skh_fair_t *skh_fair_new(void)
+skh_fair_queue_t *skh_fair_queue_new(void)
 {
-	skh_fair_t *fair = g_new0(skh_fair_t, 1);
+	skh_fair_queue_t *fair = g_new0(skh_fair_queue_t, 1);
 
 	fair->accounts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	return fair;
 }
 
-void skh_fair_free(skh_fair_t *fair)
+void skh_fair_queue_free(skh_fair_queue_t *fair)
 {
 	g_hash_table_unref(fair->accounts);
 	g_free(fair);
 }
 
-static account_t *find(const skh_fair_t *fair, uint64_t customer)
+static account_t *find(const skh_fair_queue_t *fair, uint64_t customer)
 {
 	return g_hash_table_lookup(fair->accounts, &customer);
 }
@@ -41,7 +41,7 @@
 }
 
 /* The only place where the counts change, so that the sum of weights follows. */
-static void count(skh_fair_t *fair, account_t *account, int32_t waiting, int32_t running)
+static void count(skh_fair_queue_t *fair, account_t *account, int32_t waiting, int32_t running)
 {
 	bool was_active = is_active(account);
 
@@ -53,7 +53,7 @@
 		fair->active_weight -= account->weight;
 }
 
-static account_t *account_of(skh_fair_t *fair, uint64_t customer, double weight)
+static account_t *account_of(skh_fair_queue_t *fair, uint64_t customer, double weight)
 {
 	account_t *account = find(fair, customer);
 
@@ -68,7 +68,7 @@
 	return account;
 }
 
-double skh_fair_tag(skh_fair_t *fair, uint64_t customer, double weight)
+double skh_fair_queue_enqueue(skh_fair_queue_t *fair, uint64_t customer, double weight)
 {
 	account_t *account = account_of(fair, customer, weight);
 	double tag = MAX(fair->now, account->finish);
@@ -78,13 +78,13 @@
 	return tag;
 }
 
-void skh_fair_started(skh_fair_t *fair, uint64_t customer, double tag)
+void skh_fair_queue_start(skh_fair_queue_t *fair, uint64_t customer, double tag)
 {
 	fair->now = MAX(fair->now, tag);
 	count(fair, find(fair, customer), -1, 1);
 }
 
-void skh_fair_undo(skh_fair_t *fair, uint64_t customer)
+void skh_fair_queue_cancel(skh_fair_queue_t *fair, uint64_t customer)
 {
 	account_t *account = find(fair, customer);
 
@@ -92,12 +92,13 @@
 	count(fair, account, -1, 0);
 }
 
-void skh_fair_ended(skh_fair_t *fair, uint64_t customer)
+void skh_fair_queue_finish(skh_fair_queue_t *fair, uint64_t customer)
 {
 	count(fair, find(fair, customer), 0, -1);
 }
 
-bool skh_fair_is_over(const skh_fair_t *fair, uint64_t customer, uint32_t capacity)
+bool skh_fair_queue_is_over_share(const skh_fair_queue_t *fair, uint64_t customer,
+				  uint32_t capacity)
 {
 	const account_t *account = find(fair, customer);
 
@@ -113,7 +114,7 @@
 	return !is_active(account) && account->finish <= *(const double *)now;
 }
 
-void skh_fair_trim(skh_fair_t *fair)
+void skh_fair_queue_evict_idle(skh_fair_queue_t *fair)
 {
 	g_hash_table_foreach_remove(fair->accounts, is_even, &fair->now);
 }
--- a/src/feed.c
+++ b/src/feed.c
@@ -27,7 +27,7 @@
 	GHashTable *notices;   /* service -> text; under the lock */
 	uint64_t notice_changes;
 	/* Of the thread alone: */
-	skh_record_t *record;
+	skh_roster_builder_t *record;
 	int64_t after; /* revision up to which changes are known; 0: read all */
 	int64_t config_revision;
 	int64_t answered_us; /* last answer of the store */
@@ -55,7 +55,7 @@
 		skh_log(SKH_LOG_WARNING, PART, "Store is lost.",
 			"revision=%" G_GINT64_FORMAT " reason=%s", feed->after, err->text);
 	}
-	skh_clock_pause(feed->pause_us / 2 + (int64_t)(skh_random_u64() % (uint64_t)feed->pause_us),
+	skh_clock_sleep(feed->pause_us / 2 + (int64_t)(skh_random_u64() % (uint64_t)feed->pause_us),
 			&feed->stop);
 }
 
@@ -77,7 +77,7 @@
 /* Entries that vanish shortly after an outage may have lapsed in it. */
 static bool may_have_lapsed(const skh_feed_t *feed)
 {
-	return feed->back_us != 0 && skh_clock_boot_us() - feed->back_us < SKH_ROSTER_LAPSE_US;
+	return feed->back_us != 0 && skh_clock_boot_us() - feed->back_us < SKH_ROSTER_GRACE_US;
 }
 
 static void adopt_config(skh_feed_t *feed, const char *value, int64_t revision)
@@ -115,10 +115,10 @@
 		skh_log(SKH_LOG_WARNING, PART, "Server entry not read.", "server=%s reason=%s", id,
 			err.text);
 	if (server)
-		changed = skh_record_put(feed->record, server);
+		changed = skh_roster_builder_put(feed->record, server);
 	else
-		changed = skh_record_remove(feed->record, id, !value && may_have_lapsed(feed),
-					    skh_clock_boot_us());
+		changed = skh_roster_builder_remove(
+			feed->record, id, !value && may_have_lapsed(feed), skh_clock_boot_us());
 	feed->roster_changed = feed->roster_changed || changed;
 }
 
@@ -156,25 +156,26 @@
 		take_server(feed, key + strlen(servers), value);
 	else if (g_str_has_prefix(key, peers))
 		take_peer(feed, key + strlen(peers), value);
-	else if (g_str_has_prefix(key, SKH_NOTICE_PREFIX))
-		take_notice(feed, key + strlen(SKH_NOTICE_PREFIX), value);
+	else if (g_str_has_prefix(key, SKH_RANK_NOTICE_PREFIX))
+		take_notice(feed, key + strlen(SKH_RANK_NOTICE_PREFIX), value);
 }
 
 static bool read_config(skh_feed_t *feed, int64_t *revision, skh_error_t *err)
 {
 	skh_store_t *store = feed->options.store;
-	skh_pairs_t pairs;
+	skh_kv_pairs_t pairs;
 
 	if (!store->ops->range(store, feed->options.dialect->config_key, false, &pairs, err))
 		return false;
 	*revision = pairs.store_revision;
 	if (pairs.count > 0)
 		adopt_config(feed, pairs.list[0].value, pairs.list[0].mod_revision);
-	skh_pairs_clear(&pairs);
+	skh_kv_pairs_clear(&pairs);
 	return true;
 }
 
-static bool read_prefix(skh_feed_t *feed, const char *prefix, skh_pairs_t *pairs, skh_error_t *err)
+static bool read_prefix(skh_feed_t *feed, const char *prefix, skh_kv_pairs_t *pairs,
+			skh_error_t *err)
 {
 	skh_store_t *store = feed->options.store;
 
@@ -186,14 +187,15 @@
 	return true;
 }
 
-static void retain_listed(skh_feed_t *feed, const skh_pairs_t *pairs)
+static void retain_listed(skh_feed_t *feed, const skh_kv_pairs_t *pairs)
 {
 	size_t skip = strlen(feed->options.dialect->servers_prefix);
 	g_autoptr(GHashTable) ids = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (size_t i = 0; i < pairs->count; i++)
 		(void)g_hash_table_add(ids, pairs->list[i].key + skip);
-	if (skh_record_retain(feed->record, ids, may_have_lapsed(feed), skh_clock_boot_us()))
+	if (skh_roster_builder_retain(feed->record, ids, may_have_lapsed(feed),
+				      skh_clock_boot_us()))
 		feed->roster_changed = true;
 }
 
@@ -209,9 +211,9 @@
 /* Reads everything, as at the start and when the store's history is gone. */
 static bool read_all(skh_feed_t *feed, skh_error_t *err)
 {
-	skh_pairs_t servers;
-	skh_pairs_t peers;
-	skh_pairs_t notices;
+	skh_kv_pairs_t servers;
+	skh_kv_pairs_t peers;
+	skh_kv_pairs_t notices;
 	int64_t revision;
 
 	if (!read_config(feed, &revision, err))
@@ -220,14 +222,14 @@
 	if (!read_prefix(feed, feed->options.dialect->servers_prefix, &servers, err))
 		return false;
 	retain_listed(feed, &servers);
-	skh_pairs_clear(&servers);
+	skh_kv_pairs_clear(&servers);
 	if (!read_prefix(feed, feed->options.peers_prefix, &peers, err))
 		return false;
-	skh_pairs_clear(&peers);
+	skh_kv_pairs_clear(&peers);
 	forget_notices(feed);
-	if (!read_prefix(feed, SKH_NOTICE_PREFIX, &notices, err))
+	if (!read_prefix(feed, SKH_RANK_NOTICE_PREFIX, &notices, err))
 		return false;
-	skh_pairs_clear(&notices);
+	skh_kv_pairs_clear(&notices);
 	feed->after = revision;
 	feed->has_roster = true;
 	feed->roster_changed = true;
@@ -235,12 +237,12 @@
 }
 
 /* Several versions may have come at once: only the newest is read. */
-static void take_changes(skh_feed_t *feed, const skh_changes_t *changes)
+static void take_changes(skh_feed_t *feed, const skh_kv_changes_t *changes)
 {
-	const skh_change_t *config = NULL;
+	const skh_kv_change_t *config = NULL;
 
 	for (size_t i = 0; i < changes->count; i++) {
-		const skh_change_t *change = &changes->list[i];
+		const skh_kv_change_t *change = &changes->list[i];
 
 		if (strcmp(change->key, feed->options.dialect->config_key) == 0)
 			config = change;
@@ -254,9 +256,10 @@
 static bool read_changes(skh_feed_t *feed, skh_error_t *err)
 {
 	skh_store_t *store = feed->options.store;
-	skh_changes_t changes;
+	skh_kv_changes_t changes;
 
-	if (!store->ops->changes(store, "", feed->after, feed->options.wait_ms, &changes, err)) {
+	if (!store->ops->poll_changes(store, "", feed->after, feed->options.poll_timeout_ms,
+				      &changes, err)) {
 		if (err->kind == SKH_STORE_COMPACTED) {
 			skh_log(SKH_LOG_INFO, PART, "Store history is gone; reading all.",
 				"revision=%" G_GINT64_FORMAT, feed->after);
@@ -269,17 +272,17 @@
 	note_answer(feed);
 	take_changes(feed, &changes);
 	feed->after = MAX(feed->after, changes.store_revision);
-	skh_changes_clear(&changes);
+	skh_kv_changes_clear(&changes);
 	return true;
 }
 
 static void publish(skh_feed_t *feed, int64_t config_before)
 {
-	if (skh_record_expire(feed->record, skh_clock_boot_us()))
+	if (skh_roster_builder_expire(feed->record, skh_clock_boot_us()))
 		feed->roster_changed = true;
 	if (feed->roster_changed && feed->has_roster)
 		skh_board_publish_roster(feed->options.board,
-					 skh_record_roster(feed->record, feed->after));
+					 skh_roster_builder_snapshot(feed->record, feed->after));
 	if (feed->roster_changed || feed->config_revision != config_before)
 		feed->options.notify(feed->options.context);
 	feed->roster_changed = false;
@@ -289,7 +292,7 @@
 {
 	skh_store_t *store = feed->options.store;
 	g_autofree char *key = g_strconcat(feed->options.peers_prefix, feed->options.own_id, NULL);
-	skh_op_t put = { SKH_OP_PUT, key, feed->options.own_address, 0 };
+	skh_txn_op_t put = { SKH_TXN_OP_PUT, key, feed->options.own_address, 0 };
 	const skh_txn_t txn = { .ops = &put, .n_ops = 1 };
 	skh_txn_result_t result;
 
@@ -300,7 +303,7 @@
 		feed->lease = 0;
 		return false;
 	}
-	skh_pairs_clear(&result.pairs);
+	skh_kv_pairs_clear(&result.pairs);
 	return true;
 }
 
@@ -317,7 +320,7 @@
 		return;
 	feed->renew_us = now_us + RENEW_US;
 	if (feed->lease != 0) {
-		done = store->ops->lease_keep(store, feed->lease, &ttl_s, &err);
+		done = store->ops->lease_renew(store, feed->lease, &ttl_s, &err);
 		if (done && ttl_s > 0)
 			return;
 		if (done)
@@ -349,7 +352,8 @@
 			__atomic_store_n(&feed->fresh_us, asked_us, __ATOMIC_RELEASE);
 		register_own(feed);
 		if (feed->after != 0)
-			skh_clock_pause(asked_us + feed->options.pace_us - skh_clock_boot_us(),
+			skh_clock_sleep(asked_us + feed->options.poll_interval_us -
+						skh_clock_boot_us(),
 					&feed->stop);
 	}
 	return NULL;
@@ -360,7 +364,7 @@
 	skh_feed_t *feed = g_new0(skh_feed_t, 1);
 
 	feed->options = *options;
-	feed->record = skh_record_new();
+	feed->record = skh_roster_builder_new();
 	feed->peer_changes = 1;
 	feed->peers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	feed->notice_changes = 1;
@@ -374,14 +378,14 @@
 {
 	__atomic_store_n(&feed->stop, true, __ATOMIC_RELEASE);
 	(void)pthread_join(feed->thread, NULL);
-	skh_record_free(feed->record);
+	skh_roster_builder_free(feed->record);
 	g_hash_table_unref(feed->peers);
 	g_hash_table_unref(feed->notices);
 	g_mutex_clear(&feed->lock);
 	g_free(feed);
 }
 
-int64_t skh_feed_fresh_us(const skh_feed_t *feed)
+int64_t skh_feed_fresh_as_of_us(const skh_feed_t *feed)
 {
 	return __atomic_load_n(&feed->fresh_us, __ATOMIC_ACQUIRE);
 }
@@ -402,7 +406,7 @@
 	return list;
 }
 
-GPtrArray *skh_feed_peers(skh_feed_t *feed, uint64_t *seen)
+GPtrArray *skh_feed_get_gateways(skh_feed_t *feed, uint64_t *seen)
 {
 	GPtrArray *list = NULL;
 
@@ -414,7 +418,7 @@
 	return list;
 }
 
-char *skh_feed_notices(skh_feed_t *feed, uint64_t *seen)
+char *skh_feed_get_rank_notices(skh_feed_t *feed, uint64_t *seen)
 {
 	GString *all = NULL;
 	GHashTableIter iter;
--- a/src/fence.h
+++ b/src/fence.h
@@ -16,26 +16,26 @@
 #endif
 
 /* Changes that one lease has room for; a change takes a quarter of a second at least. */
-#define SKH_FENCE_ROOM ((int64_t)1 << 20)
+#define SKH_FENCE_MAX_PER_LEASE ((int64_t)1 << 20)
 
 /** struct skh_fence - zeroed before its first use */
 typedef struct skh_fence {
-	int64_t lease;
-	int64_t number;
+	int64_t lease_revision;
+	int64_t n_reserved;
 } skh_fence_t;
 
 /**
- * skh_fence_next() - the first of @n fences for a new change under @lease
+ * skh_fence_reserve() - the first of @n fences for a new change under @lease
  * @lease: the store's number
  */
-static inline int64_t skh_fence_next(skh_fence_t *fence, int64_t lease, int64_t n)
+static inline int64_t skh_fence_reserve(skh_fence_t *fence, int64_t lease, int64_t n)
 {
 	int64_t first;
 
-	if (lease != fence->lease)
+	if (lease != fence->lease_revision)
 		*fence = (skh_fence_t){ lease, 0 };
-	first = lease * SKH_FENCE_ROOM + fence->number + 1;
-	fence->number += n;
+	first = lease * SKH_FENCE_MAX_PER_LEASE + fence->n_reserved + 1;
+	fence->n_reserved += n;
 	return first;
 }
 
--- a/src/fetch.c
+++ b/src/fetch.c
@@ -18,7 +18,7 @@
 	CURLM *multi;
 	int epoll_fd;
 	int64_t timer_at_us; /* when libcurl wants to be called; INT64_MAX for never */
-	const skh_fetch_events_t *events;
+	const skh_fetch_ops_t *events;
 	void *context;
 	GHashTable *transfers; /* id -> transfer_t */
 	GPtrArray *cancelled;  /* freed outside of libcurl's callbacks */
@@ -79,7 +79,7 @@
 	return 0;
 }
 
-skh_fetch_t *skh_fetch_new(const skh_fetch_events_t *events, void *context)
+skh_fetch_t *skh_fetch_new(const skh_fetch_ops_t *events, void *context)
 {
 	skh_fetch_t *fetch = g_new0(skh_fetch_t, 1);
 
@@ -152,8 +152,8 @@
 	status = status_of(transfer->curl, &content_type);
 	transfer->has_body = true;
 	fetch->in_callback = true;
-	fetch->events->bytes(fetch->context, transfer->id, status, content_type,
-			     skh_chunk_make(data, size * n));
+	fetch->events->on_body(fetch->context, transfer->id, status, content_type,
+			       skh_chunk_make(data, size * n));
 	fetch->in_callback = false;
 	return size * n;
 }
@@ -193,7 +193,7 @@
 void skh_fetch_start(skh_fetch_t *fetch, const skh_fetch_request_t *request, int64_t now_us)
 {
 	transfer_t *transfer = g_new0(transfer_t, 1);
-	int64_t budget_us = MAX(request->finish_by_us - now_us, SKH_US_PER_MS);
+	int64_t budget_us = MAX(request->deadline_us - now_us, SKH_US_PER_MS);
 
 	transfer->id = request->id;
 	transfer->fetch = fetch;
@@ -214,7 +214,7 @@
 	curl_easy_setopt(transfer->curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(transfer->curl, CURLOPT_TIMEOUT_MS, (long)(budget_us / SKH_US_PER_MS));
 	/* libcurl sends a request again when a reused connection closes without an answer. */
-	curl_easy_setopt(transfer->curl, CURLOPT_FRESH_CONNECT, request->once ? 1L : 0L);
+	curl_easy_setopt(transfer->curl, CURLOPT_FRESH_CONNECT, request->at_most_once ? 1L : 0L);
 	set_body(transfer->curl, request);
 	g_hash_table_insert(fetch->transfers, &transfer->id, transfer);
 	/* libcurl takes none while it delivers bytes; nothing is sent then. */
@@ -235,7 +235,7 @@
 		reap_cancelled(fetch);
 }
 
-void skh_fetch_pause(skh_fetch_t *fetch, uint64_t id, bool paused)
+void skh_fetch_set_paused(skh_fetch_t *fetch, uint64_t id, bool paused)
 {
 	transfer_t *transfer = g_hash_table_lookup(fetch->transfers, &id);
 
@@ -247,14 +247,14 @@
 		curl_easy_pause(transfer->curl, CURLPAUSE_CONT);
 }
 
-void skh_fetch_watch(skh_fetch_t *fetch, int fd)
+void skh_fetch_watch_fd(skh_fetch_t *fetch, int fd)
 {
 	struct epoll_event event = { .events = EPOLLIN, .data.fd = fd };
 
 	(void)epoll_ctl(fetch->epoll_fd, EPOLL_CTL_ADD, fd, &event);
 }
 
-static skh_kind_t kind_of(CURLcode code)
+static skh_error_kind_t kind_of(CURLcode code)
 {
 	/* Nothing was sent, so the backend server can't have run anything. */
 	if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST)
@@ -282,8 +282,8 @@
 	else if (!complete)
 		(void)skh_error_set(&err, SKH_BACKEND_FAILED,
 				    "backend server: the answer does not say where it ends");
-	fetch->events->done(fetch->context, transfer->id, status, content_type,
-			    complete ? NULL : &err);
+	fetch->events->on_done(fetch->context, transfer->id, status, content_type,
+			       complete ? NULL : &err);
 	release(fetch, transfer);
 }
 
@@ -336,7 +336,7 @@
 	return (int32_t)MIN((wait_us + SKH_US_PER_MS - 1) / SKH_US_PER_MS, SKH_MS_PER_S);
 }
 
-void skh_fetch_wait(skh_fetch_t *fetch, int64_t until_us)
+void skh_fetch_poll(skh_fetch_t *fetch, int64_t until_us)
 {
 	struct epoll_event events[MAX_EPOLL_EVENTS];
 	int n = epoll_wait(fetch->epoll_fd, events, MAX_EPOLL_EVENTS, wait_ms(fetch, until_us));
--- a/src/forecast.c
+++ b/src/forecast.c
@@ -37,7 +37,7 @@
 	forecast->trend = g_new0(double, n_experts);
 	forecast->shares = g_new(double, n_experts);
 	skh_forecast_set_gains(forecast, LEVEL_GAIN, TREND_GAIN);
-	skh_forecast_restart(forecast);
+	skh_forecast_reset(forecast);
 	return forecast;
 }
 
@@ -47,7 +47,7 @@
 	forecast->trend_gain = trend;
 }
 
-void skh_forecast_restart(skh_forecast_t *forecast)
+void skh_forecast_reset(skh_forecast_t *forecast)
 {
 	forecast->n_seen = 0;
 	for (uint32_t i = 0; i < forecast->n_experts; i++) {
@@ -138,7 +138,8 @@
 	return distance;
 }
 
-double skh_forecast_outcome(const double *before, const double *now, uint32_t n, double *outcome)
+double skh_forecast_extrapolate_shift(const double *before, const double *now, uint32_t n,
+				      double *outcome)
 {
 	double gone = 0.0;
 	double sum = 0.0;
--- a/src/gate.c
+++ b/src/gate.c
@@ -1,7 +1,7 @@
 #include "gate.h"
 
 #include "clock.h"
-#include "fair.h"
+#include "fair_queue.h"
 
 #include <glib.h>
 
@@ -30,7 +30,7 @@
 	uint64_t order; /* of arrival */
 	int64_t arrived_us;
 	uint64_t customer; /* hash of its name */
-	double tag;	   /* see fair.h */
+	double tag;	   /* see fair_queue.h */
 	int64_t start_before_us;
 } slot_t;
 
@@ -45,7 +45,7 @@
 	GHashTable *slots;  /* attempt -> slot_t, owned */
 	GPtrArray *waiting; /* borrowed slots, unordered and short */
 	GQueue settled;	    /* attempts in order of settling */
-	skh_fair_t *fair;
+	skh_fair_queue_t *fair;
 	GQueue evicted; /* slots refused to make room, not told yet */
 	/* While attempts wait: */
 	int64_t last_start_us;	  /* 0 after nobody waited */
@@ -64,7 +64,7 @@
 	gate->waiting = g_ptr_array_new();
 	g_queue_init(&gate->settled);
 	g_queue_init(&gate->evicted);
-	gate->fair = skh_fair_new();
+	gate->fair = skh_fair_queue_new();
 	return gate;
 }
 
@@ -72,7 +72,7 @@
 {
 	g_queue_clear(&gate->settled);
 	g_queue_clear(&gate->evicted);
-	skh_fair_free(gate->fair);
+	skh_fair_queue_free(gate->fair);
 	g_ptr_array_unref(gate->waiting);
 	g_hash_table_unref(gate->slots);
 	g_free(gate);
@@ -109,7 +109,7 @@
 /* Customers that run more than their share leave some room for those that don't. */
 static uint32_t reserve_for(const skh_gate_t *gate, uint64_t customer)
 {
-	return skh_fair_is_over(gate->fair, customer, gate->capacity)
+	return skh_fair_queue_is_over_share(gate->fair, customer, gate->capacity)
 		       ? gate->capacity / RESERVE_DIVISOR
 		       : 0;
 }
@@ -145,7 +145,7 @@
 {
 	slot->state = SLOT_RUNNING;
 	gate->running++;
-	skh_fair_started(gate->fair, slot->customer, slot->tag);
+	skh_fair_queue_start(gate->fair, slot->customer, slot->tag);
 	if (slot->suspect)
 		gate->suspect = slot->attempt;
 }
@@ -173,7 +173,7 @@
 {
 	g_ptr_array_remove_fast(gate->waiting, slot);
 	settle(gate, slot, SLOT_REFUSED);
-	skh_fair_undo(gate->fair, slot->customer);
+	skh_fair_queue_cancel(gate->fair, slot->customer);
 	if (gate->waiting->len == 0)
 		gate->last_start_us = 0;
 }
@@ -215,7 +215,7 @@
 	return true;
 }
 
-static skh_verdict_t enqueue(skh_gate_t *gate, slot_t *slot, int64_t now_us, skh_error_t *err)
+static skh_gate_decision_t enqueue(skh_gate_t *gate, slot_t *slot, int64_t now_us, skh_error_t *err)
 {
 	int64_t start_us = expected_start_us(gate, slot, now_us);
 	double left_us = (double)(slot->start_before_us - now_us);
@@ -223,75 +223,75 @@
 
 	if (in_time && make_room(gate, slot)) {
 		g_ptr_array_add(gate->waiting, slot);
-		return SKH_VERDICT_QUEUE;
+		return SKH_GATE_DECISION_QUEUE;
 	}
 	(void)skh_error_set(err, SKH_OVERLOADED, "%s",
 			    in_time ? "the backend server's queue is full"
 				    : "it could not start in time");
 	err->retry_at_us = start_us;
 	settle(gate, slot, SLOT_REFUSED);
-	skh_fair_undo(gate->fair, slot->customer);
-	return SKH_VERDICT_REFUSE;
+	skh_fair_queue_cancel(gate->fair, slot->customer);
+	return SKH_GATE_DECISION_REJECT;
 }
 
 /* An earlier copy may have run and been forgotten. */
 static bool is_past_memory(const skh_gate_t *gate, const Skh__Start *start, int64_t now_us)
 {
 	return start->incarnation == gate->incarnation &&
-	       now_us - SKH_GATE_MEMORY_US >= start->start_before_us;
+	       now_us - SKH_GATE_RETENTION_US >= start->start_before_us;
 }
 
-skh_verdict_t skh_gate_start(skh_gate_t *gate, const Skh__Start *start, int64_t now_us,
-			     skh_error_t *err)
+skh_gate_decision_t skh_gate_admit(skh_gate_t *gate, const Skh__Start *start, int64_t now_us,
+				   skh_error_t *err)
 {
 	slot_t *slot;
 
 	if (find(gate, start->attempt) || is_past_memory(gate, start, now_us))
-		return SKH_VERDICT_DUPLICATE;
+		return SKH_GATE_DECISION_IGNORE;
 	if (refuse_reason(gate, start, now_us, err)) {
 		if (err->kind != SKH_STALE)
 			remember_refused(gate, start->attempt, start->start_before_us);
-		return SKH_VERDICT_REFUSE;
+		return SKH_GATE_DECISION_REJECT;
 	}
 	slot = add(gate, start->attempt, SLOT_WAITING, start->start_before_us);
 	slot->priority = start->priority;
 	slot->suspect = start->suspect;
 	slot->arrived_us = now_us;
 	slot->customer = hash_customer(start);
-	slot->tag = skh_fair_tag(gate->fair, slot->customer, start->weight);
+	slot->tag = skh_fair_queue_enqueue(gate->fair, slot->customer, start->weight);
 	if (!has_room(gate, slot->suspect, slot->customer))
 		return enqueue(gate, slot, now_us, err);
 	run(gate, slot);
-	return SKH_VERDICT_START;
+	return SKH_GATE_DECISION_START;
 }
 
-uint64_t skh_gate_evicted(skh_gate_t *gate)
+uint64_t skh_gate_pop_evicted(skh_gate_t *gate)
 {
 	slot_t *slot = g_queue_pop_head(&gate->evicted);
 
 	return slot ? slot->attempt : 0;
 }
 
-skh_verdict_t skh_gate_cancel(skh_gate_t *gate, uint64_t attempt)
+skh_gate_decision_t skh_gate_cancel(skh_gate_t *gate, uint64_t attempt)
 {
 	slot_t *slot = find(gate, attempt);
 
 	if (!slot || slot->state == SLOT_ENDED || slot->state == SLOT_REFUSED)
-		return SKH_VERDICT_DUPLICATE;
+		return SKH_GATE_DECISION_IGNORE;
 	if (slot->state == SLOT_RUNNING)
-		return SKH_VERDICT_STARTED;
+		return SKH_GATE_DECISION_ALREADY_STARTED;
 	stop_waiting(gate, slot);
-	return SKH_VERDICT_REFUSE;
+	return SKH_GATE_DECISION_REJECT;
 }
 
-skh_fate_t skh_gate_ask(skh_gate_t *gate, uint64_t attempt, uint64_t incarnation,
-			int64_t start_before_us, int64_t now_us)
+skh_attempt_status_t skh_gate_resolve(skh_gate_t *gate, uint64_t attempt, uint64_t incarnation,
+				      int64_t start_before_us, int64_t now_us)
 {
-	static const skh_fate_t fates[] = {
-		[SLOT_WAITING] = SKH_FATE_WAITING,
-		[SLOT_RUNNING] = SKH_FATE_RUNNING,
-		[SLOT_ENDED] = SKH_FATE_ENDED,
-		[SLOT_REFUSED] = SKH_FATE_REFUSED,
+	static const skh_attempt_status_t fates[] = {
+		[SLOT_WAITING] = SKH_ATTEMPT_STATUS_WAITING,
+		[SLOT_RUNNING] = SKH_ATTEMPT_STATUS_RUNNING,
+		[SLOT_ENDED] = SKH_ATTEMPT_STATUS_ENDED,
+		[SLOT_REFUSED] = SKH_ATTEMPT_STATUS_REJECTED,
 	};
 	const slot_t *slot = find(gate, attempt);
 
@@ -299,26 +299,26 @@
 		return fates[slot->state];
 	/* Past its last moment to start, its slot may have been forgotten. */
 	if (start_before_us <= now_us || incarnation != gate->incarnation)
-		return SKH_FATE_UNKNOWN;
+		return SKH_ATTEMPT_STATUS_UNKNOWN;
 	remember_refused(gate, attempt, start_before_us);
-	return SKH_FATE_REFUSED;
+	return SKH_ATTEMPT_STATUS_REJECTED;
 }
 
-void skh_gate_survived(skh_gate_t *gate, uint64_t attempt)
+void skh_gate_clear_suspect(skh_gate_t *gate, uint64_t attempt)
 {
 	if (gate->suspect == attempt)
 		gate->suspect = 0;
 }
 
-void skh_gate_ended(skh_gate_t *gate, uint64_t attempt, bool started)
+void skh_gate_finish(skh_gate_t *gate, uint64_t attempt, bool started)
 {
 	slot_t *slot = find(gate, attempt);
 
 	if (!slot || slot->state != SLOT_RUNNING)
 		return;
 	gate->running--;
-	skh_fair_ended(gate->fair, slot->customer);
-	skh_gate_survived(gate, attempt);
+	skh_fair_queue_finish(gate->fair, slot->customer);
+	skh_gate_clear_suspect(gate, attempt);
 	settle(gate, slot, started ? SLOT_ENDED : SLOT_REFUSED);
 }
 
@@ -359,7 +359,7 @@
 	return best;
 }
 
-uint64_t skh_gate_next(skh_gate_t *gate, int64_t now_us)
+uint64_t skh_gate_start_next(skh_gate_t *gate, int64_t now_us)
 {
 	slot_t *first = first_in_line(gate, now_us);
 
@@ -387,14 +387,14 @@
 	while (!g_queue_is_empty(&gate->settled)) {
 		slot_t *oldest = g_queue_peek_head(&gate->settled);
 
-		if (oldest->start_before_us > now_us - SKH_GATE_MEMORY_US)
+		if (oldest->start_before_us > now_us - SKH_GATE_RETENTION_US)
 			return;
 		g_queue_pop_head(&gate->settled);
 		g_hash_table_remove(gate->slots, &oldest->attempt);
 	}
 }
 
-uint64_t skh_gate_expire(skh_gate_t *gate, int64_t now_us)
+uint64_t skh_gate_expire_next(skh_gate_t *gate, int64_t now_us)
 {
 	for (size_t i = 0; i < gate->waiting->len; i++) {
 		slot_t *slot = gate->waiting->pdata[i];
@@ -405,11 +405,11 @@
 		}
 	}
 	forget_expired(gate, now_us);
-	skh_fair_trim(gate->fair);
+	skh_fair_queue_evict_idle(gate->fair);
 	return refuse_hopeless(gate, now_us);
 }
 
-void skh_gate_leave(skh_gate_t *gate, bool leaving)
+void skh_gate_set_leaving(skh_gate_t *gate, bool leaving)
 {
 	if (leaving)
 		gate->phase = SKH_PHASE_LEAVING;
@@ -417,7 +417,7 @@
 		gate->phase = SKH_PHASE_STARTING;
 }
 
-uint64_t skh_gate_hand_back(skh_gate_t *gate)
+uint64_t skh_gate_reject_next(skh_gate_t *gate)
 {
 	slot_t *slot;
 
@@ -449,7 +449,7 @@
 	return gate->waiting->len;
 }
 
-size_t skh_gate_remembered(const skh_gate_t *gate)
+size_t skh_gate_retained(const skh_gate_t *gate)
 {
 	return g_hash_table_size(gate->slots);
 }
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -2,12 +2,12 @@
 
 #include "admin.h"
 #include "clock.h"
-#include "culprits.h"
+#include "crash_suspects.h"
 #include "exchange.h"
 #include "gossip.h"
 #include "log.h"
 #include "process.h"
-#include "reload.h"
+#include "settings_watcher.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -30,12 +30,12 @@
 
 typedef struct shell {
 	skh_gateway_t gateway; /* first */
-	skh_pool_options_t pool_options;
+	skh_upstream_pool_options_t pool_options;
 	uv_async_t news;
 	uv_timer_t tick;
 	skh_admin_t *admin;
 	skh_store_t *store;
-	skh_reload_t *reload;
+	skh_settings_watcher_t *reload;
 	uint64_t seen_peers; /* of the feed's */
 	uint64_t seen_notices;
 	gint ready;	  /* read by the administration's threads */
@@ -44,16 +44,16 @@
 	bool closed;
 } shell_t;
 
-int64_t skh_gateway_fresh_age_us(const skh_gateway_t *gateway, int64_t now_us)
+int64_t skh_gateway_config_age_us(const skh_gateway_t *gateway, int64_t now_us)
 {
-	int64_t fresh_us = skh_feed_fresh_us(gateway->feed);
+	int64_t fresh_us = skh_feed_fresh_as_of_us(gateway->feed);
 
 	return fresh_us == 0 ? INT64_MAX : now_us - fresh_us;
 }
 
-bool skh_gateway_keys_hold(const skh_gateway_t *gateway, int64_t now_us)
+bool skh_gateway_can_trust_keys(const skh_gateway_t *gateway, int64_t now_us)
 {
-	return skh_gateway_fresh_age_us(gateway, now_us) <
+	return skh_gateway_config_age_us(gateway, now_us) <
 	       gateway->settings->key_trust_ms * SKH_US_PER_MS;
 }
 
@@ -66,9 +66,9 @@
 {
 	shell_t *shell = context;
 	const skh_settings_t *settings = shell->gateway.settings;
-	const skh_routing_t *routing = skh_board_routing(shell->gateway.board);
-	const skh_roster_t *roster = skh_board_roster(shell->gateway.board);
-	int64_t age_us = skh_gateway_fresh_age_us(&shell->gateway, skh_clock_boot_us());
+	const skh_routing_t *routing = skh_board_acquire_routing(shell->gateway.board);
+	const skh_roster_t *roster = skh_board_acquire_roster(shell->gateway.board);
+	int64_t age_us = skh_gateway_config_age_us(&shell->gateway, skh_clock_boot_us());
 	json_t *servers = json_array();
 	json_t *json;
 
@@ -93,7 +93,7 @@
 	return json;
 }
 
-static const skh_admin_ops_t admin_ops = { .is_ready = is_ready, .status = status };
+static const skh_admin_ops_t admin_ops = { .is_ready = is_ready, .get_status = status };
 
 static void on_notify(void *context)
 {
@@ -108,8 +108,8 @@
 
 	skh_board_release(gateway->routing);
 	skh_board_release(gateway->roster);
-	gateway->routing = skh_board_routing(gateway->board);
-	gateway->roster = skh_board_roster(gateway->board);
+	gateway->routing = skh_board_acquire_routing(gateway->board);
+	gateway->roster = skh_board_acquire_roster(gateway->board);
 	skh_backends_sync(gateway->backends, gateway->roster, gateway->routing);
 	if (gateway->routing)
 		skh_listener_set_limits(gateway->listener, &gateway->routing->limits);
@@ -119,7 +119,7 @@
 static void follow_peers(shell_t *shell)
 {
 	skh_gateway_t *gateway = &shell->gateway;
-	GPtrArray *peers = skh_feed_peers(gateway->feed, &shell->seen_peers);
+	GPtrArray *peers = skh_feed_get_gateways(gateway->feed, &shell->seen_peers);
 
 	if (!peers)
 		return;
@@ -131,12 +131,13 @@
 
 static void follow_notices(shell_t *shell)
 {
-	g_autofree char *notices = skh_feed_notices(shell->gateway.feed, &shell->seen_notices);
+	g_autofree char *notices =
+		skh_feed_get_rank_notices(shell->gateway.feed, &shell->seen_notices);
 
 	if (!notices)
 		return;
-	skh_backends_set_paces(shell->gateway.backends, notices);
-	skh_exchange_follow_paces(&shell->gateway);
+	skh_backends_set_slowdowns(shell->gateway.backends, notices);
+	skh_exchange_move_off_slow_ranks(&shell->gateway);
 }
 
 /*
@@ -146,16 +147,16 @@
 static void update_ready(shell_t *shell, int64_t now_us)
 {
 	skh_gateway_t *gateway = &shell->gateway;
-	bool fresh = skh_gateway_fresh_age_us(gateway, now_us) < READY_US;
+	bool fresh = skh_gateway_config_age_us(gateway, now_us) < READY_US;
 	bool ready = shell->leave_us == 0 && gateway->routing && gateway->roster && fresh;
 
 	if (ready != (g_atomic_int_get(&shell->ready) != 0))
 		skh_log(SKH_LOG_INFO, PART, ready ? "Ready." : "Not ready.",
 			"config_age_ms=%" PRId64 " leaving=%d",
-			skh_gateway_fresh_age_us(gateway, now_us) / SKH_US_PER_MS,
+			skh_gateway_config_age_us(gateway, now_us) / SKH_US_PER_MS,
 			shell->leave_us != 0);
 	g_atomic_int_set(&shell->ready, ready);
-	skh_listener_turn_away(gateway->listener, !fresh);
+	skh_listener_set_close_after_response(gateway->listener, !fresh);
 }
 
 static void begin_stop(shell_t *shell, int64_t now_us)
@@ -164,10 +165,10 @@
 	shell->stop_by_us = now_us + shell->gateway.settings->drain_ms * SKH_US_PER_MS;
 	skh_log(SKH_LOG_INFO, PART, "Planned stop begins.", "in_flight=%u connections=%u",
 		g_queue_get_length(&shell->gateway.exchanges),
-		skh_listener_connections(shell->gateway.listener));
-	skh_board_publish_self(shell->gateway.board,
-			       (skh_self_t){ SKH_LIFE_LEAVING, shell->stop_by_us });
-	skh_listener_retire(shell->gateway.listener);
+		skh_listener_count_connections(shell->gateway.listener));
+	skh_board_publish_lifecycle(shell->gateway.board,
+				    (skh_lifecycle_t){ SKH_LIFECYCLE_LEAVING, shell->stop_by_us });
+	skh_listener_drain(shell->gateway.listener);
 }
 
 static void close_all(shell_t *shell)
@@ -177,7 +178,7 @@
 	shell->closed = true;
 	skh_log(SKH_LOG_INFO, PART, "Planned stop ends.", "in_flight=%u connections=%u",
 		g_queue_get_length(&gateway->exchanges),
-		skh_listener_connections(gateway->listener));
+		skh_listener_count_connections(gateway->listener));
 	skh_listener_close(gateway->listener);
 	skh_gossip_close(gateway->gossip);
 	uv_close((uv_handle_t *)&shell->tick, NULL);
@@ -190,8 +191,8 @@
 	skh_gateway_t *gateway = &shell->gateway;
 	bool idle = g_queue_is_empty(&gateway->exchanges);
 
-	if (now_us >= shell->leave_us + LAME_DUCK_US && !gateway->refuses) {
-		gateway->refuses = true;
+	if (now_us >= shell->leave_us + LAME_DUCK_US && !gateway->rejects_requests) {
+		gateway->rejects_requests = true;
 		skh_listener_stop_accepting(gateway->listener);
 	}
 	if (now_us >= shell->stop_by_us || (idle && now_us >= shell->leave_us + LAME_DUCK_US))
@@ -201,14 +202,14 @@
 static void apply_settings(skh_gateway_t *gateway, const skh_settings_t *settings)
 {
 	gateway->settings = settings;
-	gateway->retry_bounds.ratio = (double)settings->retry_percent / 100.0;
-	gateway->retry_bounds.least = (double)settings->retry_least;
+	gateway->retry_bounds.retry_ratio = (double)settings->retry_percent / 100.0;
+	gateway->retry_bounds.min_retries = (double)settings->retry_least;
 	gateway->retry_bounds.window_us = settings->retry_window_ms * SKH_US_PER_MS;
 }
 
 static void follow_settings(shell_t *shell, int64_t now_us)
 {
-	const skh_settings_t *fresh = skh_reload_look(shell->reload, now_us);
+	const skh_settings_t *fresh = skh_settings_watcher_poll(shell->reload, now_us);
 
 	if (fresh)
 		apply_settings(&shell->gateway, fresh);
@@ -237,16 +238,16 @@
 
 	apply_settings(gateway, settings);
 	gateway->retry_bounds.gateways = LEAST_GATEWAYS;
-	shell->reload = skh_reload_new(settings);
+	shell->reload = skh_settings_watcher_new(settings);
 	gateway->board = skh_board_new();
-	gateway->culprits = skh_culprits_new();
+	gateway->crash_suspects = skh_crash_suspects_new();
 	g_queue_init(&gateway->exchanges);
-	shell->pool_options = (skh_pool_options_t){
-		.attempt_header = gateway->dialect->headers[SKH_HEADER_ATTEMPT_ID],
+	shell->pool_options = (skh_upstream_pool_options_t){
+		.attempt_id_header = gateway->dialect->headers[SKH_HEADER_ATTEMPT_ID],
 		.connect_timeout_us = CONNECT_TIMEOUT_US,
-		.silence_timeout_us = SILENCE_TIMEOUT_US,
-		.max_idle_us = MAX_IDLE_US,
-		.max_idle = MAX_IDLE,
+		.unacked_timeout_us = SILENCE_TIMEOUT_US,
+		.idle_timeout_us = MAX_IDLE_US,
+		.max_idle_connections = MAX_IDLE,
 	};
 	(void)uv_loop_init(&gateway->loop);
 	(void)uv_async_init(&gateway->loop, &shell->news, on_news);
@@ -262,8 +263,8 @@
 	skh_feed_options_t options = {
 		.dialect = shell->gateway.dialect,
 		.board = shell->gateway.board,
-		.pace_us = settings->poll_pace_ms * SKH_US_PER_MS,
-		.wait_ms = settings->poll_wait_ms,
+		.poll_interval_us = settings->poll_pace_ms * SKH_US_PER_MS,
+		.poll_timeout_ms = settings->poll_wait_ms,
 		.peers_prefix = settings->peers_prefix,
 		.own_id = settings->id,
 		.own_address = settings->gossip_listen,
@@ -271,7 +272,7 @@
 		.context = shell,
 	};
 
-	shell->store = shell->gateway.dialect->open_store(skh_settings_endpoint(settings, 0),
+	shell->store = shell->gateway.dialect->open_store(skh_settings_store_endpoint(settings, 0),
 							  settings->store_timeout_ms);
 	options.store = shell->store;
 	shell->gateway.feed = skh_feed_start(&options);
@@ -294,7 +295,7 @@
 	if (!shell->admin)
 		return false;
 	start_feed(shell);
-	skh_board_publish_self(gateway->board, (skh_self_t){ SKH_LIFE_SERVING, 0 });
+	skh_board_publish_lifecycle(gateway->board, (skh_lifecycle_t){ SKH_LIFECYCLE_SERVING, 0 });
 	skh_log(SKH_LOG_INFO, PART, "Gateway is listening.", "id=%s callers=%s admin=%s",
 		settings->id, settings->http_listen, settings->admin_listen);
 	return true;
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -20,7 +20,7 @@
 #endif
 
 typedef struct skh_gossip skh_gossip_t;
-typedef struct skh_culprits skh_culprits_t;
+typedef struct skh_crash_suspects skh_crash_suspects_t;
 
 /** struct skh_gateway - what its parts share; the loop's thread only, but for the board */
 typedef struct skh_gateway {
@@ -32,23 +32,23 @@
 	skh_backends_t *backends;
 	skh_listener_t *listener;
 	skh_gossip_t *gossip;
-	skh_culprits_t *culprits;
+	skh_crash_suspects_t *crash_suspects;
 	const skh_routing_t *routing; /* a reference, or NULL before the first */
 	const skh_roster_t *roster;
-	skh_retryshare_bounds_t retry_bounds;
+	skh_retry_share_limits_t retry_bounds;
 	GQueue exchanges; /* open ones */
 	bool dispatching;
-	bool refuses; /* a planned stop has gone on for so long that callers go elsewhere */
+	bool rejects_requests; /* a planned stop has gone on for so long that callers go elsewhere */
 } skh_gateway_t;
 
 /** skh_gateway_main() - run a gateway until SIGTERM or SIGINT; the exit status */
 int skh_gateway_main(const skh_settings_t *settings);
 
-/** skh_gateway_fresh_age_us() - how long ago the store had nothing newer; INT64_MAX if never */
-int64_t skh_gateway_fresh_age_us(const skh_gateway_t *gateway, int64_t now_us);
+/** skh_gateway_config_age_us() - how long ago the store had nothing newer; INT64_MAX if never */
+int64_t skh_gateway_config_age_us(const skh_gateway_t *gateway, int64_t now_us);
 
-/** skh_gateway_keys_hold() - customers' keys may still be taken for valid */
-bool skh_gateway_keys_hold(const skh_gateway_t *gateway, int64_t now_us);
+/** skh_gateway_can_trust_keys() - customers' keys may still be taken for valid */
+bool skh_gateway_can_trust_keys(const skh_gateway_t *gateway, int64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/src/gossip.c
+++ b/src/gossip.c
@@ -2,7 +2,7 @@
 
 #include "address.h"
 #include "clock.h"
-#include "culprits.h"
+#include "crash_suspects.h"
 #include "log.h"
 #include "metrics.h"
 #include "wire.pb-c.h"
@@ -80,7 +80,7 @@
 
 static void sum_up(skh_gossip_t *gossip)
 {
-	skh_backends_each_target(gossip->gateway->backends, sum_target, gossip);
+	skh_backends_for_each_target(gossip->gateway->backends, sum_target, gossip);
 }
 
 static void take_report(skh_gossip_t *gossip, const Skh__LoadReport *message)
@@ -104,8 +104,9 @@
 		(void)g_hash_table_insert(report->running, GUINT_TO_POINTER(message->servers[i]),
 					  GUINT_TO_POINTER(message->running.data[i]));
 	for (size_t i = 0; i < message->n_culprits && i < message->n_crashes; i++)
-		skh_culprits_hold(gossip->gateway->culprits, message->culprits[i],
-				  message->crashes[i], now_us);
+		skh_crash_suspects_add_remote_crash(gossip->gateway->crash_suspects,
+						    message->culprits[i], message->crashes[i],
+						    now_us);
 	sum_up(gossip);
 }
 
@@ -296,7 +297,7 @@
 	forget_old(gossip, now_us);
 	if (now_us < gossip->next_us || gossip->peers->len == 0)
 		return;
-	skh_backends_each_target(gossip->gateway->backends, add_target, &draft);
+	skh_backends_for_each_target(gossip->gateway->backends, add_target, &draft);
 	add_culprits(gossip, &draft);
 	hash = hash_draft(&draft);
 	if (hash == gossip->last_hash && now_us - gossip->last_us < MOST_PAUSE_US)
@@ -308,7 +309,7 @@
 					 MOST_PAUSE_US);
 }
 
-void skh_gossip_add_culprit(skh_gossip_t *gossip, uint64_t content, uint64_t crash)
+void skh_gossip_add_crash_suspect(skh_gossip_t *gossip, uint64_t content, uint64_t crash)
 {
 	told_culprit_t *oldest = &gossip->culprits[0];
 
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -28,8 +28,8 @@
 /** skh_gossip_tick() - send what is due, forget what is too old */
 void skh_gossip_tick(skh_gossip_t *gossip);
 
-/** skh_gossip_add_culprit() - tell the others of it for a while */
-void skh_gossip_add_culprit(skh_gossip_t *gossip, uint64_t content, uint64_t crash);
+/** skh_gossip_add_crash_suspect() - tell the others of it for a while */
+void skh_gossip_add_crash_suspect(skh_gossip_t *gossip, uint64_t content, uint64_t crash);
 
 void skh_gossip_close(skh_gossip_t *gossip);
 void skh_gossip_free(skh_gossip_t *gossip);
--- a/src/relief.c
+++ b/src/greedy_rebalance.c
@@ -1,17 +1,17 @@
-#include "relief.h"
+#include "greedy_rebalance.h"
 
 #include <glib.h>
 #include <stdbool.h>
 #include <string.h>
 
-struct skh_relief {
-	skh_relief_view_t view;
+struct skh_greedy_rebalance {
+	skh_greedy_rebalance_input_t view;
 	uint32_t *map;
-	uint32_t *loads_left;			   /* of all sets */
-	uint32_t spare_left[SKH_RELIEF_MAX_RANKS]; /* of this one */
-	uint32_t *count;			   /* ranks that hold an expert */
-	double *highest;			   /* load of the fullest of them */
-	double load[SKH_RELIEF_MAX_RANKS];
+	uint32_t *loads_left;				     /* of all sets */
+	uint32_t spare_left[SKH_GREEDY_REBALANCE_MAX_RANKS]; /* of this one */
+	uint32_t *count;				     /* ranks that hold an expert */
+	double *highest;				     /* load of the fullest of them */
+	double load[SKH_GREEDY_REBALANCE_MAX_RANKS];
 	/* These follow from the above: */
 	uint32_t full;	  /* the fullest rank */
 	double roughness; /* sum of squares: falls when any full rank is relieved */
@@ -25,35 +25,35 @@
 	double height; /* greatest load among the ranks that it touches */
 } step_t;
 
-static double pace_of(const skh_relief_t *state, uint32_t rank)
+static double pace_of(const skh_greedy_rebalance_t *state, uint32_t rank)
 {
-	return state->view.paces ? state->view.paces[rank] : 1.0;
+	return state->view.slowdowns ? state->view.slowdowns[rank] : 1.0;
 }
 
-static uint32_t *row_of(const skh_relief_t *state, uint32_t rank)
+static uint32_t *row_of(const skh_greedy_rebalance_t *state, uint32_t rank)
 {
-	return state->map + (size_t)rank * state->view.n_places;
+	return state->map + (size_t)rank * state->view.n_slots;
 }
 
-static double part_of(const skh_relief_t *state, uint32_t expert)
+static double part_of(const skh_greedy_rebalance_t *state, uint32_t expert)
 {
 	return state->view.shares[expert] / (double)MAX(state->count[expert], 1);
 }
 
-static bool holds(const skh_relief_t *state, uint32_t rank, uint32_t expert)
+static bool holds(const skh_greedy_rebalance_t *state, uint32_t rank, uint32_t expert)
 {
 	const uint32_t *row = row_of(state, rank);
 
-	for (uint32_t i = 0; i < state->view.n_places; i++) {
+	for (uint32_t i = 0; i < state->view.n_slots; i++) {
 		if (row[i] == expert + 1)
 			return true;
 	}
 	return false;
 }
 
-static void count_holders(skh_relief_t *state)
+static void count_holders(skh_greedy_rebalance_t *state)
 {
-	uint32_t n = state->view.n_ranks * state->view.n_places;
+	uint32_t n = state->view.n_ranks * state->view.n_slots;
 
 	memset(state->count, 0, sizeof(uint32_t) * state->view.n_experts);
 	for (uint32_t i = 0; i < n; i++) {
@@ -62,20 +62,20 @@
 	}
 }
 
-static void find_highest(skh_relief_t *state)
+static void find_highest(skh_greedy_rebalance_t *state)
 {
 	memset(state->highest, 0, sizeof(double) * state->view.n_experts);
 	for (uint32_t rank = 0; rank < state->view.n_ranks; rank++) {
 		const uint32_t *row = row_of(state, rank);
 
-		for (uint32_t i = 0; i < state->view.n_places; i++) {
+		for (uint32_t i = 0; i < state->view.n_slots; i++) {
 			if (row[i] > 0 && state->load[rank] > state->highest[row[i] - 1])
 				state->highest[row[i] - 1] = state->load[rank];
 		}
 	}
 }
 
-static void sum_up(skh_relief_t *state)
+static void sum_up(skh_greedy_rebalance_t *state)
 {
 	state->full = 0;
 	state->roughness = 0.0;
@@ -86,14 +86,14 @@
 	}
 }
 
-static void find_loads(skh_relief_t *state)
+static void find_loads(skh_greedy_rebalance_t *state)
 {
 	count_holders(state);
 	for (uint32_t rank = 0; rank < state->view.n_ranks; rank++) {
 		const uint32_t *row = row_of(state, rank);
 
 		state->load[rank] = 0.0;
-		for (uint32_t i = 0; i < state->view.n_places; i++) {
+		for (uint32_t i = 0; i < state->view.n_slots; i++) {
 			if (row[i] > 0)
 				state->load[rank] += part_of(state, row[i] - 1);
 		}
@@ -104,7 +104,7 @@
 }
 
 /* One more holder of @expert, @rank, or one less: the others' parts change. */
-static void change_holders(skh_relief_t *state, uint32_t rank, uint32_t expert, bool more)
+static void change_holders(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t expert, bool more)
 {
 	double before = part_of(state, expert);
 	double change;
@@ -119,7 +119,7 @@
 }
 
 /* Puts @content into @cell of @rank. */
-static void put(skh_relief_t *state, uint32_t rank, uint32_t *cell, uint32_t content)
+static void put(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *cell, uint32_t content)
 {
 	uint32_t before = *cell;
 
@@ -133,7 +133,7 @@
 }
 
 /* What its other holders get when a replica of @expert goes. */
-static double burden_of(const skh_relief_t *state, uint32_t expert)
+static double burden_of(const skh_greedy_rebalance_t *state, uint32_t expert)
 {
 	uint32_t count = state->count[expert];
 
@@ -144,13 +144,13 @@
  * The place of @rank that is given up most easily; false when there is none.
  * @others: load of the fullest rank that gets what the place gave up
  */
-static bool find_place(const skh_relief_t *state, uint32_t rank, uint32_t *place, double *freed,
-		       double *others)
+static bool find_place(const skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *place,
+		       double *freed, double *others)
 {
 	const uint32_t *row = row_of(state, rank);
 	bool found = false;
 
-	for (uint32_t i = 0; i < state->view.n_places; i++) {
+	for (uint32_t i = 0; i < state->view.n_slots; i++) {
 		double load;
 
 		if (row[i] == 0) {
@@ -173,7 +173,7 @@
 }
 
 /* Where one more replica of @expert weighs least. */
-static bool find_step(const skh_relief_t *state, uint32_t expert, step_t *best)
+static bool find_step(const skh_greedy_rebalance_t *state, uint32_t expert, step_t *best)
 {
 	double part = state->view.shares[expert] / (double)(state->count[expert] + 1);
 	bool found = false;
@@ -197,12 +197,12 @@
 	return found;
 }
 
-static uint32_t heaviest_on(const skh_relief_t *state, uint32_t rank, double below)
+static uint32_t heaviest_on(const skh_greedy_rebalance_t *state, uint32_t rank, double below)
 {
 	const uint32_t *row = row_of(state, rank);
 	uint32_t heaviest = state->view.n_experts;
 
-	for (uint32_t i = 0; i < state->view.n_places; i++) {
+	for (uint32_t i = 0; i < state->view.n_slots; i++) {
 		if (row[i] == 0 || part_of(state, row[i] - 1) >= below)
 			continue;
 		if (heaviest == state->view.n_experts ||
@@ -212,18 +212,19 @@
 	return heaviest;
 }
 
-static double height(const skh_relief_t *state)
+static double height(const skh_greedy_rebalance_t *state)
 {
 	return state->load[state->full];
 }
 
 /* Puts @content into @cell if that is for the better. */
-static bool try_content(skh_relief_t *state, uint32_t rank, uint32_t *cell, uint32_t content)
+static bool try_content(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *cell,
+			uint32_t content)
 {
 	uint32_t before = *cell;
 	double height_before = height(state);
 	double rough_before = state->roughness;
-	double least = state->view.least_gain / (double)state->view.n_ranks;
+	double least = state->view.min_gain / (double)state->view.n_ranks;
 
 	put(state, rank, cell, content);
 	if (height(state) < height_before - least ||
@@ -235,7 +236,7 @@
 	return false;
 }
 
-static bool try_step(skh_relief_t *state, const step_t *step)
+static bool try_step(skh_greedy_rebalance_t *state, const step_t *step)
 {
 	if (!try_content(state, step->rank, row_of(state, step->rank) + step->place,
 			 step->expert + 1))
@@ -246,13 +247,13 @@
 }
 
 /* A replica on the fullest rank is given up: its other holders take its part. */
-static bool give_up(skh_relief_t *state, uint32_t full)
+static bool give_up(skh_greedy_rebalance_t *state, uint32_t full)
 {
 	uint32_t *row = row_of(state, full);
 	double best_height = state->load[full];
-	uint32_t best = state->view.n_places;
+	uint32_t best = state->view.n_slots;
 
-	for (uint32_t i = 0; i < state->view.n_places; i++) {
+	for (uint32_t i = 0; i < state->view.n_slots; i++) {
 		double left;
 		double others;
 
@@ -267,18 +268,18 @@
 			best = i;
 		}
 	}
-	return best < state->view.n_places && try_content(state, full, row + best, 0);
+	return best < state->view.n_slots && try_content(state, full, row + best, 0);
 }
 
 /* Relieves the fullest rank: without a load, or by one of its heaviest expert or the next. */
-bool skh_relief_step(skh_relief_t *state)
+bool skh_greedy_rebalance_step(skh_greedy_rebalance_t *state)
 {
 	uint32_t full = state->full;
 	double below = 2.0;
 
 	if (give_up(state, full))
 		return true;
-	for (uint32_t i = 0; i < state->view.n_places; i++) {
+	for (uint32_t i = 0; i < state->view.n_slots; i++) {
 		uint32_t expert = heaviest_on(state, full, below);
 		step_t step;
 
@@ -292,10 +293,11 @@
 	return false;
 }
 
-skh_relief_t *skh_relief_new(const skh_relief_view_t *view, uint32_t *map, uint32_t spare,
-			     uint32_t *loads_left)
+skh_greedy_rebalance_t *skh_greedy_rebalance_new(const skh_greedy_rebalance_input_t *view,
+						 uint32_t *map, uint32_t spare,
+						 uint32_t *loads_left)
 {
-	skh_relief_t *relief = g_new0(skh_relief_t, 1);
+	skh_greedy_rebalance_t *relief = g_new0(skh_greedy_rebalance_t, 1);
 
 	relief->view = *view;
 	relief->map = map;
@@ -308,14 +310,14 @@
 	return relief;
 }
 
-void skh_relief_free(skh_relief_t *relief)
+void skh_greedy_rebalance_free(skh_greedy_rebalance_t *relief)
 {
 	g_free(relief->count);
 	g_free(relief->highest);
 	g_free(relief);
 }
 
-double skh_relief_skew(const skh_relief_t *relief)
+double skh_greedy_rebalance_skew(const skh_greedy_rebalance_t *relief)
 {
 	return height(relief) * (double)relief->view.n_ranks;
 }
--- a/src/group.c
+++ b/src/group_member.c
@@ -1,4 +1,4 @@
-#include "group.h"
+#include "group_member.h"
 
 #include "clock.h"
 #include "fetch.h"
@@ -17,7 +17,7 @@
 struct skh_group_member {
 	const skh_settings_t *settings;
 	skh_board_t *board;
-	skh_port_t *port;
+	skh_sidecar_link_t *port;
 	skh_backend_t *backend;
 	skh_fetch_t *fetch;
 	skh_leader_t *leader;
@@ -58,22 +58,23 @@
 	if (!succeeded)
 		skh_log(SKH_LOG_WARNING, PART, "The engine did not carry out an order.",
 			"status=%d reason=%s", status, err ? err->text : "");
-	skh_rank_engine_done(&member->rank, succeeded);
+	skh_rank_complete_order(&member->rank, succeeded);
 }
 
 static skh_order_outcome_t take_order(skh_group_member_t *member, const skh_order_t *order,
 				      const char *placement)
 {
-	skh_order_outcome_t outcome = skh_rank_order(&member->rank, order);
+	skh_order_outcome_t outcome = skh_rank_handle_order(&member->rank, order);
 
-	if (outcome != SKH_ORDER_TO_ENGINE)
+	if (outcome != SKH_ORDER_FORWARD)
 		return outcome;
 	if (order->step == SKH_STEP_PREPARE) {
 		g_free(member->placement);
 		member->placement = g_strdup(placement);
 	}
-	member->backend->ops->order(member->backend, member->fetch, ++member->orders, order,
-				    member->placement ? member->placement : "", skh_clock_now_us());
+	member->backend->ops->send_map_order(member->backend, member->fetch, ++member->orders,
+					     order, member->placement ? member->placement : "",
+					     skh_clock_now_us());
 	return SKH_ORDER_BUSY;
 }
 
@@ -93,11 +94,11 @@
 	reply.fence = order.fence;
 	reply.step = body->step;
 	reply.version = order.version;
-	reply.fence_seen = member->rank.fence;
-	reply.in_place = skh_rank_is_in_place(&member->rank, order.version);
+	reply.fence_seen = member->rank.highest_fence;
+	reply.in_place = skh_rank_is_running_version(&member->rank, order.version);
 	frame.body_case = SKH__FRAME__BODY_ORDER_REPLY;
 	frame.order_reply = &reply;
-	(void)skh_port_send(member->port, peer, &frame);
+	(void)skh_sidecar_link_send(member->port, peer, &frame);
 }
 
 static void on_reply(skh_group_member_t *member, const Skh__OrderReply *body)
@@ -105,8 +106,8 @@
 	const skh_order_t order = { body->fence, (skh_order_step_t)body->step, body->version };
 
 	if (member->mapswitch && strcmp(body->group, member->settings->backend_group) == 0)
-		skh_mapswitch_reply(member->mapswitch, body->rank, &order,
-				    (skh_order_outcome_t)body->outcome, body->in_place);
+		skh_mapswitch_record_reply(member->mapswitch, body->rank, &order,
+					   (skh_order_outcome_t)body->outcome, body->in_place);
 }
 
 void skh_group_member_on_frame(skh_group_member_t *member, const char *peer,
@@ -126,9 +127,9 @@
 
 	if (!*rank->id)
 		return;
-	if (!g_hash_table_contains(member->connected, rank->link)) {
-		skh_port_connect(member->port, rank->link);
-		g_hash_table_add(member->connected, g_strdup(rank->link));
+	if (!g_hash_table_contains(member->connected, rank->link_address)) {
+		skh_sidecar_link_connect(member->port, rank->link_address);
+		g_hash_table_add(member->connected, g_strdup(rank->link_address));
 	}
 	body.group = (char *)member->settings->backend_group;
 	body.fence = order->fence;
@@ -138,8 +139,8 @@
 		body.placement = member->wanted_placement;
 	frame.body_case = SKH__FRAME__BODY_ORDER;
 	frame.order = &body;
-	frame.revision = (uint64_t)skh_board_revision(member->board);
-	(void)skh_port_send(member->port, rank->id, &frame);
+	frame.revision = (uint64_t)skh_board_config_revision(member->board);
+	(void)skh_sidecar_link_send(member->port, rank->id, &frame);
 }
 
 /* Its own rank gets its orders without the network. */
@@ -147,8 +148,8 @@
 {
 	skh_order_outcome_t outcome = take_order(member, order, member->wanted_placement);
 
-	skh_mapswitch_reply(member->mapswitch, rank, order, outcome,
-			    skh_rank_is_in_place(&member->rank, order->version));
+	skh_mapswitch_record_reply(member->mapswitch, rank, order, outcome,
+				   skh_rank_is_running_version(&member->rank, order->version));
 }
 
 static void send_orders(skh_group_member_t *member, const skh_leader_view_t *view)
@@ -156,7 +157,7 @@
 	for (size_t i = 0; i < view->n_ranks; i++) {
 		skh_order_t order;
 
-		if (!skh_mapswitch_order_for(member->mapswitch, i, &order))
+		if (!skh_mapswitch_next_order(member->mapswitch, i, &order))
 			continue;
 		if ((int64_t)i == member->settings->backend_rank)
 			order_self(member, i, &order);
@@ -182,7 +183,7 @@
 	if (!group)
 		return;
 	g_free(member->wanted_placement);
-	member->wanted_placement = skh_node_to_json(group->placement);
+	member->wanted_placement = skh_doc_node_to_json(group->placement);
 	member->wanted_version =
 		skh_chunk_hash(skh_chunk_from_string(member->wanted_placement), 0) >> 1 | 1;
 	member->wanted_ranks = (size_t)group->ranks;
@@ -190,7 +191,7 @@
 
 static void look_at_wanted(skh_group_member_t *member)
 {
-	const skh_config_t *config = skh_board_config(member->board);
+	const skh_config_t *config = skh_board_acquire_config(member->board);
 
 	if (config && config->revision != member->wanted_revision)
 		take_wanted(member, config);
@@ -234,12 +235,12 @@
 {
 	skh_leader_view_t view;
 
-	skh_leader_look(member->leader, &view);
-	if (view.registered && !member->rank_ready) {
+	skh_leader_get_view(member->leader, &view);
+	if (view.has_fence_floor && !member->rank_ready) {
 		skh_rank_init(&member->rank, view.fence_floor);
 		member->rank_ready = true;
 	}
-	if (view.fence != 0 && now_us < view.leads_until_us && member->rank_ready)
+	if (view.fence != 0 && now_us < view.lease_deadline_us && member->rank_ready)
 		drive(member, &view);
 	else
 		end_switch(member);
@@ -248,23 +249,23 @@
 
 void skh_group_member_tick(skh_group_member_t *member, int64_t now_us)
 {
-	skh_fetch_wait(member->fetch, now_us);
+	skh_fetch_poll(member->fetch, now_us);
 	if (now_us < member->resend_at_us)
 		return;
 	member->resend_at_us = now_us + RESEND_US;
 	look(member, now_us);
 }
 
-uint64_t skh_group_member_version(const skh_group_member_t *member)
+uint64_t skh_group_member_map_version(const skh_group_member_t *member)
 {
 	return member->rank.version;
 }
 
-static const skh_fetch_events_t engine_events = { .bytes = on_engine_bytes,
-						  .done = on_engine_done };
+static const skh_fetch_ops_t engine_events = { .on_body = on_engine_bytes,
+					       .on_done = on_engine_done };
 
 skh_group_member_t *skh_group_member_new(const skh_settings_t *settings, skh_board_t *board,
-					 skh_store_t *store, skh_port_t *port,
+					 skh_store_t *store, skh_sidecar_link_t *port,
 					 skh_backend_t *backend)
 {
 	skh_group_member_t *member = g_new0(skh_group_member_t, 1);
--- a/src/group.h
+++ b/src/group_member.h
@@ -1,5 +1,5 @@
-#ifndef SKH_GROUP_H
-#define SKH_GROUP_H
+#ifndef SKH_GROUP_MEMBER_H
+#define SKH_GROUP_MEMBER_H
 
 /**
  * DOC: Group
@@ -12,7 +12,7 @@
 
 #include "backend.h"
 #include "board.h"
-#include "port.h"
+#include "sidecar_link.h"
 #include "settings.h"
 #include "store.h"
 
@@ -23,7 +23,7 @@
 typedef struct skh_group_member skh_group_member_t;
 
 skh_group_member_t *skh_group_member_new(const skh_settings_t *settings, skh_board_t *board,
-					 skh_store_t *store, skh_port_t *port,
+					 skh_store_t *store, skh_sidecar_link_t *port,
 					 skh_backend_t *backend);
 void skh_group_member_free(skh_group_member_t *member);
 
@@ -34,8 +34,8 @@
 /** skh_group_member_tick() - run transfers and send what is due */
 void skh_group_member_tick(skh_group_member_t *member, int64_t now_us);
 
-/** skh_group_member_version() - map that this rank's engine uses; 0 when not known */
-uint64_t skh_group_member_version(const skh_group_member_t *member);
+/** skh_group_member_map_version() - map that this rank's engine uses; 0 when not known */
+uint64_t skh_group_member_map_version(const skh_group_member_t *member);
 
 #ifdef __cplusplus
 }
--- a/src/groupview.c
+++ b/src/groupview.c
@@ -22,9 +22,9 @@
 #define COMPLAIN_US (500 * SKH_US_PER_MS)
 
 void skh_groupview_init(skh_groupview_t *view, const skh_groupview_options_t *options,
-			const skh_engine_shape_t *shape)
+			const skh_engine_spec_t *shape)
 {
-	*view = (skh_groupview_t){ .options = *options, .shape = *shape };
+	*view = (skh_groupview_t){ .options = *options, .engine_spec = *shape };
 }
 
 void skh_groupview_clear(skh_groupview_t *view)
@@ -35,15 +35,16 @@
 		if (view->ranks[rank].relay)
 			skh_engine_client_free(view->ranks[rank].relay);
 	}
-	if (view->offered)
-		skh_engine_client_free(view->offered);
+	if (view->probe_client)
+		skh_engine_client_free(view->probe_client);
 	g_free(view->map);
-	g_free(view->next);
+	g_free(view->next_map);
 }
 
 size_t skh_groupview_map_size(const skh_groupview_t *view)
 {
-	return (size_t)view->shape.sets * view->n_ranks * view->shape.placements;
+	return (size_t)view->engine_spec.expert_sets * view->n_ranks *
+	       view->engine_spec.expert_slots;
 }
 
 /* --- What ranks' processes tell --- */
@@ -54,9 +55,9 @@
 		return;
 	view->n_ranks = n_ranks;
 	g_free(view->map);
-	g_free(view->next);
+	g_free(view->next_map);
 	view->map = g_new0(uint32_t, skh_groupview_map_size(view) + 1);
-	view->next = g_new0(uint32_t, skh_groupview_map_size(view) + 1);
+	view->next_map = g_new0(uint32_t, skh_groupview_map_size(view) + 1);
 	for (uint32_t rank = 0; rank < SKH_MAPCHANGE_MAX_RANKS; rank++)
 		view->ranks[rank].map_known = false;
 }
@@ -73,16 +74,16 @@
 /* The map that the coordinator has brought is known without asking. */
 static void follow_map(skh_groupview_t *view, uint32_t rank, const skh_engine_report_t *report)
 {
-	uint32_t places = view->shape.placements;
+	uint32_t places = view->engine_spec.expert_slots;
 
 	view->ranks[rank].map_known =
 		report->epoch == view->next_epoch && report->map_version == view->next_version;
 	if (!view->ranks[rank].map_known)
 		return;
-	for (uint32_t set = 0; set < view->shape.sets; set++) {
+	for (uint32_t set = 0; set < view->engine_spec.expert_sets; set++) {
 		size_t at = ((size_t)set * view->n_ranks + rank) * places;
 
-		memcpy(view->map + at, view->next + at, places * sizeof(uint32_t));
+		memcpy(view->map + at, view->next_map + at, places * sizeof(uint32_t));
 	}
 }
 
@@ -90,7 +91,7 @@
 static bool is_of_before(const skh_groupview_t *view, const skh_engine_report_t *report)
 {
 	return report->epoch == view->next_epoch && report->map_version < view->next_version &&
-	       report->pass < view->switched_pass;
+	       report->pass < view->switch_pass;
 }
 
 static void take_state(skh_groupview_t *view, uint32_t rank, const skh_engine_report_t *report,
@@ -98,36 +99,36 @@
 {
 	skh_groupview_rank_t *state = &view->ranks[rank];
 
-	state->told_us = now_us;
+	state->state_updated_us = now_us;
 	if (is_of_before(view, report))
 		return;
-	if (state->reported && (state->report.epoch != report->epoch ||
-				state->report.map_version != report->map_version))
+	if (state->has_report && (state->report.epoch != report->epoch ||
+				  state->report.map_version != report->map_version))
 		follow_map(view, rank, report);
-	if (report->held == 0)
+	if (report->held_pass == 0)
 		state->held_since_us = 0;
 	else if (state->held_since_us == 0)
 		state->held_since_us = now_us;
-	state->reported = true;
+	state->has_report = true;
 	state->report = *report;
 	view->options.on_state(view->options.context, rank, asked_us, now_us);
 }
 
-void skh_groupview_switched(skh_groupview_t *view, int64_t pass, int64_t now_us)
+void skh_groupview_adopt_next_map(skh_groupview_t *view, int64_t pass, int64_t now_us)
 {
-	view->switched_pass = pass;
+	view->switch_pass = pass;
 	/* Passes of before say nothing of those to come. */
 	view->pass_us = 0;
-	view->pass_seen = pass;
-	view->pass_seen_us = now_us;
-	memcpy(view->map, view->next, skh_groupview_map_size(view) * sizeof(uint32_t));
+	view->last_pass = pass;
+	view->last_pass_us = now_us;
+	memcpy(view->map, view->next_map, skh_groupview_map_size(view) * sizeof(uint32_t));
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
 		skh_engine_report_t *report = &view->ranks[rank].report;
 
 		/* Its own report of this comes a little later. */
 		report->map_version = view->next_version;
-		report->prepared = 0;
-		report->armed = 0;
+		report->prepared_version = 0;
+		report->armed_version = 0;
 		view->ranks[rank].map_known = true;
 	}
 }
@@ -135,9 +136,9 @@
 /* @map is the rank's own, [sets][placements]. */
 static void place_map(skh_groupview_t *view, uint32_t rank, const uint32_t *map)
 {
-	uint32_t places = view->shape.placements;
+	uint32_t places = view->engine_spec.expert_slots;
 
-	for (uint32_t set = 0; set < view->shape.sets; set++)
+	for (uint32_t set = 0; set < view->engine_spec.expert_sets; set++)
 		memcpy(view->map + ((size_t)set * view->n_ranks + rank) * places,
 		       map + (size_t)set * places, places * sizeof(uint32_t));
 	view->ranks[rank].map_known = true;
@@ -145,7 +146,7 @@
 
 static void take_map(skh_groupview_t *view, uint32_t rank, const Skh__RankReport *message)
 {
-	size_t n = (size_t)view->shape.sets * view->shape.placements;
+	size_t n = (size_t)view->engine_spec.expert_sets * view->engine_spec.expert_slots;
 	const skh_engine_report_t *report = &view->ranks[rank].report;
 
 	/* It may be that of before a change, which is passed over. */
@@ -156,18 +157,18 @@
 
 static void time_passes(skh_groupview_t *view, int64_t pass, int64_t now_us)
 {
-	int64_t span_us = now_us - view->pass_seen_us;
+	int64_t span_us = now_us - view->last_pass_us;
 
 	if (span_us < PASS_SPAN_US)
 		return;
-	if (pass > view->pass_seen && view->pass_seen > 0)
-		view->pass_us = span_us / (pass - view->pass_seen);
-	view->pass_seen = pass;
-	view->pass_seen_us = now_us;
+	if (pass > view->last_pass && view->last_pass > 0)
+		view->pass_us = span_us / (pass - view->last_pass);
+	view->last_pass = pass;
+	view->last_pass_us = now_us;
 }
 
-bool skh_groupview_report(skh_groupview_t *view, const Skh__RankReport *message, bool own,
-			  int64_t now_us)
+bool skh_groupview_handle_report(skh_groupview_t *view, const Skh__RankReport *message, bool own,
+				 int64_t now_us)
 {
 	const skh_engine_report_t report = {
 		.in_group = true,
@@ -177,10 +178,10 @@
 		.epoch = message->epoch,
 		.pass = message->pass,
 		.map_version = message->map_version,
-		.prepared = message->prepared,
-		.armed = message->armed,
-		.held = message->held,
-		.pace = message->pace,
+		.prepared_version = message->prepared,
+		.armed_version = message->armed,
+		.held_pass = message->held,
+		.slowdown = message->pace,
 	};
 	skh_groupview_rank_t *state;
 
@@ -189,19 +190,19 @@
 		return false;
 	state = &view->ranks[message->rank];
 	/* Datagrams may overtake each other. */
-	if (message->sender == state->sender && message->number <= state->number)
+	if (message->sender == state->sender_id && message->number <= state->sequence)
 		return false;
-	state->sender = message->sender;
-	state->number = message->number;
+	state->sender_id = message->sender;
+	state->sequence = message->number;
 	set_size(view, message->size);
 	set_address(view, &state->engine, message->engine);
 	set_address(view, &state->relay, message->relay);
 	if (own) {
-		view->own = message->rank;
-		view->has_own = true;
+		view->own_rank = message->rank;
+		view->has_own_rank = true;
 		time_passes(view, message->pass, now_us);
 	}
-	state->heard_us = now_us;
+	state->last_received_us = now_us;
 	take_state(view, message->rank, &report, 0, now_us);
 	take_map(view, message->rank, message);
 	return true;
@@ -212,17 +213,17 @@
 static void on_lists(void *context, uint32_t tag, int32_t status, skh_chunk_t body)
 {
 	skh_groupview_t *view = context;
-	uint32_t places = view->shape.placements;
-	uint32_t sets = view->shape.sets;
+	uint32_t places = view->engine_spec.expert_slots;
+	uint32_t sets = view->engine_spec.expert_sets;
 	uint32_t *map;
 	int64_t version;
 	skh_error_t err;
 
-	view->ranks[tag].asking = false;
+	view->ranks[tag].poll_pending = false;
 	if (status != 200)
 		return;
 	map = g_new0(uint32_t, (size_t)sets * places + 1);
-	if (!view->options.dialect->read_lists(body, sets, places, map, &version, &err))
+	if (!view->options.dialect->read_map(body, sets, places, map, &version, &err))
 		skh_log(SKH_LOG_WARNING, PART, "Map not read.", "rank=%u reason=%s", tag, err.text);
 	else if (version == view->ranks[tag].report.map_version)
 		place_map(view, tag, map);
@@ -233,9 +234,9 @@
 {
 	skh_groupview_rank_t *state = &view->ranks[rank];
 
-	state->asking = true;
-	skh_engine_client_get(state->engine, view->options.dialect->lists_path, ASK_TIMEOUT_US,
-			      rank, on_lists, view);
+	state->poll_pending = true;
+	skh_engine_client_get(state->engine, view->options.dialect->map_path, ASK_TIMEOUT_US, rank,
+			      on_lists, view);
 }
 
 static void on_report(void *context, uint32_t tag, int32_t status, skh_chunk_t body)
@@ -244,7 +245,7 @@
 	skh_engine_report_t report;
 	skh_error_t err;
 
-	view->ranks[tag].asking = false;
+	view->ranks[tag].poll_pending = false;
 	if (status != 200)
 		return;
 	if (!view->options.dialect->read_report(body, &report, &err)) {
@@ -254,12 +255,12 @@
 	}
 	if (report.rank != tag)
 		return;
-	take_state(view, tag, &report, view->ranks[tag].asked_us, skh_clock_boot_us());
+	take_state(view, tag, &report, view->ranks[tag].poll_started_us, skh_clock_boot_us());
 	if (!view->ranks[tag].map_known)
 		ask_lists(view, tag);
 }
 
-bool skh_groupview_lacks_ranks(const skh_groupview_t *view)
+bool skh_groupview_has_unknown_ranks(const skh_groupview_t *view)
 {
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
 		if (!view->ranks[rank].engine)
@@ -286,49 +287,49 @@
 	skh_error_t err;
 
 	(void)tag;
-	view->offered_us = 0;
+	view->probe_started_us = 0;
 	if (status != 200 || !view->options.dialect->read_report(body, &report, &err) ||
 	    report.group_size != view->n_ranks || report.rank >= view->n_ranks ||
 	    view->ranks[report.rank].engine)
 		return;
 	set_address(view, &view->ranks[report.rank].engine,
-		    skh_engine_client_address(view->offered));
+		    skh_engine_client_address(view->probe_client));
 	take_state(view, report.rank, &report, 0, skh_clock_boot_us());
 }
 
-bool skh_groupview_offer(skh_groupview_t *view, const char *address, int64_t now_us)
+bool skh_groupview_probe_engine(skh_groupview_t *view, const char *address, int64_t now_us)
 {
 	if (knows_address(view, address))
 		return true;
-	if (view->offered_us != 0)
+	if (view->probe_started_us != 0)
 		return false;
-	view->offered_us = now_us;
-	set_address(view, &view->offered, address);
-	skh_engine_client_get(view->offered, view->options.dialect->report_path, OFFER_TIMEOUT_US,
-			      0, on_offered_report, view);
+	view->probe_started_us = now_us;
+	set_address(view, &view->probe_client, address);
+	skh_engine_client_get(view->probe_client, view->options.dialect->report_path,
+			      OFFER_TIMEOUT_US, 0, on_offered_report, view);
 	return true;
 }
 
-void skh_groupview_ask(skh_groupview_t *view, uint32_t rank, int64_t now_us)
+void skh_groupview_poll_rank(skh_groupview_t *view, uint32_t rank, int64_t now_us)
 {
 	skh_groupview_rank_t *state = &view->ranks[rank];
 
-	if (!state->engine || state->asking)
+	if (!state->engine || state->poll_pending)
 		return;
-	state->asking = true;
-	state->asked_us = now_us;
-	state->ask_us = now_us + ASK_US;
+	state->poll_pending = true;
+	state->poll_started_us = now_us;
+	state->next_poll_us = now_us + ASK_US;
 	skh_engine_client_get(state->engine, view->options.dialect->report_path, ASK_TIMEOUT_US,
 			      rank, on_report, view);
 }
 
-void skh_groupview_ask_silent(skh_groupview_t *view, int64_t now_us)
+void skh_groupview_poll_silent_ranks(skh_groupview_t *view, int64_t now_us)
 {
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
 		skh_groupview_rank_t *state = &view->ranks[rank];
 
-		if (now_us - state->heard_us >= SILENT_US && now_us >= state->ask_us)
-			skh_groupview_ask(view, rank, now_us);
+		if (now_us - state->last_received_us >= SILENT_US && now_us >= state->next_poll_us)
+			skh_groupview_poll_rank(view, rank, now_us);
 	}
 }
 
@@ -337,11 +338,11 @@
 static const char *why_unknown(const skh_groupview_t *view, const skh_groupview_rank_t *state,
 			       int64_t now_us)
 {
-	const skh_groupview_rank_t *own = &view->ranks[view->own];
+	const skh_groupview_rank_t *own = &view->ranks[view->own_rank];
 
-	if (!state->reported || !state->engine)
+	if (!state->has_report || !state->engine)
 		return "never_heard";
-	if (now_us - state->told_us > STALE_US)
+	if (now_us - state->state_updated_us > STALE_US)
 		return "silent";
 	if (state->report.epoch != own->report.epoch)
 		return "epoch";
@@ -350,17 +351,18 @@
 	return state->map_known ? NULL : "map";
 }
 
-bool skh_groupview_is_whole(skh_groupview_t *view, int64_t now_us)
+bool skh_groupview_is_complete(skh_groupview_t *view, int64_t now_us)
 {
-	if (!view->has_own || view->n_ranks == 0 || !view->ranks[view->own].report.group_open)
+	if (!view->has_own_rank || view->n_ranks == 0 ||
+	    !view->ranks[view->own_rank].report.group_open)
 		return false;
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
 		const char *why = why_unknown(view, &view->ranks[rank], now_us);
 
 		if (!why)
 			continue;
-		if (now_us - view->complained_us > COMPLAIN_US) {
-			view->complained_us = now_us;
+		if (now_us - view->last_logged_us > COMPLAIN_US) {
+			view->last_logged_us = now_us;
 			skh_log(SKH_LOG_INFO, PART, "Group is not known.", "rank=%u lacks=%s", rank,
 				why);
 		}
@@ -369,7 +371,7 @@
 	return true;
 }
 
-bool skh_groupview_is_held(const skh_groupview_t *view, int64_t now_us)
+bool skh_groupview_is_held_too_long(const skh_groupview_t *view, int64_t now_us)
 {
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
 		const skh_groupview_rank_t *state = &view->ranks[rank];
--- a/src/http.c
+++ b/src/http.c
@@ -58,7 +58,7 @@
 				       .info = mg_get_request_info(connection),
 				       .extra_headers = SKH_BUFFER_INIT };
 	skh_error_t err;
-	skh_kind_t kind = SKH_BAD_REQUEST;
+	skh_error_kind_t kind = SKH_BAD_REQUEST;
 
 	if (status == HTTP_HEADERS_TOO_LARGE || status == HTTP_TOO_LARGE)
 		kind = SKH_TOO_LARGE;
@@ -69,9 +69,9 @@
 		message = "the request is malformed, or its headers are over " MAX_HEADER_BYTES
 			  " bytes";
 	(void)skh_error_set(&err, kind, "%s", message && *message ? message : "refused");
-	err.run = SKH_RUN_NOT_RUN;
-	skh_http_close_after(&request);
-	skh_http_problem(&request, &err);
+	err.run_state = SKH_RUN_NOT_RUN;
+	skh_http_disable_keep_alive(&request);
+	skh_http_respond_problem(&request, &err);
 	skh_buffer_free(&request.extra_headers);
 	return 0;
 }
@@ -181,21 +181,21 @@
 	int n = 0;
 
 	if (announced > limit) {
-		skh_http_close_after(request);
+		skh_http_disable_keep_alive(request);
 		return skh_error_set(err, SKH_TOO_LARGE,
 				     "the body is over the limit of %" PRId64 " bytes", limit);
 	}
 	while ((n = mg_read(request->connection, bytes, sizeof(bytes))) > 0) {
 		skh_buffer_append(body, skh_chunk_make(bytes, (size_t)n));
 		if ((int64_t)body->len > limit) {
-			skh_http_close_after(request);
+			skh_http_disable_keep_alive(request);
 			return skh_error_set(err, SKH_TOO_LARGE,
 					     "the body is over the limit of %" PRId64 " bytes",
 					     limit);
 		}
 	}
 	if (n < 0 || (announced >= 0 && (int64_t)body->len < announced)) {
-		skh_http_close_after(request);
+		skh_http_disable_keep_alive(request);
 		return skh_error_set(err, SKH_BAD_REQUEST, "the body is shorter than announced");
 	}
 	return true;
@@ -206,7 +206,7 @@
 	skh_buffer_printf(&request->extra_headers, "%s: %s\r\n", name, value);
 }
 
-void skh_http_close_after(skh_http_request_t *request)
+void skh_http_disable_keep_alive(skh_http_request_t *request)
 {
 	request->close_after = true;
 	mg_disable_connection_keep_alive(request->connection);
@@ -246,12 +246,13 @@
 	return sent;
 }
 
-void skh_http_problem_text(const skh_error_t *err, skh_buffer_t *out)
+void skh_http_append_problem(const skh_error_t *err, skh_buffer_t *out)
 {
 	json_t *problem = json_pack("{s:s, s:s, s:i, s:s, s:s, s:s}", "type", "about:blank",
-				    "title", skh_kind_name(err->kind), "status",
-				    skh_kind_http_status(err->kind), "detail", err->text, "kind",
-				    skh_kind_name(err->kind), "run", skh_run_name(err->run));
+				    "title", skh_error_kind_name(err->kind), "status",
+				    skh_error_kind_http_status(err->kind), "detail", err->text,
+				    "kind", skh_error_kind_name(err->kind), "run",
+				    skh_run_state_name(err->run_state));
 	char *text = json_dumps(problem, JSON_COMPACT);
 
 	skh_buffer_append_string(out, text ? text : "{}");
@@ -271,13 +272,13 @@
 	skh_http_add_header(request, "Retry-After", seconds);
 }
 
-void skh_http_problem(skh_http_request_t *request, const skh_error_t *err)
+void skh_http_respond_problem(skh_http_request_t *request, const skh_error_t *err)
 {
 	skh_buffer_t body = SKH_BUFFER_INIT;
 
-	skh_http_problem_text(err, &body);
+	skh_http_append_problem(err, &body);
 	add_retry_after(request, err);
-	(void)skh_http_respond(request, skh_kind_http_status(err->kind), PROBLEM_TYPE,
+	(void)skh_http_respond(request, skh_error_kind_http_status(err->kind), PROBLEM_TYPE,
 			       skh_buffer_chunk(&body));
 	skh_buffer_free(&body);
 }
--- a/src/http.h
+++ b/src/http.h
@@ -50,11 +50,11 @@
 bool skh_http_respond(skh_http_request_t *request, int32_t status, const char *content_type,
 		      skh_chunk_t body);
 
-/** skh_http_problem() - @err as problem+json */
-void skh_http_problem(skh_http_request_t *request, const skh_error_t *err);
+/** skh_http_respond_problem() - @err as problem+json */
+void skh_http_respond_problem(skh_http_request_t *request, const skh_error_t *err);
 
-/** skh_http_problem_text() - append the problem+json document of @err */
-void skh_http_problem_text(const skh_error_t *err, skh_buffer_t *out);
+/** skh_http_append_problem() - append the problem+json document of @err */
+void skh_http_append_problem(const skh_error_t *err, skh_buffer_t *out);
 
 /* A streamed answer: begin, any number of writes, then end or abort. */
 bool skh_http_stream_begin(skh_http_request_t *request, int32_t status, const char *content_type);
@@ -64,8 +64,8 @@
 /** skh_http_stream_abort() - close without the end mark, so no client takes it for whole */
 void skh_http_stream_abort(skh_http_request_t *request);
 
-/** skh_http_close_after() - do not keep the connection after this answer */
-void skh_http_close_after(skh_http_request_t *request);
+/** skh_http_disable_keep_alive() - do not keep the connection after this answer */
+void skh_http_disable_keep_alive(skh_http_request_t *request);
 
 #ifdef __cplusplus
 }
--- a/src/client.c
+++ b/src/http_client.c
@@ -1,4 +1,4 @@
-#include "client.h"
+#include "http_client.h"
 
 #include <curl/curl.h>
 #include <glib.h>
@@ -12,7 +12,8 @@
 	return size * n;
 }
 
-bool skh_client_get(const char *address, const char *path, skh_buffer_t *body, skh_error_t *err)
+bool skh_http_client_get(const char *address, const char *path, skh_buffer_t *body,
+			 skh_error_t *err)
 {
 	CURL *curl = curl_easy_init();
 	g_autofree char *url = g_strdup_printf("http://%s%s", address, path);
--- a/src/message.c
+++ b/src/http_message.c
@@ -1,4 +1,4 @@
-#include "message.h"
+#include "http_message.h"
 
 #include <string.h>
 
@@ -13,54 +13,54 @@
 	g_array_set_size(headers, 0);
 }
 
-static void end_field(skh_message_t *message)
+static void end_field(skh_http_message_t *message)
 {
 	skh_header_t header;
 
-	if (message->name->len == 0)
+	if (message->field_name->len == 0)
 		return;
-	header.name = g_strdup(message->name->str);
-	header.value = g_strchomp(g_strdup(message->value->str));
+	header.name = g_strdup(message->field_name->str);
+	header.value = g_strchomp(g_strdup(message->field_value->str));
 	g_array_append_val(message->headers, header);
-	g_string_truncate(message->name, 0);
-	g_string_truncate(message->value, 0);
+	g_string_truncate(message->field_name, 0);
+	g_string_truncate(message->field_value, 0);
 	message->in_value = false;
 }
 
 /* Nonzero stops the parser. */
-static int add_header_bytes(skh_message_t *message, size_t len)
+static int add_header_bytes(skh_http_message_t *message, size_t len)
 {
 	message->header_bytes += len;
 	if (message->max_header_bytes == 0 || message->header_bytes <= message->max_header_bytes)
 		return 0;
-	message->fault = SKH_HEADERS_TOO_LARGE;
+	message->error_kind = SKH_HEADERS_TOO_LARGE;
 	return 1;
 }
 
 static int on_url(http_parser *parser, const char *at, size_t len)
 {
-	skh_message_t *message = parser->data;
+	skh_http_message_t *message = parser->data;
 
-	g_string_append_len(message->target, at, (gssize)len);
+	g_string_append_len(message->request_target, at, (gssize)len);
 	return add_header_bytes(message, len);
 }
 
 static int on_field(http_parser *parser, const char *at, size_t len)
 {
-	skh_message_t *message = parser->data;
+	skh_http_message_t *message = parser->data;
 
 	if (message->in_value)
 		end_field(message);
-	g_string_append_len(message->name, at, (gssize)len);
+	g_string_append_len(message->field_name, at, (gssize)len);
 	return add_header_bytes(message, len);
 }
 
 static int on_value(http_parser *parser, const char *at, size_t len)
 {
-	skh_message_t *message = parser->data;
+	skh_http_message_t *message = parser->data;
 
 	message->in_value = true;
-	g_string_append_len(message->value, at, (gssize)len);
+	g_string_append_len(message->field_value, at, (gssize)len);
 	return add_header_bytes(message, len);
 }
 
@@ -68,7 +68,7 @@
  * The parser lets names with spaces through, as in "Content-Length : 5". Another
  * reader may take such a field for what it looks like, and find another end.
  */
-static bool has_valid_names(const skh_message_t *message)
+static bool has_valid_names(const skh_http_message_t *message)
 {
 	for (guint i = 0; i < message->headers->len; i++) {
 		const char *name = g_array_index(message->headers, skh_header_t, i).name;
@@ -83,23 +83,23 @@
 
 static int on_headers_complete(http_parser *parser)
 {
-	skh_message_t *message = parser->data;
+	skh_http_message_t *message = parser->data;
 
 	end_field(message);
 	message->head_done = true;
 	if (!has_valid_names(message)) {
-		message->fault = SKH_BAD_REQUEST;
+		message->error_kind = SKH_BAD_REQUEST;
 		return -1;
 	}
 	if (message->max_body_bytes > 0 && !(parser->flags & F_CHUNKED) &&
 	    parser->content_length != UINT64_MAX &&
 	    parser->content_length > message->max_body_bytes) {
-		message->fault = SKH_TOO_LARGE;
+		message->error_kind = SKH_TOO_LARGE;
 		return -1;
 	}
 	if (message->ops->on_head && !message->ops->on_head(message->context, message)) {
-		if (message->fault == SKH_OK)
-			message->fault = SKH_BAD_REQUEST;
+		if (message->error_kind == SKH_OK)
+			message->error_kind = SKH_BAD_REQUEST;
 		return -1;
 	}
 	return message->skip_body ? 1 : 0;
@@ -107,14 +107,14 @@
 
 static int on_body(http_parser *parser, const char *at, size_t len)
 {
-	skh_message_t *message = parser->data;
+	skh_http_message_t *message = parser->data;
 
 	if (message->ops->on_body) {
 		message->ops->on_body(message->context, skh_chunk_make(at, len));
 		return 0;
 	}
 	if (message->max_body_bytes > 0 && message->body.len + len > message->max_body_bytes) {
-		message->fault = SKH_TOO_LARGE;
+		message->error_kind = SKH_TOO_LARGE;
 		return 1;
 	}
 	skh_buffer_append(&message->body, skh_chunk_make(at, len));
@@ -123,7 +123,7 @@
 
 static int on_complete(http_parser *parser)
 {
-	skh_message_t *message = parser->data;
+	skh_http_message_t *message = parser->data;
 
 	end_field(message); /* a trailer of a chunked body */
 	message->done = true;
@@ -140,19 +140,19 @@
 	.on_message_complete = on_complete,
 };
 
-void skh_message_reset(skh_message_t *message, enum http_parser_type type,
-		       const skh_message_ops_t *ops, void *context)
+void skh_http_message_reset(skh_http_message_t *message, enum http_parser_type type,
+			    const skh_http_message_ops_t *ops, void *context)
 {
 	if (!message->headers) {
 		message->headers = g_array_new(FALSE, FALSE, sizeof(skh_header_t));
-		message->target = g_string_new(NULL);
-		message->name = g_string_new(NULL);
-		message->value = g_string_new(NULL);
+		message->request_target = g_string_new(NULL);
+		message->field_name = g_string_new(NULL);
+		message->field_value = g_string_new(NULL);
 	}
 	clear_headers(message->headers);
-	g_string_truncate(message->target, 0);
-	g_string_truncate(message->name, 0);
-	g_string_truncate(message->value, 0);
+	g_string_truncate(message->request_target, 0);
+	g_string_truncate(message->field_name, 0);
+	g_string_truncate(message->field_value, 0);
 	skh_buffer_free(&message->body);
 	http_parser_init(&message->parser, type);
 	message->parser.data = message;
@@ -163,23 +163,24 @@
 	message->skip_body = false;
 	message->head_done = false;
 	message->done = false;
-	message->fault = SKH_OK;
+	message->error_kind = SKH_OK;
 }
 
-void skh_message_free(skh_message_t *message)
+void skh_http_message_free(skh_http_message_t *message)
 {
 	if (!message->headers)
 		return;
 	clear_headers(message->headers);
 	(void)g_array_free(message->headers, TRUE);
-	(void)g_string_free(message->target, TRUE);
-	(void)g_string_free(message->name, TRUE);
-	(void)g_string_free(message->value, TRUE);
+	(void)g_string_free(message->request_target, TRUE);
+	(void)g_string_free(message->field_name, TRUE);
+	(void)g_string_free(message->field_value, TRUE);
 	skh_buffer_free(&message->body);
-	*message = (skh_message_t){ 0 };
+	*message = (skh_http_message_t){ 0 };
 }
 
-bool skh_message_feed(skh_message_t *message, skh_chunk_t bytes, size_t *used, skh_error_t *err)
+bool skh_http_message_feed(skh_http_message_t *message, skh_chunk_t bytes, size_t *used,
+			   skh_error_t *err)
 {
 	enum http_errno code;
 
@@ -195,15 +196,15 @@
 		return true;
 	}
 	if (code != HPE_OK)
-		return skh_error_set(err,
-				     message->fault == SKH_OK ? SKH_BAD_REQUEST : message->fault,
-				     "%s", http_errno_description(code));
+		return skh_error_set(
+			err, message->error_kind == SKH_OK ? SKH_BAD_REQUEST : message->error_kind,
+			"%s", http_errno_description(code));
 	if (message->parser.upgrade)
 		return skh_error_set(err, SKH_BAD_REQUEST, "upgrades are not offered");
 	return true;
 }
 
-bool skh_message_eof(skh_message_t *message)
+bool skh_http_message_feed_eof(skh_http_message_t *message)
 {
 	if (message->done || !message->head_done)
 		return message->done;
@@ -213,7 +214,7 @@
 	return message->done;
 }
 
-const char *skh_message_header(const skh_message_t *message, const char *name)
+const char *skh_http_message_header(const skh_http_message_t *message, const char *name)
 {
 	for (guint i = 0; i < message->headers->len; i++) {
 		const skh_header_t *header = &g_array_index(message->headers, skh_header_t, i);
@@ -224,12 +225,12 @@
 	return NULL;
 }
 
-bool skh_message_keeps_alive(const skh_message_t *message)
+bool skh_http_message_can_keep_alive(const skh_http_message_t *message)
 {
 	return message->done && http_should_keep_alive(&message->parser) != 0;
 }
 
-bool skh_header_is_hop(const char *name)
+bool skh_header_is_hop_by_hop(const char *name)
 {
 	static const char *const hops[] = { "connection",
 					    "keep-alive",
--- a/src/inbox.c
+++ b/src/inbox.c
@@ -20,7 +20,7 @@
 
 static void free_event(gpointer event)
 {
-	skh_event_free(event);
+	skh_attempt_event_free(event);
 }
 
 void skh_inbox_free(skh_inbox_t *inbox)
@@ -31,7 +31,7 @@
 	g_free(inbox);
 }
 
-void skh_inbox_push(skh_inbox_t *inbox, skh_event_t *event)
+void skh_inbox_push(skh_inbox_t *inbox, skh_attempt_event_t *event)
 {
 	g_mutex_lock(&inbox->lock);
 	g_queue_push_tail(&inbox->events, event);
@@ -40,9 +40,9 @@
 }
 
 /* g_cond_wait_until() counts on the monotonic clock, as our deadlines do. */
-skh_event_t *skh_inbox_pop(skh_inbox_t *inbox, int64_t until_us)
+skh_attempt_event_t *skh_inbox_pop(skh_inbox_t *inbox, int64_t until_us)
 {
-	skh_event_t *event;
+	skh_attempt_event_t *event;
 
 	g_mutex_lock(&inbox->lock);
 	while (g_queue_is_empty(&inbox->events)) {
@@ -54,16 +54,16 @@
 	return event;
 }
 
-skh_event_t *skh_event_new(skh_event_type_t type, uint64_t attempt)
+skh_attempt_event_t *skh_attempt_event_new(skh_attempt_event_type_t type, uint64_t attempt)
 {
-	skh_event_t *event = g_new0(skh_event_t, 1);
+	skh_attempt_event_t *event = g_new0(skh_attempt_event_t, 1);
 
 	event->type = type;
 	event->attempt = attempt;
 	return event;
 }
 
-void skh_event_free(skh_event_t *event)
+void skh_attempt_event_free(skh_attempt_event_t *event)
 {
 	if (!event)
 		return;
--- a/src/leader.c
+++ b/src/leader.c
@@ -3,7 +3,7 @@
 #include "clock.h"
 #include "log.h"
 #include "metrics.h"
-#include "node.h"
+#include "doc_node.h"
 
 #include <inttypes.h>
 #include <pthread.h>
@@ -42,16 +42,16 @@
 	const skh_settings_t *settings = leader->settings;
 	g_autofree char *key =
 		g_strdup_printf("%sranks/%04" PRId64, leader->prefix, settings->backend_rank);
-	skh_node_t *node = skh_node_new_table(0);
+	skh_doc_node_t *node = skh_doc_node_new_table(0);
 	g_autofree char *value = NULL;
 	skh_txn_result_t result;
-	skh_op_t put = { SKH_OP_PUT, key, NULL, 0 };
+	skh_txn_op_t put = { SKH_TXN_OP_PUT, key, NULL, 0 };
 	const skh_txn_t txn = { .ops = &put, .n_ops = 1 };
 
-	skh_node_add(node, "id", skh_node_new_text(settings->id, 0));
-	skh_node_add(node, "link", skh_node_new_text(settings->link_listen, 0));
-	value = skh_node_to_json(node);
-	skh_node_free(node);
+	skh_doc_node_add(node, "id", skh_doc_node_new_text(settings->id, 0));
+	skh_doc_node_add(node, "link", skh_doc_node_new_text(settings->link_listen, 0));
+	value = skh_doc_node_to_json(node);
+	skh_doc_node_free(node);
 	put.value = value;
 	return leader->store->ops->txn(leader->store, &txn, &result, err);
 }
@@ -59,23 +59,24 @@
 static void read_rank(skh_leader_rank_t *rank, const char *text)
 {
 	skh_error_t err;
-	skh_node_t *node = skh_node_from_json(skh_chunk_from_string(text), &err);
-	const skh_node_t *id = node ? skh_node_find(node, "id") : NULL;
-	const skh_node_t *link = node ? skh_node_find(node, "link") : NULL;
-
-	(void)g_strlcpy(rank->id, id ? skh_node_text(id) : "", sizeof(rank->id));
-	(void)g_strlcpy(rank->link, link ? skh_node_text(link) : "", sizeof(rank->link));
-	skh_node_free(node);
+	skh_doc_node_t *node = skh_doc_node_from_json(skh_chunk_from_string(text), &err);
+	const skh_doc_node_t *id = node ? skh_doc_node_find(node, "id") : NULL;
+	const skh_doc_node_t *link = node ? skh_doc_node_find(node, "link") : NULL;
+
+	(void)g_strlcpy(rank->id, id ? skh_doc_node_text(id) : "", sizeof(rank->id));
+	(void)g_strlcpy(rank->link_address, link ? skh_doc_node_text(link) : "",
+			sizeof(rank->link_address));
+	skh_doc_node_free(node);
 }
 
 /* Called with the lock held. */
-static void take_ranks(skh_leader_t *leader, const skh_pairs_t *pairs)
+static void take_ranks(skh_leader_t *leader, const skh_kv_pairs_t *pairs)
 {
 	size_t skip = strlen(leader->prefix) + strlen("ranks/");
 	skh_leader_view_t *view = &leader->view;
 
 	for (size_t i = 0; i < pairs->count; i++) {
-		const skh_pair_t *pair = &pairs->list[i];
+		const skh_kv_pair_t *pair = &pairs->list[i];
 		uint64_t rank;
 
 		if (strcmp(pair->key, leader->leader_key) == 0 || strlen(pair->key) <= skip)
@@ -96,22 +97,22 @@
 /* Reads the group's keys; *@holder_fence is 0 when nobody leads. */
 static bool read_group(skh_leader_t *leader, uint64_t *holder_fence, bool *is_ours)
 {
-	const skh_pair_t *holder;
-	skh_pairs_t pairs;
+	const skh_kv_pair_t *holder;
+	skh_kv_pairs_t pairs;
 	skh_error_t err;
 
 	if (!leader->store->ops->range(leader->store, leader->prefix, true, &pairs, &err))
 		return failed(&err);
-	holder = skh_pairs_find(&pairs, leader->leader_key);
+	holder = skh_kv_pairs_find(&pairs, leader->leader_key);
 	*holder_fence = holder ? (uint64_t)holder->create_revision : 0;
 	*is_ours = holder && strcmp(holder->value, leader->value) == 0;
 	g_mutex_lock(&leader->lock);
 	take_ranks(leader, &pairs);
-	if (!leader->view.registered)
+	if (!leader->view.has_fence_floor)
 		leader->view.fence_floor = holder ? *holder_fence : (uint64_t)pairs.store_revision;
-	leader->view.registered = true;
+	leader->view.has_fence_floor = true;
 	g_mutex_unlock(&leader->lock);
-	skh_pairs_clear(&pairs);
+	skh_kv_pairs_clear(&pairs);
 	return true;
 }
 
@@ -122,14 +123,14 @@
 		skh_log(SKH_LOG_INFO, PART, "This sidecar leads its group.",
 			"group=%s fence=%" PRIu64, leader->settings->backend_group, fence);
 	leader->view.fence = fence;
-	leader->view.leads_until_us = until_us;
+	leader->view.lease_deadline_us = until_us;
 	g_mutex_unlock(&leader->lock);
 }
 
 static bool take_lease(skh_leader_t *leader, uint64_t *fence)
 {
-	const skh_compare_t compare = { leader->leader_key, 0 };
-	skh_op_t put = { SKH_OP_PUT, leader->leader_key, leader->value, 0 };
+	const skh_txn_compare_t compare = { leader->leader_key, 0 };
+	skh_txn_op_t put = { SKH_TXN_OP_PUT, leader->leader_key, leader->value, 0 };
 	const skh_txn_t txn = { .compares = &compare, .n_compares = 1, .ops = &put, .n_ops = 1 };
 	skh_txn_result_t result;
 	skh_error_t err;
@@ -141,7 +142,7 @@
 	if (!leader->store->ops->txn(leader->store, &txn, &result, &err))
 		return failed(&err);
 	*fence = (uint64_t)result.pairs.store_revision;
-	skh_pairs_clear(&result.pairs);
+	skh_kv_pairs_clear(&result.pairs);
 	return result.succeeded;
 }
 
@@ -165,7 +166,7 @@
 	bool is_ours;
 	skh_error_t err;
 
-	if (!leader->store->ops->lease_keep(leader->store, leader->lease, &ttl_s, &err)) {
+	if (!leader->store->ops->lease_renew(leader->store, leader->lease, &ttl_s, &err)) {
 		(void)failed(&err);
 		return;
 	}
@@ -179,11 +180,11 @@
 {
 	skh_error_t err;
 
-	if (!leader->view.registered && !put_rank(leader, &err)) {
+	if (!leader->view.has_fence_floor && !put_rank(leader, &err)) {
 		(void)failed(&err);
 		return START_US;
 	}
-	if (leader->view.fence != 0 && skh_clock_now_us() < leader->view.leads_until_us) {
+	if (leader->view.fence != 0 && skh_clock_now_us() < leader->view.lease_deadline_us) {
 		lead(leader);
 		return LEAD_US;
 	}
@@ -244,7 +245,7 @@
 	g_free(leader);
 }
 
-void skh_leader_look(skh_leader_t *leader, skh_leader_view_t *view)
+void skh_leader_get_view(skh_leader_t *leader, skh_leader_view_t *view)
 {
 	g_mutex_lock(&leader->lock);
 	*view = leader->view;
--- a/src/lease.h
+++ b/src/lease.h
@@ -21,9 +21,9 @@
  */
 typedef struct skh_period_lease {
 	int64_t period_s;
-	int64_t hold_s;
+	int64_t min_ttl_s;
 	int64_t id;
-	int64_t until_us;
+	int64_t reuse_deadline_us;
 } skh_period_lease_t;
 
 /** skh_period_lease_ensure() - have a lease whose period is not over; blocks */
--- a/src/link.c
+++ b/src/link.c
@@ -1,9 +1,9 @@
 #include "link.h"
 
-#include "budget.h"
+#include "retry_budget.h"
 #include "clock.h"
-#include "heat.h"
-#include "guard.h"
+#include "prefix_share.h"
+#include "curve_auth.h"
 #include "log.h"
 #include "metrics.h"
 
@@ -53,10 +53,10 @@
 	struct cds_wfcq_tail queue_tail;
 	GMutex lock; /* guards all below */
 	skh_peers_t *peers;
-	skh_heat_t *heat;      /* under the same lock */
-	skh_budget_t *budget;  /* the same */
-	GHashTable *waiting;   /* attempt -> waiting_t */
-	GHashTable *connected; /* peer id -> address; link thread only */
+	skh_prefix_share_t *heat;   /* under the same lock */
+	skh_retry_budget_t *budget; /* the same */
+	GHashTable *waiting;	    /* attempt -> waiting_t */
+	GHashTable *connected;	    /* peer id -> address; link thread only */
 	int64_t newest_revision;
 };
 
@@ -72,7 +72,7 @@
 	outgoing_t *item = g_new0(outgoing_t, 1);
 
 	frame->version = SKH_WIRE_VERSION;
-	frame->revision = (uint64_t)skh_board_revision(link->board);
+	frame->revision = (uint64_t)skh_board_config_revision(link->board);
 	item->peer = g_strdup(peer);
 	skh_wire_pack(frame, &item->bytes);
 	return item;
@@ -109,7 +109,7 @@
 static void report_not_sent(skh_link_t *link, uint64_t attempt)
 {
 	waiting_t *waiting;
-	skh_event_t *event = skh_event_new(SKH_EVENT_NOT_SENT, attempt);
+	skh_attempt_event_t *event = skh_attempt_event_new(SKH_ATTEMPT_EVENT_NOT_SENT, attempt);
 
 	(void)skh_error_set(&event->err, SKH_NO_BACKEND, "the sidecar is not connected");
 	g_mutex_lock(&link->lock);
@@ -120,7 +120,7 @@
 		event = NULL;
 	}
 	g_mutex_unlock(&link->lock);
-	skh_event_free(event);
+	skh_attempt_event_free(event);
 }
 
 static void send_queued(skh_link_t *link)
@@ -156,7 +156,7 @@
 }
 
 /* Called with the lock held. */
-static void push_lost(skh_link_t *link, const skh_peer_t *peer, skh_loss_t loss)
+static void push_lost(skh_link_t *link, const skh_peer_t *peer, skh_sidecar_loss_t loss)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -164,13 +164,13 @@
 	g_hash_table_iter_init(&iter, link->waiting);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		waiting_t *waiting = value;
-		skh_event_t *event;
+		skh_attempt_event_t *event;
 
 		if (waiting->peer != peer)
 			continue;
-		if (loss == SKH_LOSS_REPLACED && waiting->incarnation == peer->incarnation)
+		if (loss == SKH_SIDECAR_LOSS_REPLACED && waiting->incarnation == peer->incarnation)
 			continue;
-		event = skh_event_new(SKH_EVENT_LOST, waiting->attempt);
+		event = skh_attempt_event_new(SKH_ATTEMPT_EVENT_LOST, waiting->attempt);
 		event->loss = loss;
 		skh_inbox_push(waiting->inbox, event);
 	}
@@ -181,10 +181,10 @@
 	int64_t revision = (int64_t)frame->revision;
 
 	link->newest_revision = MAX(link->newest_revision, revision);
-	if (skh_peers_heard(peer, frame->status, revision, now_us)) {
+	if (skh_peers_record_frame(peer, frame->status, revision, now_us)) {
 		skh_log(SKH_LOG_WARNING, PART, "A sidecar process was replaced.", "sidecar=%s",
 			peer->id);
-		push_lost(link, peer, SKH_LOSS_REPLACED);
+		push_lost(link, peer, SKH_SIDECAR_LOSS_REPLACED);
 	}
 }
 
@@ -202,7 +202,8 @@
 		waiting = g_hash_table_lookup(link->waiting, &attempt);
 	/* Only the sidecar that was asked may answer. */
 	if (waiting && waiting->peer == peer) {
-		skh_event_t *event = skh_event_new(SKH_EVENT_FRAME, attempt);
+		skh_attempt_event_t *event =
+			skh_attempt_event_new(SKH_ATTEMPT_EVENT_FRAME, attempt);
 
 		event->frame = frame;
 		waiting->ask_at_us = skh_clock_now_us() + ASK_AFTER_US;
@@ -275,7 +276,7 @@
 
 static void sync_members(skh_link_t *link, int64_t now_us)
 {
-	const skh_members_t *members = skh_board_members(link->board);
+	const skh_instances_t *members = skh_board_acquire_instances(link->board);
 
 	if (!members)
 		return;
@@ -300,7 +301,7 @@
 		skh_metrics_add(SKH_COUNT_CONTROL_BYTES_OUT, item->bytes.len);
 	} else if (peer->reachable) {
 		skh_peers_set_lost(peer, now_us);
-		push_lost(link, peer, SKH_LOSS_CLOSED);
+		push_lost(link, peer, SKH_SIDECAR_LOSS_CLOSED);
 	}
 	free_outgoing(item);
 }
@@ -338,13 +339,13 @@
 	for (size_t i = 0; i < skh_peers_count(link->peers); i++) {
 		skh_peer_t *peer = skh_peers_at(link->peers, i);
 
-		if (skh_peers_hello_due(link->peers, peer, now_us))
+		if (skh_peers_schedule_hello(link->peers, peer, now_us))
 			send_hello(link, peer, now_us);
 		if (skh_peers_is_lost(peer, now_us)) {
 			skh_log(SKH_LOG_WARNING, PART, "A sidecar with work went silent.",
 				"sidecar=%s", peer->id);
 			skh_peers_set_lost(peer, now_us);
-			push_lost(link, peer, SKH_LOSS_SILENT);
+			push_lost(link, peer, SKH_SIDECAR_LOSS_SILENT);
 		}
 	}
 	ask_about_silent(link, now_us);
@@ -385,7 +386,7 @@
 	skh_wire_setup_router(link->router, 0);
 	skh_wire_set_option(link->router, ZMQ_RECONNECT_IVL, 100);
 	skh_wire_set_option(link->router, ZMQ_RECONNECT_IVL_MAX, 2000);
-	skh_guard_as_client(link->router, link->settings);
+	skh_curve_auth_set_client(link->router, link->settings);
 	if (zmq_setsockopt(link->router, ZMQ_ROUTING_ID, link->entry_id, strlen(link->entry_id)))
 		return skh_error_set(err, SKH_CONFIG_INVALID, "the instance id can't be used: %s",
 				     zmq_strerror(errno));
@@ -405,8 +406,8 @@
 	g_hash_table_unref(link->connected);
 	g_hash_table_unref(link->waiting);
 	skh_peers_free(link->peers);
-	skh_heat_free(link->heat);
-	skh_budget_free(link->budget);
+	skh_prefix_share_free(link->heat);
+	skh_retry_budget_free(link->budget);
 	g_mutex_clear(&link->lock);
 	cds_wfcq_destroy(&link->queue_head, &link->queue_tail);
 	g_free(link->entry_id);
@@ -423,8 +424,8 @@
 	link->settings = settings;
 	link->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	link->peers = skh_peers_new();
-	link->heat = skh_heat_new();
-	link->budget = skh_budget_new();
+	link->heat = skh_prefix_share_new();
+	link->budget = skh_retry_budget_new();
 	link->waiting = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	link->connected = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_mutex_init(&link->lock);
@@ -447,7 +448,7 @@
 static void fill_times(Skh__Start *start, const skh_peer_t *peer, int64_t start_by_us,
 		       int64_t finish_by_us, int64_t now_us)
 {
-	int64_t peer_clock_us = skh_peers_clock(peer, now_us);
+	int64_t peer_clock_us = skh_peers_min_clock_us(peer, now_us);
 
 	start->incarnation = peer->incarnation;
 	start->start_before_us = peer_clock_us + (start_by_us - now_us);
@@ -468,9 +469,9 @@
 	g_hash_table_insert(link->waiting, &waiting->attempt, waiting);
 }
 
-bool skh_link_place(skh_link_t *link, const skh_route_query_t *query, Skh__Start *start,
-		    int64_t start_by_us, int64_t finish_by_us, skh_inbox_t *inbox,
-		    skh_placement_t *placement, skh_error_t *err)
+bool skh_link_dispatch(skh_link_t *link, const skh_peer_query_t *query, Skh__Start *start,
+		       int64_t start_by_us, int64_t finish_by_us, skh_inbox_t *inbox,
+		       skh_dispatched_attempt_t *placement, skh_error_t *err)
 {
 	Skh__Frame frame = SKH__FRAME__INIT;
 	int64_t now_us = skh_clock_now_us();
@@ -482,12 +483,12 @@
 	placement->attempt = (skh_random_u64() >> 1) | 1;
 	start->attempt = placement->attempt;
 	g_mutex_lock(&link->lock);
-	peer = skh_route_pick(link->peers, query, random, now_us, err);
+	peer = skh_select_peer(link->peers, query, random, now_us, err);
 	if (peer) {
-		(void)g_strlcpy(placement->peer, peer->id, sizeof(placement->peer));
+		(void)g_strlcpy(placement->peer_id, peer->id, sizeof(placement->peer_id));
 		fill_times(start, peer, start_by_us, finish_by_us, now_us);
 		placement->incarnation = start->incarnation;
-		skh_peers_take(peer, now_us);
+		skh_peers_begin_request(peer, now_us);
 		remember(link, start, peer, inbox, now_us);
 	}
 	g_mutex_unlock(&link->lock);
@@ -495,45 +496,45 @@
 		return false;
 	frame.body_case = SKH__FRAME__BODY_START;
 	frame.start = start;
-	item = new_outgoing(link, placement->peer, &frame);
+	item = new_outgoing(link, placement->peer_id, &frame);
 	item->start_of = placement->attempt;
 	enqueue(link, item);
 	skh_metrics_add(SKH_COUNT_ATTEMPTS, 1);
 	return true;
 }
 
-double skh_link_note_request(skh_link_t *link, const char *customer, uint64_t prefix_hash)
+double skh_link_record_request(skh_link_t *link, const char *customer, uint64_t prefix_hash)
 {
 	int64_t now_us = skh_clock_now_us();
 	double heat = 0.0;
 
 	g_mutex_lock(&link->lock);
-	skh_budget_note(link->budget, customer, now_us);
+	skh_retry_budget_record_request(link->budget, customer, now_us);
 	if (prefix_hash != 0)
-		heat = skh_heat_note(link->heat, prefix_hash, now_us);
+		heat = skh_prefix_share_record(link->heat, prefix_hash, now_us);
 	g_mutex_unlock(&link->lock);
 	return heat;
 }
 
-void skh_link_note_end(skh_link_t *link, const char *customer)
+void skh_link_record_end(skh_link_t *link, const char *customer)
 {
 	g_mutex_lock(&link->lock);
-	skh_budget_done(link->budget, customer);
+	skh_retry_budget_record_end(link->budget, customer);
 	g_mutex_unlock(&link->lock);
 }
 
-bool skh_link_may_repeat(skh_link_t *link, const char *customer)
+bool skh_link_acquire_retry(skh_link_t *link, const char *customer)
 {
 	bool may;
 
 	g_mutex_lock(&link->lock);
-	may = skh_budget_take(link->budget, customer, skh_clock_now_us());
+	may = skh_retry_budget_acquire(link->budget, customer, skh_clock_now_us());
 	g_mutex_unlock(&link->lock);
 	return may;
 }
 
-void skh_link_settle(skh_link_t *link, const skh_placement_t *placement, bool succeeded,
-		     bool cancel)
+void skh_link_release(skh_link_t *link, const skh_dispatched_attempt_t *placement, bool succeeded,
+		      bool cancel)
 {
 	Skh__Frame frame = SKH__FRAME__INIT;
 	Skh__Cancel body = SKH__CANCEL__INIT;
@@ -542,7 +543,7 @@
 	g_mutex_lock(&link->lock);
 	waiting = g_hash_table_lookup(link->waiting, &placement->attempt);
 	if (waiting) {
-		skh_peers_give_back(waiting->peer, succeeded, skh_clock_now_us());
+		skh_peers_end_request(waiting->peer, succeeded, skh_clock_now_us());
 		g_hash_table_remove(link->waiting, &placement->attempt);
 	}
 	g_mutex_unlock(&link->lock);
@@ -551,11 +552,12 @@
 	body.attempt = placement->attempt;
 	frame.body_case = SKH__FRAME__BODY_CANCEL;
 	frame.cancel = &body;
-	send_frame(link, placement->peer, &frame);
+	send_frame(link, placement->peer_id, &frame);
 	skh_metrics_add(SKH_COUNT_CANCELS, 1);
 }
 
-void skh_link_credit(skh_link_t *link, const skh_placement_t *placement, uint32_t bytes)
+void skh_link_send_credit(skh_link_t *link, const skh_dispatched_attempt_t *placement,
+			  uint32_t bytes)
 {
 	Skh__Frame frame = SKH__FRAME__INIT;
 	Skh__Credit credit = SKH__CREDIT__INIT;
@@ -564,11 +566,11 @@
 	credit.bytes = bytes;
 	frame.body_case = SKH__FRAME__BODY_CREDIT;
 	frame.credit = &credit;
-	send_frame(link, placement->peer, &frame);
+	send_frame(link, placement->peer_id, &frame);
 }
 
-void skh_link_each_peer(skh_link_t *link, void (*fn)(const skh_peer_t *peer, void *context),
-			void *context)
+void skh_link_for_each_peer(skh_link_t *link, void (*fn)(const skh_peer_t *peer, void *context),
+			    void *context)
 {
 	g_mutex_lock(&link->lock);
 	for (size_t i = 0; i < skh_peers_count(link->peers); i++)
--- a/src/manifest.c
+++ b/src/manifest.c
@@ -7,7 +7,7 @@
 
 struct skh_manifest {
 	gint references;
-	skh_node_t *tree;
+	skh_doc_node_t *tree;
 	const char *by;
 	const char *reason;
 	double skew_weight;
@@ -28,7 +28,7 @@
 	}
 #define TEXTS(key, type, member, required)                                                         \
 	{                                                                                          \
-		key, SKH_FIELD_TEXTS, required, offsetof(type, member), 0, 0, NULL                 \
+		key, SKH_FIELD_TEXT_ARRAY, required, offsetof(type, member), 0, 0, NULL            \
 	}
 #define NUMBER(key, kind, type, member, required, min, max)                                        \
 	{                                                                                          \
@@ -50,7 +50,7 @@
 static const skh_field_t model_fields[] = {
 	TEXT("name", skh_model_t, name, true),
 	TEXT("version", skh_model_t, version, true),
-	NUMBER("experts", SKH_FIELD_INTEGER, skh_model_t, experts, false, 1, 4096),
+	NUMBER("experts", SKH_FIELD_INTEGER, skh_model_t, experts_per_layer, false, 1, 4096),
 	NUMBER("layers", SKH_FIELD_INTEGER, skh_model_t, layers, false, 1, 1024),
 };
 static const skh_field_t priority_fields[] = {
@@ -92,7 +92,7 @@
 	{ "placement", SKH_FIELD_ARRAY, true, offsetof(skh_group_t, placement), 0, 0, NULL },
 };
 
-static const skh_model_t model_default = { .version = "", .experts = 1, .layers = 1 };
+static const skh_model_t model_default = { .version = "", .experts_per_layer = 1, .layers = 1 };
 static const skh_priority_t priority_default = { 0 };
 static const skh_service_t service_default = { .model = "",
 					       .max_deadline_ms = 120000,
@@ -153,37 +153,37 @@
 	return NULL;
 }
 
-static void read_item(const skh_node_t *node, const collection_t *collection, GArray *array,
-		      skh_faults_t *faults)
+static void read_item(const skh_doc_node_t *node, const collection_t *collection, GArray *array,
+		      skh_validation_errors_t *faults)
 {
 	g_autofree char *item = g_memdup2(collection->item_default, collection->item_bytes);
 
-	*(uint32_t *)(item + collection->line_offset) = skh_node_line(node);
-	skh_schema_read(node, collection->key, skh_node_line(node), collection->fields,
+	*(uint32_t *)(item + collection->line_offset) = skh_doc_node_line(node);
+	skh_schema_read(node, collection->key, skh_doc_node_line(node), collection->fields,
 			collection->n_fields, item, faults);
 	g_array_append_vals(array, item, 1);
 }
 
 static void read_collection(skh_manifest_t *manifest, const collection_t *collection,
-			    skh_faults_t *faults)
+			    skh_validation_errors_t *faults)
 {
-	const skh_node_t *list = skh_node_find(manifest->tree, collection->key);
+	const skh_doc_node_t *list = skh_doc_node_find(manifest->tree, collection->key);
 	GArray *array = g_array_new(FALSE, FALSE, (guint)collection->item_bytes);
 
 	*collection_array(manifest, collection) = array;
 	if (!list)
 		return;
-	if (skh_node_type(list) != SKH_NODE_ARRAY) {
-		skh_faults_add(faults, skh_node_line(list), collection->key,
-			       "expected repeated tables [[%s]]", collection->key);
+	if (skh_doc_node_type(list) != SKH_DOC_NODE_ARRAY) {
+		skh_validation_errors_add(faults, skh_doc_node_line(list), collection->key,
+					  "expected repeated tables [[%s]]", collection->key);
 		return;
 	}
-	for (size_t i = 0; i < skh_node_count(list); i++)
-		read_item(skh_node_at(list, i), collection, array, faults);
+	for (size_t i = 0; i < skh_doc_node_count(list); i++)
+		read_item(skh_doc_node_at(list, i), collection, array, faults);
 }
 
 static void refuse_duplicates(const GArray *array, const collection_t *collection,
-			      skh_faults_t *faults)
+			      skh_validation_errors_t *faults)
 {
 	g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
 	guint bytes = g_array_get_element_size((GArray *)array);
@@ -195,24 +195,24 @@
 		if (!g_hash_table_add(seen, (gpointer)item_name(array, i))) {
 			g_autofree char *key = g_strdup_printf("%s.name", collection->key);
 
-			skh_faults_add(faults, line, key, "\"%s\" stands twice",
-				       item_name(array, i));
+			skh_validation_errors_add(faults, line, key, "\"%s\" stands twice",
+						  item_name(array, i));
 		}
 	}
 }
 
-static void check_services(const skh_manifest_t *manifest, skh_faults_t *faults)
+static void check_services(const skh_manifest_t *manifest, skh_validation_errors_t *faults)
 {
 	for (size_t i = 0; i < manifest->services->len; i++) {
 		const skh_service_t *service = skh_manifest_service_at(manifest, i);
 
 		if (service->kind == SKH_SERVICE_PLAIN && *service->model)
-			skh_faults_add(faults, service->line, "service.model",
-				       "a plain service has no model");
+			skh_validation_errors_add(faults, service->line, "service.model",
+						  "a plain service has no model");
 		if (service->kind == SKH_SERVICE_MODEL &&
 		    !skh_manifest_model(manifest, service->model))
-			skh_faults_add(faults, service->line, "service.model",
-				       "no model is called \"%s\"", service->model);
+			skh_validation_errors_add(faults, service->line, "service.model",
+						  "no model is called \"%s\"", service->model);
 	}
 }
 
@@ -223,23 +223,23 @@
 }
 
 /* Of a customer or an operator: @index goes to the bearer of each of its keys. */
-static void index_keys(GHashTable *by_key, const skh_node_t *hashes, size_t index, const char *key,
-		       skh_faults_t *faults)
+static void index_keys(GHashTable *by_key, const skh_doc_node_t *hashes, size_t index,
+		       const char *key, skh_validation_errors_t *faults)
 {
-	for (size_t k = 0; hashes && k < skh_node_count(hashes); k++) {
-		const skh_node_t *node = skh_node_at(hashes, k);
-		char *hash = (char *)skh_node_text(node);
+	for (size_t k = 0; hashes && k < skh_doc_node_count(hashes); k++) {
+		const skh_doc_node_t *node = skh_doc_node_at(hashes, k);
+		char *hash = (char *)skh_doc_node_text(node);
 
 		if (!is_key_hash(hash))
-			skh_faults_add(faults, skh_node_line(node), key,
-				       "not a SHA-256 in lower-case hexadecimal");
+			skh_validation_errors_add(faults, skh_doc_node_line(node), key,
+						  "not a SHA-256 in lower-case hexadecimal");
 		else if (!g_hash_table_insert(by_key, hash, GSIZE_TO_POINTER(index + 1)))
-			skh_faults_add(faults, skh_node_line(node), key,
-				       "the same key stands twice");
+			skh_validation_errors_add(faults, skh_doc_node_line(node), key,
+						  "the same key stands twice");
 	}
 }
 
-static void check_operators(skh_manifest_t *manifest, skh_faults_t *faults)
+static void check_operators(skh_manifest_t *manifest, skh_validation_errors_t *faults)
 {
 	bool has_operator = false;
 
@@ -250,16 +250,16 @@
 		index_keys(manifest->by_operator_key, operator->key_sha256, i,
 			   "operator.key_sha256", faults);
 		if ((operator->role == SKH_OPERATOR_TEAM) != (*operator->team != '\0'))
-			skh_faults_add(faults, operator->line, "operator.team",
-				       "belongs to role \"team\", and only there");
+			skh_validation_errors_add(faults, operator->line, "operator.team",
+						  "belongs to role \"team\", and only there");
 		has_operator = has_operator || operator->role == SKH_OPERATOR_FULL;
 	}
 	if (manifest->operators->len > 0 && !has_operator)
-		skh_faults_add(faults, 1, "operator.role",
-			       "nobody could change the manifest any more");
+		skh_validation_errors_add(faults, 1, "operator.role",
+					  "nobody could change the manifest any more");
 }
 
-static void check_customers(skh_manifest_t *manifest, skh_faults_t *faults)
+static void check_customers(skh_manifest_t *manifest, skh_validation_errors_t *faults)
 {
 	for (size_t i = 0; i < manifest->customers->len; i++) {
 		const skh_customer_t *customer = skh_manifest_customer_at(manifest, i);
@@ -267,40 +267,44 @@
 		index_keys(manifest->by_key, customer->key_sha256, i, "customer.key_sha256",
 			   faults);
 		if (!skh_manifest_priority(manifest, customer->priority))
-			skh_faults_add(faults, customer->line, "customer.priority",
-				       "no priority is called \"%s\"", customer->priority);
+			skh_validation_errors_add(faults, customer->line, "customer.priority",
+						  "no priority is called \"%s\"",
+						  customer->priority);
 		if (customer->rate_per_s <= 0.0)
-			skh_faults_add(faults, customer->line, "customer.rate_per_s",
-				       "a rate of 0 admits nothing");
+			skh_validation_errors_add(faults, customer->line, "customer.rate_per_s",
+						  "a rate of 0 admits nothing");
 		if (customer->weight <= 0.0)
-			skh_faults_add(faults, customer->line, "customer.weight",
-				       "must be above 0");
-		for (size_t s = 0; customer->services && s < skh_node_count(customer->services);
+			skh_validation_errors_add(faults, customer->line, "customer.weight",
+						  "must be above 0");
+		for (size_t s = 0; customer->services && s < skh_doc_node_count(customer->services);
 		     s++) {
-			const char *name = skh_node_text(skh_node_at(customer->services, s));
+			const char *name =
+				skh_doc_node_text(skh_doc_node_at(customer->services, s));
 
 			if (!skh_manifest_service(manifest, name))
-				skh_faults_add(faults, customer->line, "customer.services",
-					       "no service is called \"%s\"", name);
+				skh_validation_errors_add(faults, customer->line,
+							  "customer.services",
+							  "no service is called \"%s\"", name);
 		}
 	}
 }
 
 static void check_rank(const skh_group_t *group, size_t r, int64_t experts, int64_t *replicas,
-		       skh_faults_t *faults)
+		       skh_validation_errors_t *faults)
 {
-	const skh_node_t *rank = skh_node_at(group->placement, r);
+	const skh_doc_node_t *rank = skh_doc_node_at(group->placement, r);
 
-	if ((int64_t)skh_node_count(rank) > group->slots_per_rank)
-		skh_faults_add(faults, skh_node_line(rank), "group.placement",
-			       "rank %zu holds more experts than its %" PRId64 " slots", r,
-			       group->slots_per_rank);
-	for (size_t s = 0; s < skh_node_count(rank); s++) {
-		int64_t expert = skh_node_integer(skh_node_at(rank, s));
+	if ((int64_t)skh_doc_node_count(rank) > group->slots_per_rank)
+		skh_validation_errors_add(faults, skh_doc_node_line(rank), "group.placement",
+					  "rank %zu holds more experts than its %" PRId64 " slots",
+					  r, group->slots_per_rank);
+	for (size_t s = 0; s < skh_doc_node_count(rank); s++) {
+		int64_t expert = skh_doc_node_integer(skh_doc_node_at(rank, s));
 
 		if (expert < 0 || expert >= experts)
-			skh_faults_add(faults, skh_node_line(rank), "group.placement",
-				       "expert %" PRId64 " does not exist", expert);
+			skh_validation_errors_add(faults, skh_doc_node_line(rank),
+						  "group.placement",
+						  "expert %" PRId64 " does not exist", expert);
 		else
 			replicas[expert]++;
 	}
@@ -315,25 +319,27 @@
 	return expert;
 }
 
-static void check_placement(const skh_group_t *group, int64_t experts, skh_faults_t *faults)
+static void check_placement(const skh_group_t *group, int64_t experts,
+			    skh_validation_errors_t *faults)
 {
 	int64_t *replicas = g_new0(int64_t, experts);
-	size_t ranks = skh_node_count(group->placement);
+	size_t ranks = skh_doc_node_count(group->placement);
 	int64_t unplaced;
 
 	if ((int64_t)ranks != group->ranks)
-		skh_faults_add(faults, group->line, "group.placement",
-			       "%zu ranks are placed, the group has %" PRId64, ranks, group->ranks);
+		skh_validation_errors_add(faults, group->line, "group.placement",
+					  "%zu ranks are placed, the group has %" PRId64, ranks,
+					  group->ranks);
 	for (size_t r = 0; r < ranks; r++)
 		check_rank(group, r, experts, replicas, faults);
 	unplaced = first_unplaced(replicas, experts);
 	if (unplaced < experts)
-		skh_faults_add(faults, group->line, "group.placement",
-			       "expert %" PRId64 " is placed nowhere", unplaced);
+		skh_validation_errors_add(faults, group->line, "group.placement",
+					  "expert %" PRId64 " is placed nowhere", unplaced);
 	g_free(replicas);
 }
 
-static void check_groups(const skh_manifest_t *manifest, skh_faults_t *faults)
+static void check_groups(const skh_manifest_t *manifest, skh_validation_errors_t *faults)
 {
 	for (size_t i = 0; i < manifest->groups->len; i++) {
 		const skh_group_t *group = &g_array_index(manifest->groups, skh_group_t, i);
@@ -342,38 +348,39 @@
 			service ? skh_manifest_model(manifest, service->model) : NULL;
 
 		if (!model) {
-			skh_faults_add(faults, group->line, "group.service",
-				       "\"%s\" is not a model service", group->service);
+			skh_validation_errors_add(faults, group->line, "group.service",
+						  "\"%s\" is not a model service", group->service);
 			continue;
 		}
-		if (group->ranks * group->slots_per_rank < model->experts)
-			skh_faults_add(faults, group->line, "group.slots_per_rank",
-				       "%" PRId64 " slots can't hold %" PRId64 " experts",
-				       group->ranks * group->slots_per_rank, model->experts);
+		if (group->ranks * group->slots_per_rank < model->experts_per_layer)
+			skh_validation_errors_add(
+				faults, group->line, "group.slots_per_rank",
+				"%" PRId64 " slots can't hold %" PRId64 " experts",
+				group->ranks * group->slots_per_rank, model->experts_per_layer);
 		else if (group->placement)
-			check_placement(group, model->experts, faults);
+			check_placement(group, model->experts_per_layer, faults);
 	}
 }
 
-static void refuse_unknown_tables(const skh_node_t *tree, skh_faults_t *faults)
+static void refuse_unknown_tables(const skh_doc_node_t *tree, skh_validation_errors_t *faults)
 {
 	static const char *const known[] = { "change",	 "balance",  "model",
 					     "priority", "service",  "customer",
 					     "group",	 "operator", NULL };
 
-	for (size_t i = 0; i < skh_node_count(tree); i++) {
-		const skh_node_t *child = skh_node_at(tree, i);
+	for (size_t i = 0; i < skh_doc_node_count(tree); i++) {
+		const skh_doc_node_t *child = skh_doc_node_at(tree, i);
 
-		if (!g_strv_contains(known, skh_node_key(child)))
-			skh_faults_add(faults, skh_node_line(child), skh_node_key(child),
-				       "unknown table");
+		if (!g_strv_contains(known, skh_doc_node_key(child)))
+			skh_validation_errors_add(faults, skh_doc_node_line(child),
+						  skh_doc_node_key(child), "unknown table");
 	}
 }
 
-skh_manifest_t *skh_manifest_from_tree(skh_node_t *tree, skh_faults_t *faults)
+skh_manifest_t *skh_manifest_from_tree(skh_doc_node_t *tree, skh_validation_errors_t *faults)
 {
 	skh_manifest_t *manifest = g_new0(skh_manifest_t, 1);
-	size_t before = skh_faults_count(faults);
+	size_t before = skh_validation_errors_count(faults);
 
 	manifest->references = 1;
 	manifest->tree = tree;
@@ -381,9 +388,9 @@
 	manifest->cost_weight = 1.0;
 	manifest->by_key = g_hash_table_new(g_str_hash, g_str_equal);
 	manifest->by_operator_key = g_hash_table_new(g_str_hash, g_str_equal);
-	skh_schema_read(skh_node_find(tree, "change"), "change", 1, change_fields,
+	skh_schema_read(skh_doc_node_find(tree, "change"), "change", 1, change_fields,
 			G_N_ELEMENTS(change_fields), manifest, faults);
-	skh_schema_read(skh_node_find(tree, "balance"), "balance", 1, balance_fields,
+	skh_schema_read(skh_doc_node_find(tree, "balance"), "balance", 1, balance_fields,
 			G_N_ELEMENTS(balance_fields), manifest, faults);
 	for (size_t c = 0; c < G_N_ELEMENTS(collections); c++) {
 		read_collection(manifest, &collections[c], faults);
@@ -395,21 +402,21 @@
 	check_customers(manifest, faults);
 	check_groups(manifest, faults);
 	check_operators(manifest, faults);
-	if (skh_faults_count(faults) > before) {
+	if (skh_validation_errors_count(faults) > before) {
 		skh_manifest_unref(manifest);
 		return NULL;
 	}
 	return manifest;
 }
 
-skh_manifest_t *skh_manifest_from_toml(skh_chunk_t text, skh_faults_t *faults)
+skh_manifest_t *skh_manifest_from_toml(skh_chunk_t text, skh_validation_errors_t *faults)
 {
 	skh_error_t err;
 	uint32_t line = 0;
-	skh_node_t *tree = skh_node_from_toml(text, &line, &err);
+	skh_doc_node_t *tree = skh_doc_node_from_toml(text, &line, &err);
 
 	if (!tree) {
-		skh_faults_add(faults, line, "", "%s", err.text);
+		skh_validation_errors_add(faults, line, "", "%s", err.text);
 		return NULL;
 	}
 	return skh_manifest_from_tree(tree, faults);
@@ -423,16 +430,16 @@
 		g_array_unref(*collection_array(manifest, &collections[c]));
 	g_hash_table_unref(manifest->by_key);
 	g_hash_table_unref(manifest->by_operator_key);
-	skh_node_free(manifest->tree);
+	skh_doc_node_free(manifest->tree);
 	g_free(manifest);
 }
 
-const skh_node_t *skh_manifest_tree(const skh_manifest_t *manifest)
+const skh_doc_node_t *skh_manifest_tree(const skh_manifest_t *manifest)
 {
 	return manifest->tree;
 }
 
-const char *skh_manifest_by(const skh_manifest_t *manifest)
+const char *skh_manifest_author(const skh_manifest_t *manifest)
 {
 	return manifest->by;
 }
@@ -527,16 +534,16 @@
 	return found ? &g_array_index(manifest->operators, skh_operator_t, found - 1) : NULL;
 }
 
-static bool texts_contain(const skh_node_t *texts, const char *wanted)
+static bool texts_contain(const skh_doc_node_t *texts, const char *wanted)
 {
-	for (size_t i = 0; texts && i < skh_node_count(texts); i++) {
-		if (strcmp(skh_node_text(skh_node_at(texts, i)), wanted) == 0)
+	for (size_t i = 0; texts && i < skh_doc_node_count(texts); i++) {
+		if (strcmp(skh_doc_node_text(skh_doc_node_at(texts, i)), wanted) == 0)
 			return true;
 	}
 	return false;
 }
 
-bool skh_customer_may_use(const skh_customer_t *customer, const char *service)
+bool skh_customer_can_use(const skh_customer_t *customer, const char *service)
 {
 	return texts_contain(customer->services, service);
 }
--- a/src/manifest.h
+++ b/src/manifest.h
@@ -25,7 +25,7 @@
 typedef struct skh_model {
 	const char *name;
 	const char *version;
-	int64_t experts; /* in each layer */
+	int64_t experts_per_layer; /* in each layer */
 	int64_t layers;
 	uint32_t line;
 } skh_model_t;
@@ -40,7 +40,7 @@
 	const char *name;
 	int32_t kind;
 	const char *model; /* of a model service */
-	const skh_node_t *idempotent_methods;
+	const skh_doc_node_t *idempotent_methods;
 	int64_t max_deadline_ms;
 	const char *owner;
 	uint32_t line;
@@ -48,8 +48,8 @@
 
 typedef struct skh_customer {
 	const char *name;
-	const skh_node_t *key_sha256;
-	const skh_node_t *services;
+	const skh_doc_node_t *key_sha256;
+	const skh_doc_node_t *services;
 	const char *priority;
 	double weight;
 	double rate_per_s;
@@ -64,7 +64,7 @@
 	const char *service;
 	int64_t ranks;
 	int64_t slots_per_rank;
-	const skh_node_t *placement; /* [ranks][slots_per_rank] expert numbers */
+	const skh_doc_node_t *placement; /* [ranks][slots_per_rank] expert numbers */
 	uint32_t line;
 } skh_group_t;
 
@@ -77,7 +77,7 @@
 /** struct skh_operator - who may use the administration */
 typedef struct skh_operator {
 	const char *name;
-	const skh_node_t *key_sha256;
+	const skh_doc_node_t *key_sha256;
 	int32_t role;
 	const char *team; /* of SKH_OPERATOR_TEAM */
 	uint32_t line;
@@ -86,15 +86,15 @@
 typedef struct skh_manifest skh_manifest_t;
 
 /** skh_manifest_from_toml() - parse and validate; NULL when there is a fault */
-skh_manifest_t *skh_manifest_from_toml(skh_chunk_t text, skh_faults_t *faults);
+skh_manifest_t *skh_manifest_from_toml(skh_chunk_t text, skh_validation_errors_t *faults);
 
 /** skh_manifest_from_tree() - the same from @tree, which is then owned */
-skh_manifest_t *skh_manifest_from_tree(skh_node_t *tree, skh_faults_t *faults);
+skh_manifest_t *skh_manifest_from_tree(skh_doc_node_t *tree, skh_validation_errors_t *faults);
 
 void skh_manifest_unref(skh_manifest_t *manifest);
 
-const skh_node_t *skh_manifest_tree(const skh_manifest_t *manifest);
-const char *skh_manifest_by(const skh_manifest_t *manifest);
+const skh_doc_node_t *skh_manifest_tree(const skh_manifest_t *manifest);
+const char *skh_manifest_author(const skh_manifest_t *manifest);
 const char *skh_manifest_reason(const skh_manifest_t *manifest);
 double skh_manifest_skew_weight(const skh_manifest_t *manifest);
 double skh_manifest_cost_weight(const skh_manifest_t *manifest);
@@ -122,8 +122,8 @@
 const skh_operator_t *skh_manifest_operator_by_key(const skh_manifest_t *manifest,
 						   const char *bearer_key);
 
-/** skh_customer_may_use() - whether @customer is allowed @service */
-bool skh_customer_may_use(const skh_customer_t *customer, const char *service);
+/** skh_customer_can_use() - whether @customer is allowed @service */
+bool skh_customer_can_use(const skh_customer_t *customer, const char *service);
 
 /** skh_service_is_idempotent() - whether @method may be run more than once */
 bool skh_service_is_idempotent(const skh_service_t *service, const char *method);
--- a/src/mapchange.c
+++ b/src/mapchange.c
@@ -30,10 +30,10 @@
 			int64_t now_us)
 {
 	*change = (skh_mapchange_t){
-		.phase = SKH_CHANGE_PREPARE,
+		.phase = SKH_MAPCHANGE_PREPARE,
 		.n_ranks = options->n_ranks,
-		.own = options->own,
-		.deputy = options->deputy,
+		.own_rank = options->own_rank,
+		.proxy_rank = options->proxy_rank,
 		.epoch = options->epoch,
 		.version = options->version,
 		.fence = options->fence,
@@ -52,13 +52,13 @@
 
 static void fail(skh_mapchange_t *change, const char *why, int64_t now_us)
 {
-	change->why = why;
-	enter(change, SKH_CHANGE_FAILED, now_us);
+	change->cause = why;
+	enter(change, SKH_MAPCHANGE_FAILED, now_us);
 }
 
 static bool is_over(const skh_mapchange_t *change)
 {
-	return change->phase == SKH_CHANGE_DONE || change->phase == SKH_CHANGE_FAILED;
+	return change->phase == SKH_MAPCHANGE_DONE || change->phase == SKH_MAPCHANGE_FAILED;
 }
 
 typedef bool (*rank_fn)(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank);
@@ -80,7 +80,7 @@
 
 static bool has_copies(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
-	return rank->report.prepared == change->version;
+	return rank->report.prepared_version == change->version;
 }
 
 static bool is_armed(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
@@ -92,30 +92,30 @@
 static bool is_not_armed(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
 	(void)change;
-	return !rank->arm_sent;
+	return !rank->may_be_armed;
 }
 
 static bool is_not_held(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
 	(void)change;
-	return rank->report.held == 0;
+	return rank->report.held_pass == 0;
 }
 
 /* All ranks were armed for one pass: where one has switched, all have. */
 static bool has_switched(const skh_mapchange_t *change)
 {
-	return change->ranks[change->own].report.map_version == change->version;
+	return change->ranks[change->own_rank].report.map_version == change->version;
 }
 
 static bool has_deputy(const skh_mapchange_t *change)
 {
-	return change->deputy != change->own;
+	return change->proxy_rank != change->own_rank;
 }
 
 static bool others_are_armed(const skh_mapchange_t *change)
 {
 	for (uint32_t i = 0; i < change->n_ranks; i++) {
-		if (i != change->deputy && !change->ranks[i].armed)
+		if (i != change->proxy_rank && !change->ranks[i].armed)
 			return false;
 	}
 	return true;
@@ -125,65 +125,65 @@
 static bool may_arm_deputy(const skh_mapchange_t *change, int64_t now_us)
 {
 	return !has_deputy(change) ||
-	       (others_are_armed(change) && now_us - change->contact_us <= CONTACT_US);
+	       (others_are_armed(change) && now_us - change->proxy_probe_us <= CONTACT_US);
 }
 
-bool skh_mapchange_wants_contact(const skh_mapchange_t *change)
+bool skh_mapchange_is_proxy_probe_due(const skh_mapchange_t *change)
 {
-	return change->phase == SKH_CHANGE_ARM && has_deputy(change) &&
-	       !change->ranks[change->deputy].arm_sent && others_are_armed(change);
+	return change->phase == SKH_MAPCHANGE_ARM && has_deputy(change) &&
+	       !change->ranks[change->proxy_rank].may_be_armed && others_are_armed(change);
 }
 
-void skh_mapchange_contact(skh_mapchange_t *change, int64_t asked_us)
+void skh_mapchange_record_proxy_probe(skh_mapchange_t *change, int64_t asked_us)
 {
-	change->contact_us = MAX(change->contact_us, asked_us);
+	change->proxy_probe_us = MAX(change->proxy_probe_us, asked_us);
 }
 
-bool skh_mapchange_may_withdraw(const skh_mapchange_t *change)
+bool skh_mapchange_can_withdraw(const skh_mapchange_t *change)
 {
-	return (change->phase == SKH_CHANGE_PREPARE || change->phase == SKH_CHANGE_COPY) &&
+	return (change->phase == SKH_MAPCHANGE_PREPARE || change->phase == SKH_MAPCHANGE_COPY) &&
 	       change->held_since_us == 0;
 }
 
 static void begin_hold(skh_mapchange_t *change, int64_t now_us)
 {
-	change->pass = change->ranks[change->own].report.pass + LEAD_PASSES;
-	enter(change, SKH_CHANGE_HOLD, now_us);
+	change->switch_pass = change->ranks[change->own_rank].report.pass + LEAD_PASSES;
+	enter(change, SKH_MAPCHANGE_HOLD, now_us);
 }
 
 /* Goes on to the next phase as far as what is known allows. */
 static void advance(skh_mapchange_t *change, int64_t now_us)
 {
-	if (change->phase == SKH_CHANGE_PREPARE && all_ranks(change, has_accepted))
-		enter(change, SKH_CHANGE_RELEASE, now_us);
-	if (change->phase == SKH_CHANGE_RELEASE && all_ranks(change, is_not_held))
-		enter(change, SKH_CHANGE_COPY, now_us);
-	if (change->phase == SKH_CHANGE_COPY && all_ranks(change, has_copies))
+	if (change->phase == SKH_MAPCHANGE_PREPARE && all_ranks(change, has_accepted))
+		enter(change, SKH_MAPCHANGE_RELEASE_STALE_HOLD, now_us);
+	if (change->phase == SKH_MAPCHANGE_RELEASE_STALE_HOLD && all_ranks(change, is_not_held))
+		enter(change, SKH_MAPCHANGE_COPY, now_us);
+	if (change->phase == SKH_MAPCHANGE_COPY && all_ranks(change, has_copies))
 		begin_hold(change, now_us);
-	if (change->phase == SKH_CHANGE_ARM && all_ranks(change, is_armed))
-		enter(change, SKH_CHANGE_GO, now_us);
-	if (change->phase == SKH_CHANGE_DISARM && all_ranks(change, is_not_armed))
-		enter(change, SKH_CHANGE_UNHOLD, now_us);
-	if (change->phase == SKH_CHANGE_SETTLE && has_switched(change))
-		enter(change, SKH_CHANGE_DONE, now_us);
+	if (change->phase == SKH_MAPCHANGE_ARM && all_ranks(change, is_armed))
+		enter(change, SKH_MAPCHANGE_GO, now_us);
+	if (change->phase == SKH_MAPCHANGE_DISARM && all_ranks(change, is_not_armed))
+		enter(change, SKH_MAPCHANGE_UNDO_HOLD, now_us);
+	if (change->phase == SKH_MAPCHANGE_SETTLE && has_switched(change))
+		enter(change, SKH_MAPCHANGE_DONE, now_us);
 }
 
 /* What this process's own rank reports of the hold is fresh. */
 static void note_own_report(skh_mapchange_t *change, const skh_engine_report_t *report,
 			    int64_t now_us)
 {
-	if (change->phase == SKH_CHANGE_HOLD && report->held != 0) {
-		change->pass = report->held;
+	if (change->phase == SKH_MAPCHANGE_HOLD && report->held_pass != 0) {
+		change->switch_pass = report->held_pass;
 		change->held_since_us = now_us;
-		enter(change, SKH_CHANGE_ARM, now_us);
-	} else if (change->phase == SKH_CHANGE_GO && report->held == 0 &&
+		enter(change, SKH_MAPCHANGE_ARM, now_us);
+	} else if (change->phase == SKH_MAPCHANGE_GO && report->held_pass == 0 &&
 		   now_us - change->phase_since_us > REFUSED_US) {
-		enter(change, SKH_CHANGE_SETTLE, now_us);
+		enter(change, SKH_MAPCHANGE_SETTLE, now_us);
 	}
 }
 
-void skh_mapchange_report(skh_mapchange_t *change, uint32_t rank, const skh_engine_report_t *report,
-			  int64_t now_us)
+void skh_mapchange_record_report(skh_mapchange_t *change, uint32_t rank,
+				 const skh_engine_report_t *report, int64_t now_us)
 {
 	skh_mapchange_rank_t *state = &change->ranks[rank];
 
@@ -196,11 +196,11 @@
 	state->report = *report;
 	state->reported = true;
 	state->reported_us = now_us;
-	if (report->armed == change->version)
+	if (report->armed_version == change->version)
 		state->armed = true;
-	if (report->prepared == change->version)
+	if (report->prepared_version == change->version)
 		state->prepared = true;
-	if (rank == change->own)
+	if (rank == change->own_rank)
 		note_own_report(change, report, now_us);
 	advance(change, now_us);
 }
@@ -209,7 +209,7 @@
 static uint32_t holder_of(const skh_mapchange_t *change)
 {
 	for (uint32_t i = 0; i < change->n_ranks; i++) {
-		if (change->ranks[i].report.held != 0)
+		if (change->ranks[i].report.held_pass != 0)
 			return i;
 	}
 	return change->n_ranks;
@@ -236,13 +236,13 @@
 	if (state->prepared || !all_ranks(change, has_reported))
 		return false;
 	order->op = SKH_ENGINE_PREPARE;
-	if (state->report.armed == 0 || !state->answered)
+	if (state->report.armed_version == 0 || !state->answered)
 		return true;
 	if (!all_ranks(change, has_answered) ||
 	    (holder < change->n_ranks && holder != rank && !change->ranks[holder].prepared))
 		return false;
 	order->op = SKH_ENGINE_DISARM;
-	order->version = state->report.armed;
+	order->map_version = state->report.armed_version;
 	return true;
 }
 
@@ -252,57 +252,58 @@
 	const skh_mapchange_rank_t *state = &change->ranks[rank];
 
 	switch (change->phase) {
-	case SKH_CHANGE_PREPARE:
+	case SKH_MAPCHANGE_PREPARE:
 		return next_prepare(change, rank, order);
-	case SKH_CHANGE_RELEASE:
+	case SKH_MAPCHANGE_RELEASE_STALE_HOLD:
 		order->op = SKH_ENGINE_GO;
-		order->pass = state->report.held;
-		return state->report.held != 0;
-	case SKH_CHANGE_HOLD:
+		order->pass = state->report.held_pass;
+		return state->report.held_pass != 0;
+	case SKH_MAPCHANGE_HOLD:
 		order->op = SKH_ENGINE_HOLD;
-		return rank == change->own;
-	case SKH_CHANGE_ARM:
+		return rank == change->own_rank;
+	case SKH_MAPCHANGE_ARM:
 		order->op = SKH_ENGINE_ARM;
-		return !state->armed && (rank != change->deputy || may_arm_deputy(change, now_us));
-	case SKH_CHANGE_DISARM:
+		return !state->armed &&
+		       (rank != change->proxy_rank || may_arm_deputy(change, now_us));
+	case SKH_MAPCHANGE_DISARM:
 		order->op = SKH_ENGINE_DISARM;
 		order->fence++;
-		return state->arm_sent;
-	case SKH_CHANGE_UNHOLD:
+		return state->may_be_armed;
+	case SKH_MAPCHANGE_UNDO_HOLD:
 		order->op = SKH_ENGINE_GO;
 		order->fence++;
-		return rank == change->own;
-	case SKH_CHANGE_GO:
+		return rank == change->own_rank;
+	case SKH_MAPCHANGE_GO:
 		order->op = SKH_ENGINE_GO;
-		return rank == change->own;
-	case SKH_CHANGE_SETTLE:
+		return rank == change->own_rank;
+	case SKH_MAPCHANGE_SETTLE:
 		/* A hold that was given up and carried out late: all ranks are armed by now. */
 		order->op = SKH_ENGINE_GO;
-		order->pass = state->report.held;
-		return rank == change->own && state->report.held != 0;
+		order->pass = state->report.held_pass;
+		return rank == change->own_rank && state->report.held_pass != 0;
 	default:
 		return false;
 	}
 }
 
-bool skh_mapchange_next(skh_mapchange_t *change, uint32_t rank, int64_t now_us,
-			skh_engine_order_t *order)
+bool skh_mapchange_next_order(skh_mapchange_t *change, uint32_t rank, int64_t now_us,
+			      skh_engine_order_t *order)
 {
 	skh_mapchange_rank_t *state = &change->ranks[rank];
 
 	*order = (skh_engine_order_t){
-		.version = change->version,
-		.pass = change->pass,
+		.map_version = change->version,
+		.pass = change->switch_pass,
 		.epoch = change->epoch,
 		.fence = change->fence,
 	};
-	if (state->ordered || now_us < state->not_before_us ||
+	if (state->order_pending || now_us < state->not_before_us ||
 	    !choose_order(change, rank, now_us, order))
 		return false;
-	state->ordered = true;
-	state->arm_sent = state->arm_sent || order->op == SKH_ENGINE_ARM;
-	state->op = order->op;
-	state->ordered_us = now_us;
+	state->order_pending = true;
+	state->may_be_armed = state->may_be_armed || order->op == SKH_ENGINE_ARM;
+	state->order_op = order->op;
+	state->order_sent_us = now_us;
 	return true;
 }
 
@@ -314,26 +315,26 @@
 		state->prepared = true;
 		break;
 	case SKH_ENGINE_DISARM:
-		state->report.armed = 0;
-		if (change->phase == SKH_CHANGE_DISARM) {
+		state->report.armed_version = 0;
+		if (change->phase == SKH_MAPCHANGE_DISARM) {
 			state->armed = false;
-			state->arm_sent = false;
+			state->may_be_armed = false;
 		}
 		break;
 	case SKH_ENGINE_HOLD:
-		if (change->phase == SKH_CHANGE_HOLD) {
+		if (change->phase == SKH_MAPCHANGE_HOLD) {
 			change->held_since_us = now_us;
-			enter(change, SKH_CHANGE_ARM, now_us);
+			enter(change, SKH_MAPCHANGE_ARM, now_us);
 		}
 		break;
 	case SKH_ENGINE_ARM:
 		state->armed = true;
 		break;
 	case SKH_ENGINE_GO:
-		state->report.held = 0;
-		if (change->phase == SKH_CHANGE_GO)
-			enter(change, SKH_CHANGE_SETTLE, now_us);
-		if (change->phase == SKH_CHANGE_UNHOLD) {
+		state->report.held_pass = 0;
+		if (change->phase == SKH_MAPCHANGE_GO)
+			enter(change, SKH_MAPCHANGE_SETTLE, now_us);
+		if (change->phase == SKH_MAPCHANGE_UNDO_HOLD) {
 			change->held_since_us = 0;
 			fail(change, "the deputy fell silent", now_us);
 		}
@@ -344,34 +345,34 @@
 static void on_conflict(skh_mapchange_t *change, skh_mapchange_rank_t *state, int64_t now_us)
 {
 	state->not_before_us = now_us + REFUSED_US;
-	if (change->phase == SKH_CHANGE_HOLD) {
+	if (change->phase == SKH_MAPCHANGE_HOLD) {
 		/* Its pass has begun, or the rank holds already: the report tells. */
-		change->pass = MAX(change->pass, state->report.pass) + LEAD_PASSES;
+		change->switch_pass = MAX(change->switch_pass, state->report.pass) + LEAD_PASSES;
 		state->not_before_us = now_us;
 	}
 }
 
-void skh_mapchange_answer(skh_mapchange_t *change, uint32_t rank, skh_order_answer_t answer,
-			  int64_t now_us)
+void skh_mapchange_record_result(skh_mapchange_t *change, uint32_t rank,
+				 skh_engine_order_result_t answer, int64_t now_us)
 {
 	skh_mapchange_rank_t *state = &change->ranks[rank];
-	skh_engine_op_t op = state->op;
+	skh_engine_op_t op = state->order_op;
 
-	state->ordered = false;
+	state->order_pending = false;
 	if (is_over(change))
 		return;
-	state->answered = state->answered || answer != SKH_ORDER_NO_ANSWER;
+	state->answered = state->answered || answer != SKH_ENGINE_ORDER_NO_ANSWER;
 	switch (answer) {
-	case SKH_ORDER_ACCEPTED:
+	case SKH_ENGINE_ORDER_ACCEPTED:
 		on_accepted(change, state, op, now_us);
 		break;
-	case SKH_ORDER_CONFLICT:
+	case SKH_ENGINE_ORDER_CONFLICT:
 		on_conflict(change, state, now_us);
 		break;
-	case SKH_ORDER_OUTDATED:
+	case SKH_ENGINE_ORDER_FENCED:
 		fail(change, "a later coordinator exists", now_us);
 		return;
-	case SKH_ORDER_NO_ANSWER:
+	case SKH_ENGINE_ORDER_NO_ANSWER:
 		state->not_before_us = now_us + AGAIN_US;
 		break;
 	}
@@ -381,39 +382,39 @@
 /* Undoes the change while it is certain that the deputy's rank was never armed. */
 static void watch_deputy(skh_mapchange_t *change, int64_t now_us)
 {
-	if (!skh_mapchange_wants_contact(change)) {
-		change->others_armed_us = 0;
+	if (!skh_mapchange_is_proxy_probe_due(change)) {
+		change->others_armed_since_us = 0;
 		return;
 	}
-	if (change->others_armed_us == 0)
-		change->others_armed_us = now_us;
-	if (now_us - change->others_armed_us > DEPUTY_US)
-		enter(change, SKH_CHANGE_DISARM, now_us);
+	if (change->others_armed_since_us == 0)
+		change->others_armed_since_us = now_us;
+	if (now_us - change->others_armed_since_us > DEPUTY_US)
+		enter(change, SKH_MAPCHANGE_DISARM, now_us);
 }
 
 void skh_mapchange_tick(skh_mapchange_t *change, int64_t now_us)
 {
 	int64_t spent_us = now_us - change->phase_since_us;
-	const skh_engine_report_t *own = &change->ranks[change->own].report;
+	const skh_engine_report_t *own = &change->ranks[change->own_rank].report;
 
-	if (change->phase == SKH_CHANGE_HOLD && own->pass + LEAST_LEAD >= change->pass &&
-	    !change->ranks[change->own].ordered)
-		change->pass = own->pass + LEAD_PASSES;
-	if ((change->phase == SKH_CHANGE_PREPARE || change->phase == SKH_CHANGE_COPY ||
-	     change->phase == SKH_CHANGE_HOLD) &&
+	if (change->phase == SKH_MAPCHANGE_HOLD && own->pass + LEAST_LEAD >= change->switch_pass &&
+	    !change->ranks[change->own_rank].order_pending)
+		change->switch_pass = own->pass + LEAD_PASSES;
+	if ((change->phase == SKH_MAPCHANGE_PREPARE || change->phase == SKH_MAPCHANGE_COPY ||
+	     change->phase == SKH_MAPCHANGE_HOLD) &&
 	    spent_us > PHASE_US)
 		fail(change, "a rank did not follow in time", now_us);
 	/* The next change disarms and releases. */
-	if (change->phase == SKH_CHANGE_ARM && spent_us > ARM_US)
+	if (change->phase == SKH_MAPCHANGE_ARM && spent_us > ARM_US)
 		fail(change, "a rank was not armed in time", now_us);
-	if ((change->phase == SKH_CHANGE_DISARM || change->phase == SKH_CHANGE_UNHOLD) &&
+	if ((change->phase == SKH_MAPCHANGE_DISARM || change->phase == SKH_MAPCHANGE_UNDO_HOLD) &&
 	    spent_us > ARM_US)
 		fail(change, "a rank was not disarmed in time", now_us);
-	if (change->phase == SKH_CHANGE_ARM)
+	if (change->phase == SKH_MAPCHANGE_ARM)
 		watch_deputy(change, now_us);
 	/* An idle group makes no passes: it changes with the first that comes. */
-	if (change->phase == SKH_CHANGE_SETTLE && own->pass < change->pass)
+	if (change->phase == SKH_MAPCHANGE_SETTLE && own->pass < change->switch_pass)
 		change->phase_since_us = now_us;
-	else if (change->phase == SKH_CHANGE_SETTLE && spent_us > SETTLE_US)
+	else if (change->phase == SKH_MAPCHANGE_SETTLE && spent_us > SETTLE_US)
 		fail(change, "the map did not change", now_us);
 }
