--- a/src/mapchange.h
+++ b/src/mapchange.h
@@ -44,30 +44,30 @@
 
 #define SKH_MAPCHANGE_MAX_RANKS 64
 /* Fences that one change may use: its own, and the next to undo it. */
-#define SKH_MAPCHANGE_FENCES 2
+#define SKH_MAPCHANGE_MAX_FENCES 2
 
 /** enum skh_mapchange_phase - see above */
 typedef enum skh_mapchange_phase {
-	SKH_CHANGE_PREPARE,
-	SKH_CHANGE_RELEASE,
-	SKH_CHANGE_COPY,
-	SKH_CHANGE_HOLD,
-	SKH_CHANGE_ARM,
-	SKH_CHANGE_DISARM, /* undo: the deputy is silent */
-	SKH_CHANGE_UNHOLD, /* undo: nobody is armed */
-	SKH_CHANGE_GO,
-	SKH_CHANGE_SETTLE,
-	SKH_CHANGE_DONE,
-	SKH_CHANGE_FAILED
+	SKH_MAPCHANGE_PREPARE,
+	SKH_MAPCHANGE_RELEASE_STALE_HOLD,
+	SKH_MAPCHANGE_COPY,
+	SKH_MAPCHANGE_HOLD,
+	SKH_MAPCHANGE_ARM,
+	SKH_MAPCHANGE_DISARM,	 /* undo: the deputy is silent */
+	SKH_MAPCHANGE_UNDO_HOLD, /* undo: nobody is armed */
+	SKH_MAPCHANGE_GO,
+	SKH_MAPCHANGE_SETTLE,
+	SKH_MAPCHANGE_DONE,
+	SKH_MAPCHANGE_FAILED
 } skh_mapchange_phase_t;
 
-/** enum skh_order_answer - what an engine says to an order */
-typedef enum skh_order_answer {
-	SKH_ORDER_ACCEPTED, /* begun, done, or so already */
-	SKH_ORDER_CONFLICT, /* does not fit the rank's state */
-	SKH_ORDER_OUTDATED, /* a higher fence was seen there */
-	SKH_ORDER_NO_ANSWER /* it may be carried out, now or later */
-} skh_order_answer_t;
+/** enum skh_engine_order_result - what an engine says to an order */
+typedef enum skh_engine_order_result {
+	SKH_ENGINE_ORDER_ACCEPTED, /* begun, done, or so already */
+	SKH_ENGINE_ORDER_CONFLICT, /* does not fit the rank's state */
+	SKH_ENGINE_ORDER_FENCED,   /* a higher fence was seen there */
+	SKH_ENGINE_ORDER_NO_ANSWER /* it may be carried out, now or later */
+} skh_engine_order_result_t;
 
 /** struct skh_mapchange_rank - what is known of one rank */
 typedef struct skh_mapchange_rank {
@@ -77,10 +77,10 @@
 	bool answered;	    /* it has answered some order of this change: it knows the fence */
 	bool prepared;	    /* it has accepted this change's prepare */
 	bool armed;	    /* it is armed for this change */
-	bool arm_sent;	    /* it may be, now or later */
-	bool ordered;	    /* an order is under way */
-	skh_engine_op_t op; /* of that order */
-	int64_t ordered_us;
+	bool may_be_armed;  /* it may be, now or later */
+	bool order_pending; /* an order is under way */
+	skh_engine_op_t order_op; /* of that order */
+	int64_t order_sent_us;
 	int64_t not_before_us; /* of the next order, after one without an answer */
 } skh_mapchange_rank_t;
 
@@ -88,26 +88,26 @@
 typedef struct skh_mapchange {
 	skh_mapchange_phase_t phase;
 	uint32_t n_ranks;
-	uint32_t own;	 /* the rank beside this process: it holds the group */
-	uint32_t deputy; /* the rank whose process places the hold; @own without one */
+	uint32_t own_rank;   /* the rank beside this process: it holds the group */
+	uint32_t proxy_rank; /* the rank whose process places the hold; @own without one */
 	int64_t epoch;
 	int64_t version;
 	int64_t fence;
-	int64_t pass; /* at which the map changes */
+	int64_t switch_pass; /* at which the map changes */
 	int64_t phase_since_us;
-	int64_t spent_us[SKH_CHANGE_FAILED + 1]; /* in each phase */
-	int64_t held_since_us;			 /* 0 when nothing is left behind */
-	int64_t contact_us;	 /* the deputy has answered a question of this time */
-	int64_t others_armed_us; /* since then all ranks but the deputy's are armed */
-	const char *why;	 /* it failed */
+	int64_t spent_us[SKH_MAPCHANGE_FAILED + 1]; /* in each phase */
+	int64_t held_since_us;			    /* 0 when nothing is left behind */
+	int64_t proxy_probe_us;	       /* the deputy has answered a question of this time */
+	int64_t others_armed_since_us; /* since then all ranks but the deputy's are armed */
+	const char *cause;	       /* it failed */
 	skh_mapchange_rank_t ranks[SKH_MAPCHANGE_MAX_RANKS];
 } skh_mapchange_t;
 
 /** struct skh_mapchange_options - what a change is about */
 typedef struct skh_mapchange_options {
 	uint32_t n_ranks;
-	uint32_t own;
-	uint32_t deputy;
+	uint32_t own_rank;
+	uint32_t proxy_rank;
 	int64_t epoch;
 	int64_t version;
 	int64_t fence;
@@ -117,29 +117,29 @@
 void skh_mapchange_init(skh_mapchange_t *change, const skh_mapchange_options_t *options,
 			int64_t now_us);
 
-/** skh_mapchange_report() - a newer report of @rank */
-void skh_mapchange_report(skh_mapchange_t *change, uint32_t rank, const skh_engine_report_t *report,
-			  int64_t now_us);
+/** skh_mapchange_record_report() - a newer report of @rank */
+void skh_mapchange_record_report(skh_mapchange_t *change, uint32_t rank,
+				 const skh_engine_report_t *report, int64_t now_us);
 
 /**
- * skh_mapchange_next() - the order that @rank is to be sent now
+ * skh_mapchange_next_order() - the order that @rank is to be sent now
  * Return: false when there is none; else it counts as under way.
  */
-bool skh_mapchange_next(skh_mapchange_t *change, uint32_t rank, int64_t now_us,
-			skh_engine_order_t *order);
+bool skh_mapchange_next_order(skh_mapchange_t *change, uint32_t rank, int64_t now_us,
+			      skh_engine_order_t *order);
 
-/** skh_mapchange_answer() - the answer to the order under way at @rank */
-void skh_mapchange_answer(skh_mapchange_t *change, uint32_t rank, skh_order_answer_t answer,
-			  int64_t now_us);
+/** skh_mapchange_record_result() - the answer to the order under way at @rank */
+void skh_mapchange_record_result(skh_mapchange_t *change, uint32_t rank,
+				 skh_engine_order_result_t answer, int64_t now_us);
 
-/** skh_mapchange_wants_contact() - the deputy's engine should be asked for anything now */
-bool skh_mapchange_wants_contact(const skh_mapchange_t *change);
+/** skh_mapchange_is_proxy_probe_due() - the deputy's engine should be asked for anything now */
+bool skh_mapchange_is_proxy_probe_due(const skh_mapchange_t *change);
 
-/** skh_mapchange_contact() - the deputy's engine has answered what was asked at @asked_us */
-void skh_mapchange_contact(skh_mapchange_t *change, int64_t asked_us);
+/** skh_mapchange_record_proxy_probe() - the deputy's engine has answered what was asked at @asked_us */
+void skh_mapchange_record_proxy_probe(skh_mapchange_t *change, int64_t asked_us);
 
-/** skh_mapchange_may_withdraw() - ranks copy at most: another change may begin instead */
-bool skh_mapchange_may_withdraw(const skh_mapchange_t *change);
+/** skh_mapchange_can_withdraw() - ranks copy at most: another change may begin instead */
+bool skh_mapchange_can_withdraw(const skh_mapchange_t *change);
 
 /** skh_mapchange_tick() - time has passed */
 void skh_mapchange_tick(skh_mapchange_t *change, int64_t now_us);
--- a/src/mapswitch.c
+++ b/src/mapswitch.c
@@ -49,7 +49,7 @@
 	return mapswitch->version;
 }
 
-bool skh_mapswitch_order_for(const skh_mapswitch_t *mapswitch, size_t rank, skh_order_t *order)
+bool skh_mapswitch_next_order(const skh_mapswitch_t *mapswitch, size_t rank, skh_order_t *order)
 {
 	/* A rank may have joined since the switch began; it is none of its ranks. */
 	if (rank >= mapswitch->ranks || mapswitch->fenced || skh_mapswitch_is_done(mapswitch) ||
@@ -67,8 +67,8 @@
 	memset(mapswitch->confirmed_by, 0, mapswitch->ranks * sizeof(bool));
 }
 
-void skh_mapswitch_reply(skh_mapswitch_t *mapswitch, size_t rank, const skh_order_t *order,
-			 skh_order_outcome_t outcome, bool in_place)
+void skh_mapswitch_record_reply(skh_mapswitch_t *mapswitch, size_t rank, const skh_order_t *order,
+				skh_order_outcome_t outcome, bool in_place)
 {
 	if (outcome == SKH_ORDER_FENCED && order->fence == mapswitch->fence)
 		mapswitch->fenced = true;
@@ -76,7 +76,7 @@
 	if (order->fence != mapswitch->fence || order->version != mapswitch->version ||
 	    order->step != mapswitch->step || rank >= mapswitch->ranks || mapswitch->fenced)
 		return;
-	if (outcome == SKH_ORDER_MISPLACED) {
+	if (outcome == SKH_ORDER_OUT_OF_SEQUENCE) {
 		enter(mapswitch, SKH_STEP_PREPARE);
 		return;
 	}
--- a/src/mapswitch.h
+++ b/src/mapswitch.h
@@ -23,16 +23,16 @@
 skh_mapswitch_t *skh_mapswitch_new(size_t ranks, uint64_t fence, uint64_t version);
 void skh_mapswitch_free(skh_mapswitch_t *mapswitch);
 
-/** skh_mapswitch_order_for() - whether @rank is to be sent an order now, and which */
-bool skh_mapswitch_order_for(const skh_mapswitch_t *mapswitch, size_t rank, skh_order_t *order);
+/** skh_mapswitch_next_order() - whether @rank is to be sent an order now, and which */
+bool skh_mapswitch_next_order(const skh_mapswitch_t *mapswitch, size_t rank, skh_order_t *order);
 
 /**
- * skh_mapswitch_reply() - @rank's answer to @order
+ * skh_mapswitch_record_reply() - @rank's answer to @order
  * @in_place: its engine runs, and with the wanted map. When all do so at the
  *	first step there is nothing to switch and the group is not held.
  */
-void skh_mapswitch_reply(skh_mapswitch_t *mapswitch, size_t rank, const skh_order_t *order,
-			 skh_order_outcome_t outcome, bool in_place);
+void skh_mapswitch_record_reply(skh_mapswitch_t *mapswitch, size_t rank, const skh_order_t *order,
+				skh_order_outcome_t outcome, bool in_place);
 
 bool skh_mapswitch_is_done(const skh_mapswitch_t *mapswitch);
 
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -15,7 +15,7 @@
 	const char *help;
 } counter_row_t;
 
-static const counter_row_t counter_table[SKH_COUNT_TOTAL] = {
+static const counter_row_t counter_table[SKH_COUNTER_COUNT] = {
 	[SKH_COUNT_REQUESTS] = { "requests", "Requests accepted from callers" },
 	[SKH_COUNT_ANSWERS_WHOLE] = { "answers_whole", "Answers delivered whole" },
 	[SKH_COUNT_ANSWERS_FAILED] = { "answers_failed", "Requests answered with an error" },
@@ -29,7 +29,7 @@
 	[SKH_COUNT_LATE_FRAMES] = { "late_frames", "Frames of abandoned attempts dropped" },
 	[SKH_COUNT_BAD_FRAMES] = { "bad_frames", "Frames that could not be read" },
 	[SKH_COUNT_CANCELS] = { "cancels", "Attempts cancelled" },
-	[SKH_COUNT_TOKENS] = { "stream_events", "Stream events relayed" },
+	[SKH_COUNT_STREAM_EVENTS] = { "stream_events", "Stream events relayed" },
 	[SKH_COUNT_FRAMES_IN] = { "frames_in", "Frames received" },
 	[SKH_COUNT_FRAMES_OUT] = { "frames_out", "Frames sent" },
 	[SKH_COUNT_CONTROL_BYTES_IN] = { "control_bytes_in", "Bytes of hello and status received" },
@@ -45,13 +45,13 @@
 					 "Requests whose key is claimed by an unfinished run" },
 	[SKH_COUNT_ACCUSED] = { "accused", "Crashes held against a request" },
 	[SKH_COUNT_QUARANTINED] = { "quarantined", "Requests refused for crashing servers" },
-	[SKH_COUNT_ORDERS] = { "engine_orders", "Orders sent to engines" },
+	[SKH_COUNT_ENGINE_ORDERS] = { "engine_orders", "Orders sent to engines" },
 	[SKH_COUNT_MAP_CHANGES] = { "map_changes", "Expert maps put in use" },
 	[SKH_COUNT_MAP_FAILURES] = { "map_failures", "Changes of expert maps that failed" },
 	[SKH_COUNT_CLAIM_REPLAYS] = { "claim_replays", "Recorded answers given again" },
 };
 
-static const counter_row_t histogram_table[SKH_HIST_TOTAL] = {
+static const counter_row_t histogram_table[SKH_HISTOGRAM_COUNT] = {
 	[SKH_HIST_FIRST_BYTE] = { "first_byte_us", "Time to the first byte of the answer" },
 	[SKH_HIST_ANSWER] = { "answer_us", "Time to the last byte of the answer" },
 };
@@ -63,8 +63,8 @@
 	atomic_uint_fast64_t sum_us;
 } series_t;
 
-static atomic_uint_fast64_t counters[SKH_COUNT_TOTAL];
-static GHashTable *series_tables[SKH_HIST_TOTAL];
+static atomic_uint_fast64_t counters[SKH_COUNTER_COUNT];
+static GHashTable *series_tables[SKH_HISTOGRAM_COUNT];
 static GRWLock series_lock;
 
 void skh_metrics_add(skh_counter_t counter, uint64_t amount)
@@ -178,11 +178,11 @@
 	static const counter_row_t store_row = { "store_calls",
 						 "Calls made to the key-value service" };
 
-	for (int32_t i = 0; i < SKH_COUNT_TOTAL; i++)
+	for (int32_t i = 0; i < SKH_COUNTER_COUNT; i++)
 		write_counter(out, &counter_table[i], skh_metrics_get((skh_counter_t)i));
-	write_counter(out, &store_row, skh_store_calls());
+	write_counter(out, &store_row, skh_store_call_count());
 	g_rw_lock_reader_lock(&series_lock);
-	for (int32_t i = 0; i < SKH_HIST_TOTAL; i++)
+	for (int32_t i = 0; i < SKH_HISTOGRAM_COUNT; i++)
 		write_histogram(out, (skh_histogram_t)i);
 	g_rw_lock_reader_unlock(&series_lock);
 }
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -31,7 +31,7 @@
 	SKH_COUNT_LATE_FRAMES,
 	SKH_COUNT_BAD_FRAMES,
 	SKH_COUNT_CANCELS,
-	SKH_COUNT_TOKENS,
+	SKH_COUNT_STREAM_EVENTS,
 	SKH_COUNT_FRAMES_IN,
 	SKH_COUNT_FRAMES_OUT,
 	SKH_COUNT_CONTROL_BYTES_IN,
@@ -47,16 +47,16 @@
 	SKH_COUNT_CLAIM_UNFINISHED,
 	SKH_COUNT_ACCUSED,
 	SKH_COUNT_QUARANTINED,
-	SKH_COUNT_ORDERS,
+	SKH_COUNT_ENGINE_ORDERS,
 	SKH_COUNT_MAP_CHANGES,
 	SKH_COUNT_MAP_FAILURES,
-	SKH_COUNT_TOTAL
+	SKH_COUNTER_COUNT
 } skh_counter_t;
 
 typedef enum skh_histogram {
 	SKH_HIST_FIRST_BYTE, /* microseconds from acceptance to the first byte */
 	SKH_HIST_ANSWER,     /* microseconds from acceptance to the last byte */
-	SKH_HIST_TOTAL
+	SKH_HISTOGRAM_COUNT
 } skh_histogram_t;
 
 void skh_metrics_add(skh_counter_t counter, uint64_t amount);
--- a/src/mirror.c
+++ b/src/mirror.c
@@ -27,7 +27,7 @@
 
 static bool read_all(skh_mirror_t *mirror, int64_t *store_revision)
 {
-	skh_pairs_t pairs;
+	skh_kv_pairs_t pairs;
 	skh_error_t err;
 
 	if (!mirror->store->ops->range(mirror->store, mirror->prefix, true, &pairs, &err)) {
@@ -41,7 +41,7 @@
 		g_hash_table_insert(mirror->pairs, g_strdup(pairs.list[i].key),
 				    g_strdup(pairs.list[i].value));
 	*store_revision = pairs.store_revision;
-	skh_pairs_clear(&pairs);
+	skh_kv_pairs_clear(&pairs);
 	return mirror->fn(mirror->context, mirror->pairs);
 }
 
--- a/src/route.c
+++ b/src/peer_selection.c
@@ -1,4 +1,4 @@
-#include "route.h"
+#include "peer_selection.h"
 
 #include "clock.h"
 
@@ -19,12 +19,12 @@
 #define LOCAL_PREFERENCE 0.25
 #define RETRY_US	 (1 * SKH_US_PER_S)
 
-double skh_route_load(const skh_peer_t *peer)
+double skh_peer_load(const skh_peer_t *peer)
 {
-	return (double)skh_peers_work(peer) / (double)MAX(peer->capacity, 1);
+	return (double)skh_peers_estimate_load(peer) / (double)MAX(peer->capacity, 1);
 }
 
-static bool was_tried(const skh_route_query_t *query, const char *id)
+static bool was_tried(const skh_peer_query_t *query, const char *id)
 {
 	for (size_t i = 0; i < query->n_tried; i++) {
 		if (strcmp(query->tried[i], id) == 0)
@@ -33,14 +33,14 @@
 	return false;
 }
 
-bool skh_route_may_take(const skh_peer_t *peer, const skh_route_query_t *query)
+bool skh_peer_can_accept(const skh_peer_t *peer, const skh_peer_query_t *query)
 {
 	return peer->reachable && peer->phase == SKH_PHASE_READY && peer->listed &&
-	       !peer->list_says_leaving && strcmp(peer->service, query->service) == 0 &&
+	       !peer->listed_leaving && strcmp(peer->service, query->service) == 0 &&
 	       !was_tried(query, peer->id);
 }
 
-static GPtrArray *candidates(const skh_peers_t *peers, const skh_route_query_t *query,
+static GPtrArray *candidates(const skh_peers_t *peers, const skh_peer_query_t *query,
 			     bool with_avoided, int64_t now_us)
 {
 	GPtrArray *list = g_ptr_array_new();
@@ -48,7 +48,7 @@
 	for (size_t i = 0; i < skh_peers_count(peers); i++) {
 		skh_peer_t *peer = skh_peers_at(peers, i);
 
-		if (!skh_route_may_take(peer, query))
+		if (!skh_peer_can_accept(peer, query))
 			continue;
 		if (with_avoided || peer->avoid_until_us <= now_us)
 			g_ptr_array_add(list, peer);
@@ -61,7 +61,7 @@
 	double sum = 0.0;
 
 	for (size_t i = 0; i < list->len; i++)
-		sum += skh_route_load(list->pdata[i]);
+		sum += skh_peer_load(list->pdata[i]);
 	return sum / (double)list->len;
 }
 
@@ -95,18 +95,18 @@
 
 static bool is_full(const skh_peer_t *peer, int64_t now_us)
 {
-	return skh_peers_work(peer) >= peer->capacity &&
-	       now_us - peer->heard_at_us < FULL_MEMORY_US;
+	return skh_peers_estimate_load(peer) >= peer->capacity &&
+	       now_us - peer->last_received_us < FULL_MEMORY_US;
 }
 
-static double cost(const skh_peer_t *peer, const skh_route_query_t *query)
+static double cost(const skh_peer_t *peer, const skh_peer_query_t *query)
 {
 	bool local = strcmp(peer->failure_domain, query->failure_domain) == 0;
 
-	return skh_route_load(peer) + (local ? 0.0 : LOCAL_PREFERENCE);
+	return skh_peer_load(peer) + (local ? 0.0 : LOCAL_PREFERENCE);
 }
 
-static skh_peer_t *better_of_two(const GPtrArray *list, const skh_route_query_t *query,
+static skh_peer_t *better_of_two(const GPtrArray *list, const skh_peer_query_t *query,
 				 uint64_t random)
 {
 	skh_peer_t *first = list->pdata[(uint32_t)random % list->len];
@@ -129,7 +129,7 @@
 	for (size_t i = 0; i < n; i++) {
 		skh_peer_t *peer = homes[i].peer;
 
-		if (!is_full(peer, now_us) && skh_route_load(peer) <= bound)
+		if (!is_full(peer, now_us) && skh_peer_load(peer) <= bound)
 			return peer;
 	}
 	return NULL;
@@ -139,12 +139,12 @@
  * A prefix that several homes hold anyway goes to the emptier of two of them,
  * which leaves room for the prefixes that have only one.
  */
-static skh_peer_t *pick_home(const GPtrArray *list, const skh_route_query_t *query, uint64_t random,
+static skh_peer_t *pick_home(const GPtrArray *list, const skh_peer_query_t *query, uint64_t random,
 			     int64_t now_us)
 {
 	home_t homes[AFFINITY_HOMES];
 	size_t n = find_homes(list, query->prefix_hash, homes);
-	size_t warm = MIN(homes_of_heat(list, query->heat), n);
+	size_t warm = MIN(homes_of_heat(list, query->prefix_share), n);
 	skh_peer_t *first;
 	skh_peer_t *second;
 
@@ -152,11 +152,11 @@
 		return first_home(list, homes, n, now_us);
 	first = homes[(uint32_t)random % warm].peer;
 	second = homes[(uint32_t)(random >> 32) % warm].peer;
-	return skh_route_load(second) < skh_route_load(first) ? second : first;
+	return skh_peer_load(second) < skh_peer_load(first) ? second : first;
 }
 
-skh_peer_t *skh_route_pick(const skh_peers_t *peers, const skh_route_query_t *query,
-			   uint64_t random, int64_t now_us, skh_error_t *err)
+skh_peer_t *skh_select_peer(const skh_peers_t *peers, const skh_peer_query_t *query,
+			    uint64_t random, int64_t now_us, skh_error_t *err)
 {
 	g_autoptr(GPtrArray) list = candidates(peers, query, false, now_us);
 	skh_peer_t *home;
--- a/src/peers.c
+++ b/src/peers.c
@@ -71,14 +71,14 @@
 	*target = g_strdup(text);
 }
 
-static skh_peer_t *add_peer(skh_peers_t *peers, const skh_member_t *member, int64_t now_us)
+static skh_peer_t *add_peer(skh_peers_t *peers, const skh_instance_t *member, int64_t now_us)
 {
 	skh_peer_t *peer = g_new0(skh_peer_t, 1);
 
 	peer->id = g_strdup(member->id);
 	peer->service = g_strdup("");
 	peer->group = g_strdup("");
-	peer->hello_at_us = now_us;
+	peer->next_hello_us = now_us;
 	g_ptr_array_add(peers->list, peer);
 	g_hash_table_insert(peers->by_id, peer->id, peer);
 	return peer;
@@ -96,12 +96,12 @@
 	}
 }
 
-void skh_peers_sync(skh_peers_t *peers, const skh_members_t *members, int64_t now_us)
+void skh_peers_sync(skh_peers_t *peers, const skh_instances_t *members, int64_t now_us)
 {
 	for (size_t i = 0; i < peers->list->len; i++)
 		skh_peers_at(peers, i)->listed = false;
 	for (size_t i = 0; i < members->count; i++) {
-		const skh_member_t *member = &members->list[i];
+		const skh_instance_t *member = &members->list[i];
 		skh_peer_t *peer;
 
 		if (strcmp(member->role, "sidecar") != 0)
@@ -110,9 +110,9 @@
 		if (!peer)
 			peer = add_peer(peers, member, now_us);
 		peer->listed = true;
-		peer->list_says_leaving = member->leaving;
-		set_text(&peer->link, member->link);
-		set_text(&peer->admin, member->admin);
+		peer->listed_leaving = member->leaving;
+		set_text(&peer->link, member->link_address);
+		set_text(&peer->admin, member->admin_address);
 		set_text(&peer->failure_domain, member->failure_domain);
 	}
 	drop_unlisted(peers);
@@ -122,7 +122,7 @@
 {
 	peer->incarnation = status->incarnation;
 	peer->phase = (skh_phase_t)status->phase;
-	peer->clock_us = status->clock_us;
+	peer->reported_clock_us = status->clock_us;
 	peer->running = status->running;
 	peer->queued = status->queued;
 	peer->capacity = status->capacity;
@@ -132,20 +132,21 @@
 	set_text(&peer->group, status->group);
 }
 
-bool skh_peers_heard(skh_peer_t *peer, const Skh__Status *status, int64_t revision, int64_t now_us)
+bool skh_peers_record_frame(skh_peer_t *peer, const Skh__Status *status, int64_t revision,
+			    int64_t now_us)
 {
 	bool replaced = false;
 
-	peer->lost_at_us = now_us + SILENCE_US;
-	peer->revision = MAX(peer->revision, revision);
+	peer->silence_deadline_us = now_us + SILENCE_US;
+	peer->config_revision = MAX(peer->config_revision, revision);
 	if (!status)
 		return false;
 	replaced = peer->incarnation != 0 && peer->incarnation != status->incarnation;
 	if (replaced)
-		peer->revision = revision;
+		peer->config_revision = revision;
 	peer->reachable = true;
-	peer->heard_at_us = now_us;
-	peer->own_at_report = peer->own_in_flight;
+	peer->last_received_us = now_us;
+	peer->own_in_flight_at_report = peer->own_in_flight;
 	take_status(peer, status);
 	return replaced;
 }
@@ -159,65 +160,67 @@
 	return MAX(sweep_us, HELLO_IDLE_MIN_US);
 }
 
-bool skh_peers_hello_due(skh_peers_t *peers, skh_peer_t *peer, int64_t now_us)
+bool skh_peers_schedule_hello(skh_peers_t *peers, skh_peer_t *peer, int64_t now_us)
 {
-	bool silent = now_us + HELLO_BUSY_US > peer->lost_at_us - SILENCE_US + 2 * HELLO_BUSY_US;
+	bool silent =
+		now_us + HELLO_BUSY_US > peer->silence_deadline_us - SILENCE_US + 2 * HELLO_BUSY_US;
 
-	if (now_us < peer->hello_at_us)
+	if (now_us < peer->next_hello_us)
 		return false;
 	if (!peer->reachable)
-		peer->hello_at_us = now_us + HELLO_CONNECTING_US;
+		peer->next_hello_us = now_us + HELLO_CONNECTING_US;
 	else if (peer->own_in_flight > 0)
-		peer->hello_at_us = now_us + HELLO_BUSY_US;
+		peer->next_hello_us = now_us + HELLO_BUSY_US;
 	else
-		peer->hello_at_us = now_us + idle_interval_us(peers);
+		peer->next_hello_us = now_us + idle_interval_us(peers);
 	/* Frames of running work prove life; only a silent busy peer is asked. */
 	return !peer->reachable || peer->own_in_flight == 0 || silent;
 }
 
 /* What this entry has sent and had back since the report is not in it. */
-uint32_t skh_peers_work(const skh_peer_t *peer)
+uint32_t skh_peers_estimate_load(const skh_peer_t *peer)
 {
 	int64_t reported = (int64_t)peer->running + peer->queued;
-	int64_t since = (int64_t)peer->own_in_flight - peer->own_at_report;
+	int64_t since = (int64_t)peer->own_in_flight - peer->own_in_flight_at_report;
 
 	return (uint32_t)MAX(reported + since, (int64_t)peer->own_in_flight);
 }
 
 bool skh_peers_is_lost(const skh_peer_t *peer, int64_t now_us)
 {
-	return peer->reachable && peer->own_in_flight > 0 && now_us >= peer->lost_at_us;
+	return peer->reachable && peer->own_in_flight > 0 && now_us >= peer->silence_deadline_us;
 }
 
 void skh_peers_set_lost(skh_peer_t *peer, int64_t now_us)
 {
 	peer->reachable = false;
-	peer->hello_at_us = now_us;
+	peer->next_hello_us = now_us;
 }
 
-int64_t skh_peers_clock(const skh_peer_t *peer, int64_t now_us)
+int64_t skh_peers_min_clock_us(const skh_peer_t *peer, int64_t now_us)
 {
-	return peer->clock_us + (now_us - peer->heard_at_us);
+	return peer->reported_clock_us + (now_us - peer->last_received_us);
 }
 
-void skh_peers_take(skh_peer_t *peer, int64_t now_us)
+void skh_peers_begin_request(skh_peer_t *peer, int64_t now_us)
 {
 	/* The silence of an idle peer says nothing; start watching it now. */
 	if (peer->own_in_flight == 0) {
-		peer->lost_at_us = now_us + SILENCE_US;
-		peer->hello_at_us = MIN(peer->hello_at_us, now_us + HELLO_BUSY_US);
+		peer->silence_deadline_us = now_us + SILENCE_US;
+		peer->next_hello_us = MIN(peer->next_hello_us, now_us + HELLO_BUSY_US);
 	}
 	peer->own_in_flight++;
 }
 
-void skh_peers_give_back(skh_peer_t *peer, bool succeeded, int64_t now_us)
+void skh_peers_end_request(skh_peer_t *peer, bool succeeded, int64_t now_us)
 {
 	if (peer->own_in_flight > 0)
 		peer->own_in_flight--;
 	if (succeeded) {
-		peer->failures = 0;
+		peer->consecutive_failures = 0;
 		return;
 	}
-	peer->avoid_until_us = now_us + (AVOID_FIRST_US << MIN(peer->failures, AVOID_MAX_SHIFT));
-	peer->failures++;
+	peer->avoid_until_us =
+		now_us + (AVOID_FIRST_US << MIN(peer->consecutive_failures, AVOID_MAX_SHIFT));
+	peer->consecutive_failures++;
 }
--- a/src/heat.c
+++ b/src/prefix_share.c
@@ -1,4 +1,4 @@
-#include "heat.h"
+#include "prefix_share.h"
 
 #include "clock.h"
 
@@ -14,29 +14,29 @@
 	uint32_t total;
 } window_t;
 
-struct skh_heat {
+struct skh_prefix_share {
 	window_t *now;
 	window_t *before;
 	int64_t ends_at_us; /* of the window under way; 0 before the first request */
 };
 
-skh_heat_t *skh_heat_new(void)
+skh_prefix_share_t *skh_prefix_share_new(void)
 {
-	skh_heat_t *heat = g_new0(skh_heat_t, 1);
+	skh_prefix_share_t *heat = g_new0(skh_prefix_share_t, 1);
 
 	heat->now = g_new0(window_t, 1);
 	heat->before = g_new0(window_t, 1);
 	return heat;
 }
 
-void skh_heat_free(skh_heat_t *heat)
+void skh_prefix_share_free(skh_prefix_share_t *heat)
 {
 	g_free(heat->now);
 	g_free(heat->before);
 	g_free(heat);
 }
 
-static void turn_over(skh_heat_t *heat, int64_t now_us)
+static void turn_over(skh_prefix_share_t *heat, int64_t now_us)
 {
 	window_t *oldest = heat->before;
 
@@ -57,7 +57,7 @@
 	return MAX((double)count - 1.0 - sqrt((double)count), 0.0);
 }
 
-double skh_heat_note(skh_heat_t *heat, uint64_t prefix_hash, int64_t now_us)
+double skh_prefix_share_record(skh_prefix_share_t *heat, uint64_t prefix_hash, int64_t now_us)
 {
 	uint32_t bucket = (uint32_t)(prefix_hash >> 32) % BUCKETS;
 	uint32_t count;
--- a/src/heat.h
+++ b/src/prefix_share.h
@@ -1,5 +1,5 @@
-#ifndef SKH_HEAT_H
-#define SKH_HEAT_H
+#ifndef SKH_PREFIX_SHARE_H
+#define SKH_PREFIX_SHARE_H
 
 /**
  * DOC: Heat of prefixes
@@ -14,16 +14,16 @@
 extern "C" {
 #endif
 
-typedef struct skh_heat skh_heat_t;
+typedef struct skh_prefix_share skh_prefix_share_t;
 
-skh_heat_t *skh_heat_new(void);
-void skh_heat_free(skh_heat_t *heat);
+skh_prefix_share_t *skh_prefix_share_new(void);
+void skh_prefix_share_free(skh_prefix_share_t *heat);
 
 /**
- * skh_heat_note() - one request with @prefix_hash arrived
+ * skh_prefix_share_record() - one request with @prefix_hash arrived
  * Return: the part of recent requests that share its prefix, 0 to 1.
  */
-double skh_heat_note(skh_heat_t *heat, uint64_t prefix_hash, int64_t now_us);
+double skh_prefix_share_record(skh_prefix_share_t *heat, uint64_t prefix_hash, int64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -54,7 +54,7 @@
 	gpointer key;
 
 	g_mutex_lock(&quarantine->lock);
-	skh_suspects_begin_load(quarantine->suspects);
+	skh_suspects_begin_snapshot(quarantine->suspects);
 	g_hash_table_iter_init(&iter, pairs);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		uint64_t request;
@@ -62,9 +62,10 @@
 
 		if (sscanf((const char *)key + skip, "%16" SCNx64 "/%16" SCNx64, &request,
 			   &crash) == 2)
-			skh_suspects_load(quarantine->suspects, request, crash, now_us);
+			skh_suspects_add_snapshot_crash(quarantine->suspects, request, crash,
+							now_us);
 	}
-	skh_suspects_end_load(quarantine->suspects);
+	skh_suspects_end_snapshot(quarantine->suspects);
 	g_mutex_unlock(&quarantine->lock);
 	return true;
 }
@@ -84,7 +85,7 @@
 
 static bool write_batch(skh_quarantine_t *quarantine, change_t *const *batch, size_t n)
 {
-	skh_op_t ops[BATCH];
+	skh_txn_op_t ops[BATCH];
 	skh_txn_t txn = { .ops = ops, .n_ops = n };
 	skh_txn_result_t result;
 	skh_error_t err;
@@ -92,11 +93,11 @@
 					       skh_clock_now_us(), &err);
 
 	for (size_t i = 0; i < n; i++)
-		ops[i] = (skh_op_t){ batch[i]->remove ? SKH_OP_DELETE : SKH_OP_PUT, batch[i]->key,
-				     "", quarantine->lease.id };
+		ops[i] = (skh_txn_op_t){ batch[i]->remove ? SKH_TXN_OP_DELETE : SKH_TXN_OP_PUT,
+					 batch[i]->key, "", quarantine->lease.id };
 	written = written && quarantine->store->ops->txn(quarantine->store, &txn, &result, &err);
 	if (written)
-		skh_pairs_clear(&result.pairs);
+		skh_kv_pairs_clear(&result.pairs);
 	else
 		skh_log(SKH_LOG_WARNING, PART, "Suspects can't be made known.", "reason=%s",
 			err.text);
@@ -152,7 +153,7 @@
 	quarantine->prefix = g_strconcat(store_prefix, FOLDER, NULL);
 	quarantine->suspects = skh_suspects_new();
 	quarantine->lease.period_s = LEASE_PERIOD_S;
-	quarantine->lease.hold_s = SKH_SUSPECT_HOLD_S;
+	quarantine->lease.min_ttl_s = SKH_SUSPECT_EXPIRY_S;
 	g_mutex_init(&quarantine->lock);
 	g_cond_init(&quarantine->wake);
 	g_queue_init(&quarantine->pending);
@@ -177,12 +178,12 @@
 	g_free(quarantine);
 }
 
-skh_standing_t skh_quarantine_standing(skh_quarantine_t *quarantine, uint64_t request)
+skh_suspect_state_t skh_quarantine_get_state(skh_quarantine_t *quarantine, uint64_t request)
 {
-	skh_standing_t standing;
+	skh_suspect_state_t standing;
 
 	g_mutex_lock(&quarantine->lock);
-	standing = skh_suspects_standing(quarantine->suspects, request, skh_clock_now_us());
+	standing = skh_suspects_get_state(quarantine->suspects, request, skh_clock_now_us());
 	g_mutex_unlock(&quarantine->lock);
 	return standing;
 }
@@ -202,12 +203,13 @@
 	g_cond_signal(&quarantine->wake);
 }
 
-void skh_quarantine_accuse(skh_quarantine_t *quarantine, uint64_t request, uint64_t crash)
+void skh_quarantine_record_crash(skh_quarantine_t *quarantine, uint64_t request, uint64_t crash)
 {
 	bool is_new;
 
 	g_mutex_lock(&quarantine->lock);
-	is_new = skh_suspects_accuse(quarantine->suspects, request, crash, skh_clock_now_us());
+	is_new =
+		skh_suspects_record_crash(quarantine->suspects, request, crash, skh_clock_now_us());
 	if (is_new)
 		push_change(quarantine, request, crash, false);
 	g_mutex_unlock(&quarantine->lock);
@@ -220,7 +222,7 @@
 
 bool skh_quarantine_clear(skh_quarantine_t *quarantine, uint64_t request)
 {
-	uint64_t crashes[SKH_SUSPECT_CRASHES];
+	uint64_t crashes[SKH_SUSPECT_QUARANTINE_CRASHES];
 	size_t n;
 
 	g_mutex_lock(&quarantine->lock);
@@ -231,14 +233,15 @@
 	return n > 0;
 }
 
-static void list_one(void *context, uint64_t request, skh_standing_t standing)
+static void list_one(void *context, uint64_t request, skh_suspect_state_t standing)
 {
 	char content[20];
 
 	(void)g_snprintf(content, sizeof(content), "%016" PRIx64, request);
 	json_array_append_new(
-		context, json_pack("{s:s, s:s}", "content", content, "standing",
-				   standing == SKH_STANDING_SUSPECT ? "suspect" : "quarantined"));
+		context,
+		json_pack("{s:s, s:s}", "content", content, "standing",
+			  standing == SKH_SUSPECT_STATE_SUSPECT ? "suspect" : "quarantined"));
 }
 
 json_t *skh_quarantine_list(skh_quarantine_t *quarantine)
@@ -246,7 +249,7 @@
 	json_t *list = json_array();
 
 	g_mutex_lock(&quarantine->lock);
-	skh_suspects_each(quarantine->suspects, skh_clock_now_us(), list_one, list);
+	skh_suspects_for_each(quarantine->suspects, skh_clock_now_us(), list_one, list);
 	g_mutex_unlock(&quarantine->lock);
 	return list;
 }
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -26,8 +26,8 @@
 void skh_quarantine_stop(skh_quarantine_t *quarantine);
 
 /* These three do not wait for the key-value service. */
-skh_standing_t skh_quarantine_standing(skh_quarantine_t *quarantine, uint64_t request);
-void skh_quarantine_accuse(skh_quarantine_t *quarantine, uint64_t request, uint64_t crash);
+skh_suspect_state_t skh_quarantine_get_state(skh_quarantine_t *quarantine, uint64_t request);
+void skh_quarantine_record_crash(skh_quarantine_t *quarantine, uint64_t request, uint64_t crash);
 
 /** skh_quarantine_clear() - true when something was held against @request */
 bool skh_quarantine_clear(skh_quarantine_t *quarantine, uint64_t request);
--- a/src/rank.c
+++ b/src/rank.c
@@ -5,19 +5,19 @@
 void skh_rank_init(skh_rank_t *rank, uint64_t fence)
 {
 	memset(rank, 0, sizeof(*rank));
-	rank->fence = fence;
-	rank->maybe_held = true;
+	rank->highest_fence = fence;
+	rank->may_be_held = true;
 }
 
 static bool is_done(const skh_rank_t *rank, const skh_order_t *order)
 {
 	switch (order->step) {
 	case SKH_STEP_PREPARE:
-		return rank->prepared == order->version;
+		return rank->prepared_version == order->version;
 	case SKH_STEP_HOLD:
-		return rank->held_by == order->fence;
+		return rank->hold_fence == order->fence;
 	case SKH_STEP_SET:
-		return rank->held_by == order->fence && rank->version == order->version;
+		return rank->hold_fence == order->fence && rank->version == order->version;
 	default:
 		return false;
 	}
@@ -25,11 +25,11 @@
 
 static bool may_follow(const skh_rank_t *rank, const skh_order_t *order)
 {
-	bool held = rank->held_by == order->fence;
+	bool held = rank->hold_fence == order->fence;
 
 	switch (order->step) {
 	case SKH_STEP_SET:
-		return held && rank->prepared == order->version;
+		return held && rank->prepared_version == order->version;
 	case SKH_STEP_GO:
 		return held && rank->version == order->version;
 	default:
@@ -40,59 +40,60 @@
 /* A repeated release finds the engine running with the map that was set. */
 static bool is_repeated_go(const skh_rank_t *rank, const skh_order_t *order)
 {
-	return order->step == SKH_STEP_GO && rank->held_by == 0 &&
-	       rank->at_engine.step == SKH_STEP_GO && rank->at_engine.fence == order->fence &&
+	return order->step == SKH_STEP_GO && rank->hold_fence == 0 &&
+	       rank->engine_order.step == SKH_STEP_GO && rank->engine_order.fence == order->fence &&
 	       rank->version == order->version;
 }
 
-skh_order_outcome_t skh_rank_order(skh_rank_t *rank, const skh_order_t *order)
+skh_order_outcome_t skh_rank_handle_order(skh_rank_t *rank, const skh_order_t *order)
 {
-	if (order->fence < rank->fence)
+	if (order->fence < rank->highest_fence)
 		return SKH_ORDER_FENCED;
-	rank->fence = order->fence;
-	if (rank->busy)
+	rank->highest_fence = order->fence;
+	if (rank->order_pending)
 		return SKH_ORDER_BUSY;
 	if (is_done(rank, order) || is_repeated_go(rank, order))
 		return SKH_ORDER_DONE;
 	if (!may_follow(rank, order))
-		return SKH_ORDER_MISPLACED;
-	rank->busy = true;
-	rank->at_engine = *order;
-	return SKH_ORDER_TO_ENGINE;
+		return SKH_ORDER_OUT_OF_SEQUENCE;
+	rank->order_pending = true;
+	rank->engine_order = *order;
+	return SKH_ORDER_FORWARD;
 }
 
-bool skh_rank_is_in_place(const skh_rank_t *rank, uint64_t version)
+bool skh_rank_is_running_version(const skh_rank_t *rank, uint64_t version)
 {
-	return !rank->busy && rank->held_by == 0 && !rank->maybe_held && rank->version == version;
+	return !rank->order_pending && rank->hold_fence == 0 && !rank->may_be_held &&
+	       rank->version == version;
 }
 
-void skh_rank_engine_done(skh_rank_t *rank, bool succeeded)
+void skh_rank_complete_order(skh_rank_t *rank, bool succeeded)
 {
-	const skh_order_t *order = &rank->at_engine;
+	const skh_order_t *order = &rank->engine_order;
 
-	rank->busy = false;
+	rank->order_pending = false;
 	if (!succeeded) {
 		/* What the engine did is not known: only a fresh hold is safe. */
-		rank->held_by = 0;
-		rank->maybe_held = true;
+		rank->hold_fence = 0;
+		rank->may_be_held = true;
 		if (order->step == SKH_STEP_SET)
 			rank->version = 0;
-		rank->at_engine = (skh_order_t){ 0 };
+		rank->engine_order = (skh_order_t){ 0 };
 		return;
 	}
 	switch (order->step) {
 	case SKH_STEP_PREPARE:
-		rank->prepared = order->version;
+		rank->prepared_version = order->version;
 		break;
 	case SKH_STEP_HOLD:
-		rank->held_by = order->fence;
+		rank->hold_fence = order->fence;
 		break;
 	case SKH_STEP_SET:
 		rank->version = order->version;
 		break;
 	default:
-		rank->held_by = 0;
-		rank->maybe_held = false;
+		rank->hold_fence = 0;
+		rank->may_be_held = false;
 		break;
 	}
 }
--- a/src/rank.h
+++ b/src/rank.h
@@ -37,22 +37,22 @@
 } skh_order_t;
 
 typedef enum skh_order_outcome {
-	SKH_ORDER_DONE,	     /* it is so */
-	SKH_ORDER_TO_ENGINE, /* hand it to the engine, then call skh_rank_engine_done() */
-	SKH_ORDER_BUSY,	     /* another order is at the engine: send it again */
-	SKH_ORDER_FENCED,    /* a later coordinator has spoken */
-	SKH_ORDER_MISPLACED  /* a step before it is missing: start again from the first */
+	SKH_ORDER_DONE,		  /* it is so */
+	SKH_ORDER_FORWARD,	  /* hand it to the engine, then call skh_rank_complete_order() */
+	SKH_ORDER_BUSY,		  /* another order is at the engine: send it again */
+	SKH_ORDER_FENCED,	  /* a later coordinator has spoken */
+	SKH_ORDER_OUT_OF_SEQUENCE /* a step before it is missing: start again from the first */
 } skh_order_outcome_t;
 
 /** struct skh_rank - zero-initialised but for what skh_rank_init() is given */
 typedef struct skh_rank {
-	uint64_t fence;	   /* highest seen */
-	uint64_t prepared; /* map version that is loaded */
-	uint64_t version;  /* map version in use; 0 when not known */
-	uint64_t held_by;  /* fence under which the engine is held; 0 when it may run */
-	bool maybe_held;   /* an earlier order may have left the engine held */
-	bool busy;
-	skh_order_t at_engine;
+	uint64_t highest_fence;	   /* highest seen */
+	uint64_t prepared_version; /* map version that is loaded */
+	uint64_t version;	   /* map version in use; 0 when not known */
+	uint64_t hold_fence;	   /* fence under which the engine is held; 0 when it may run */
+	bool may_be_held;	   /* an earlier order may have left the engine held */
+	bool order_pending;
+	skh_order_t engine_order;
 } skh_rank_t;
 
 /**
@@ -61,14 +61,14 @@
  */
 void skh_rank_init(skh_rank_t *rank, uint64_t fence);
 
-/** skh_rank_order() - what to do with @order */
-skh_order_outcome_t skh_rank_order(skh_rank_t *rank, const skh_order_t *order);
+/** skh_rank_handle_order() - what to do with @order */
+skh_order_outcome_t skh_rank_handle_order(skh_rank_t *rank, const skh_order_t *order);
 
-/** skh_rank_is_in_place() - the engine runs, and with map @version */
-bool skh_rank_is_in_place(const skh_rank_t *rank, uint64_t version);
+/** skh_rank_is_running_version() - the engine runs, and with map @version */
+bool skh_rank_is_running_version(const skh_rank_t *rank, uint64_t version);
 
-/** skh_rank_engine_done() - the engine has answered the order that it had */
-void skh_rank_engine_done(skh_rank_t *rank, bool succeeded);
+/** skh_rank_complete_order() - the engine has answered the order that it had */
+void skh_rank_complete_order(skh_rank_t *rank, bool succeeded);
 
 #ifdef __cplusplus
 }
--- a/src/rankwatch.c
+++ b/src/rank_poller.c
@@ -1,4 +1,4 @@
-#include "rankwatch.h"
+#include "rank_poller.h"
 
 #include "clock.h"
 #include "log.h"
@@ -23,14 +23,14 @@
 	ASK_KINDS
 } ask_t;
 
-struct skh_rankwatch {
+struct skh_rank_poller {
 	skh_engine_client_t *client;
 	const skh_dialect_t *dialect;
-	const skh_rankwatch_ops_t *ops;
+	const skh_rank_poller_ops_t *ops;
 	void *context;
 	bool has_shape;
-	skh_engine_shape_t shape;
-	skh_rank_news_t news;
+	skh_engine_spec_t shape;
+	skh_rank_snapshot_t news;
 	double *seen; /* counts at the last look; NULL before the shape is known */
 	double *more; /* since the look before */
 	uint32_t n_seen;
@@ -45,10 +45,10 @@
 	bool lost; /* the engine does not answer */
 };
 
-skh_rankwatch_t *skh_rankwatch_new(skh_engine_client_t *client, const skh_dialect_t *dialect,
-				   const skh_rankwatch_ops_t *ops, void *context)
+skh_rank_poller_t *skh_rank_poller_new(skh_engine_client_t *client, const skh_dialect_t *dialect,
+				       const skh_rank_poller_ops_t *ops, void *context)
 {
-	skh_rankwatch_t *watch = g_new0(skh_rankwatch_t, 1);
+	skh_rank_poller_t *watch = g_new0(skh_rank_poller_t, 1);
 
 	watch->client = client;
 	watch->dialect = dialect;
@@ -58,7 +58,7 @@
 	return watch;
 }
 
-void skh_rankwatch_free(skh_rankwatch_t *watch)
+void skh_rank_poller_free(skh_rank_poller_t *watch)
 {
 	g_free(watch->news.map);
 	g_free(watch->seen);
@@ -66,15 +66,15 @@
 	g_free(watch);
 }
 
-void skh_rankwatch_set_shape(skh_rankwatch_t *watch, const skh_engine_shape_t *shape)
+void skh_rank_poller_set_engine_spec(skh_rank_poller_t *watch, const skh_engine_spec_t *shape)
 {
-	if (watch->has_shape || shape->sets == 0)
+	if (watch->has_shape || shape->expert_sets == 0)
 		return;
 	watch->has_shape = true;
 	watch->shape = *shape;
-	watch->news.n_map = shape->sets * shape->placements;
+	watch->news.n_map = shape->expert_sets * shape->expert_slots;
 	watch->news.map = g_new0(uint32_t, watch->news.n_map);
-	watch->n_seen = shape->sets * shape->experts;
+	watch->n_seen = shape->expert_sets * shape->experts_per_set;
 	watch->seen = g_new0(double, watch->n_seen);
 	watch->more = g_new0(double, watch->n_seen);
 }
@@ -84,13 +84,13 @@
 
 static bool differs(const skh_engine_report_t *a, const skh_engine_report_t *b)
 {
-	return fabs(a->pace - b->pace) > PACE_NEWS * b->pace || a->epoch != b->epoch ||
+	return fabs(a->slowdown - b->slowdown) > PACE_NEWS * b->slowdown || a->epoch != b->epoch ||
 	       a->group_open != b->group_open || a->map_version != b->map_version ||
-	       a->prepared != b->prepared || a->armed != b->armed || a->held != b->held ||
-	       a->rank != b->rank;
+	       a->prepared_version != b->prepared_version || a->armed_version != b->armed_version ||
+	       a->held_pass != b->held_pass || a->rank != b->rank;
 }
 
-static void take_report(skh_rankwatch_t *watch, skh_chunk_t body)
+static void take_report(skh_rank_poller_t *watch, skh_chunk_t body)
 {
 	skh_engine_report_t report;
 	skh_error_t err;
@@ -112,7 +112,8 @@
 			" held=%" G_GINT64_FORMAT " pace=%.2f",
 			report.in_group ? report.group : "-", report.rank, report.group_size,
 			report.epoch, report.group_open, report.pass, report.map_version,
-			report.prepared, report.armed, report.held, report.pace);
+			report.prepared_version, report.armed_version, report.held_pass,
+			report.slowdown);
 	watch->news.has_report = true;
 	watch->news.report = report;
 	watch->news.reported_us = skh_clock_boot_us();
@@ -126,7 +127,7 @@
  * Counts are read once a pass, so that what is counted before a shift does not mix with
  * what is after. The next look is due when the next pass should have ended.
  */
-static void plan_look(skh_rankwatch_t *watch, bool is_next, int64_t passes, int64_t now_us)
+static void plan_look(skh_rank_poller_t *watch, bool is_next, int64_t passes, int64_t now_us)
 {
 	int64_t span_us = now_us - watch->looked_us;
 
@@ -142,7 +143,7 @@
 }
 
 /* What was counted since the last look; false for the first of an engine's start. */
-static bool find_more(skh_rankwatch_t *watch, const skh_engine_counts_t *counts)
+static bool find_more(skh_rank_poller_t *watch, const skh_engine_counts_t *counts)
 {
 	bool is_next = watch->has_seen && counts->epoch == watch->seen_epoch &&
 		       counts->pass > watch->seen_pass;
@@ -156,7 +157,7 @@
 	return is_next;
 }
 
-static void take_counts(skh_rankwatch_t *watch, skh_chunk_t body)
+static void take_counts(skh_rank_poller_t *watch, skh_chunk_t body)
 {
 	skh_engine_counts_t counts;
 	skh_error_t err;
@@ -179,7 +180,7 @@
 		watch->seen_epoch = counts.epoch;
 		watch->seen_pass = counts.pass;
 		if (is_next)
-			watch->ops->on_look(watch->context, &sample);
+			watch->ops->on_counts(watch->context, &sample);
 	} else {
 		skh_log(SKH_LOG_WARNING, PART, "Counts do not fit.", "counts=%u expected=%u",
 			counts.n, watch->n_seen);
@@ -187,13 +188,13 @@
 	g_free(counts.counts);
 }
 
-static void take_lists(skh_rankwatch_t *watch, skh_chunk_t body)
+static void take_lists(skh_rank_poller_t *watch, skh_chunk_t body)
 {
 	int64_t version;
 	skh_error_t err;
 
-	if (!watch->dialect->read_lists(body, watch->shape.sets, watch->shape.placements,
-					watch->news.map, &version, &err)) {
+	if (!watch->dialect->read_map(body, watch->shape.expert_sets, watch->shape.expert_slots,
+				      watch->news.map, &version, &err)) {
 		skh_log(SKH_LOG_WARNING, PART, "Map not read.", "reason=%s", err.text);
 		return;
 	}
@@ -208,7 +209,7 @@
 
 static void on_answer(void *context, uint32_t tag, int32_t status, skh_chunk_t body);
 
-static void ask(skh_rankwatch_t *watch, ask_t what, const char *path, int64_t period_us,
+static void ask(skh_rank_poller_t *watch, ask_t what, const char *path, int64_t period_us,
 		int64_t now_us)
 {
 	if (watch->asked[what] || now_us < watch->next_us[what])
@@ -220,7 +221,7 @@
 
 static void on_answer(void *context, uint32_t tag, int32_t status, skh_chunk_t body)
 {
-	skh_rankwatch_t *watch = context;
+	skh_rank_poller_t *watch = context;
 
 	watch->asked[tag] = false;
 	if (status != 200) {
@@ -241,7 +242,7 @@
 		take_lists(watch, body);
 }
 
-void skh_rankwatch_set_pace(skh_rankwatch_t *watch, int64_t report_us)
+void skh_rank_poller_set_report_period(skh_rank_poller_t *watch, int64_t report_us)
 {
 	/* What was to come late comes sooner. */
 	if (report_us < watch->report_us)
@@ -249,17 +250,17 @@
 	watch->report_us = report_us;
 }
 
-void skh_rankwatch_tick(skh_rankwatch_t *watch, int64_t now_us)
+void skh_rank_poller_tick(skh_rank_poller_t *watch, int64_t now_us)
 {
 	ask(watch, ASK_REPORT, watch->dialect->report_path, watch->report_us, now_us);
 	if (!watch->has_shape || !watch->news.has_report)
 		return;
 	ask(watch, ASK_COUNTS, watch->dialect->counts_path, watch->pass_us, now_us);
 	if (!watch->news.has_map)
-		ask(watch, ASK_LISTS, watch->dialect->lists_path, LISTS_US, now_us);
+		ask(watch, ASK_LISTS, watch->dialect->map_path, LISTS_US, now_us);
 }
 
-const skh_rank_news_t *skh_rankwatch_news(const skh_rankwatch_t *watch)
+const skh_rank_snapshot_t *skh_rank_poller_snapshot(const skh_rank_poller_t *watch)
 {
 	return &watch->news;
 }
--- a/src/rankrelay.c
+++ b/src/rankrelay.c
@@ -22,12 +22,12 @@
 struct skh_rankrelay {
 	skh_listener_t *listener;
 	uv_loop_t *loop;
-	const skh_pool_options_t *pool_options;
+	const skh_upstream_pool_options_t *pool_options;
 	skh_engine_client_t *engine;
 	skh_engine_client_t *other; /* of the coordinator that this is a deputy of, or NULL */
 	uint32_t other_calls;	    /* under way there */
 	const skh_dialect_t *dialect;
-	skh_rank_maps_t known;
+	skh_map_cache_t known;
 	int64_t prepared; /* version of the last map that was handed on ... */
 	int64_t prepared_us;
 };
@@ -56,15 +56,15 @@
 	}
 }
 
-static void pack_changes(const skh_engine_order_t *order, const skh_rank_map_t *base,
+static void pack_changes(const skh_engine_order_t *order, const skh_versioned_map_t *base,
 			 Skh__RankOrder *message)
 {
 	size_t last = 0;
 
 	message->base_version = base->version;
-	message->changed = g_new(uint32_t, base->places + 1);
-	message->experts = g_new(uint32_t, base->places + 1);
-	for (size_t i = 0; i < base->places; i++) {
+	message->changed = g_new(uint32_t, base->n_slots + 1);
+	message->experts = g_new(uint32_t, base->n_slots + 1);
+	for (size_t i = 0; i < base->n_slots; i++) {
 		if (order->map[i] == base->map[i])
 			continue;
 		message->changed[message->n_changed++] = (uint32_t)(i - last);
@@ -73,24 +73,24 @@
 	}
 }
 
-void skh_rankrelay_pack(const skh_engine_order_t *order, const skh_rank_map_t *base,
+void skh_rankrelay_pack(const skh_engine_order_t *order, const skh_versioned_map_t *base,
 			const char *engine, skh_buffer_t *out)
 {
 	Skh__RankOrder message = SKH__RANK_ORDER__INIT;
-	size_t places = (size_t)order->sets * order->ranks * order->places;
+	size_t places = (size_t)order->n_sets * order->n_ranks * order->n_slots;
 
 	message.op = (uint32_t)order->op;
-	message.version = order->version;
+	message.version = order->map_version;
 	message.pass = order->pass;
 	message.epoch = order->epoch;
 	message.fence = order->fence;
 	message.engine = (char *)(engine ? engine : "");
 	if (order->op == SKH_ENGINE_PREPARE) {
-		message.sets = order->sets;
-		message.ranks = order->ranks;
-		message.places = order->places;
+		message.sets = order->n_sets;
+		message.ranks = order->n_ranks;
+		message.places = order->n_slots;
 		message.map_hash = hash_map(order->map, places);
-		if (base && base->map && base->places == places && base->version != 0)
+		if (base && base->map && base->n_slots == places && base->version != 0)
 			pack_changes(order, base, &message);
 		else
 			pack_whole(order, places, &message);
@@ -116,13 +116,13 @@
 	return map;
 }
 
-static uint32_t *unpack_changes(const Skh__RankOrder *message, const skh_rank_map_t *base,
+static uint32_t *unpack_changes(const Skh__RankOrder *message, const skh_versioned_map_t *base,
 				size_t places)
 {
 	uint32_t *map;
 	size_t at = 0;
 
-	if (!base || base->places != places || message->n_changed != message->n_experts)
+	if (!base || base->n_slots != places || message->n_changed != message->n_experts)
 		return NULL;
 	map = g_memdup2(base->map, places * sizeof(*map));
 	for (size_t i = 0; i < message->n_changed; i++) {
@@ -134,33 +134,33 @@
 	return map;
 }
 
-const skh_rank_map_t *skh_rank_maps_find(const skh_rank_maps_t *maps, int64_t version)
+const skh_versioned_map_t *skh_map_cache_find(const skh_map_cache_t *maps, int64_t version)
 {
-	for (uint32_t i = 0; i < SKH_RANKRELAY_MAPS; i++) {
-		if (maps->list[i].map && maps->list[i].version == version)
-			return &maps->list[i];
+	for (uint32_t i = 0; i < SKH_RANKRELAY_MAX_MAPS; i++) {
+		if (maps->entries[i].map && maps->entries[i].version == version)
+			return &maps->entries[i];
 	}
 	return NULL;
 }
 
-void skh_rank_maps_clear(skh_rank_maps_t *maps)
+void skh_map_cache_clear(skh_map_cache_t *maps)
 {
-	for (uint32_t i = 0; i < SKH_RANKRELAY_MAPS; i++)
-		g_free(maps->list[i].map);
-	*maps = (skh_rank_maps_t){ 0 };
+	for (uint32_t i = 0; i < SKH_RANKRELAY_MAX_MAPS; i++)
+		g_free(maps->entries[i].map);
+	*maps = (skh_map_cache_t){ 0 };
 }
 
 /* Takes ownership of @map. */
-static void add_map(skh_rank_maps_t *maps, int64_t version, size_t places, uint32_t *map)
+static void add_map(skh_map_cache_t *maps, int64_t version, size_t places, uint32_t *map)
 {
-	skh_rank_map_t *slot = &maps->list[maps->next];
+	skh_versioned_map_t *slot = &maps->entries[maps->next_index];
 
-	maps->next = (maps->next + 1) % SKH_RANKRELAY_MAPS;
+	maps->next_index = (maps->next_index + 1) % SKH_RANKRELAY_MAX_MAPS;
 	g_free(slot->map);
-	*slot = (skh_rank_map_t){ version, places, map };
+	*slot = (skh_versioned_map_t){ version, places, map };
 }
 
-static int32_t unpack_map(const Skh__RankOrder *message, skh_rank_maps_t *known)
+static int32_t unpack_map(const Skh__RankOrder *message, skh_map_cache_t *known)
 {
 	uint64_t places = (uint64_t)message->sets * message->ranks * message->places;
 	bool whole = message->base_version == 0;
@@ -169,21 +169,21 @@
 	if (places == 0 || places > MAX_PLACES)
 		return STATUS_BAD;
 	map = whole ? unpack_whole(message, places)
-		    : unpack_changes(message, skh_rank_maps_find(known, message->base_version),
+		    : unpack_changes(message, skh_map_cache_find(known, message->base_version),
 				     places);
 	if (!map || hash_map(map, places) != message->map_hash) {
 		g_free(map);
-		return whole ? STATUS_BAD : SKH_RANKRELAY_NO_BASE;
+		return whole ? STATUS_BAD : SKH_RANKRELAY_STATUS_NO_BASE;
 	}
 	add_map(known, message->version, places, map);
 	return STATUS_OK;
 }
 
-int32_t skh_rankrelay_unpack(skh_chunk_t bytes, skh_rank_maps_t *known, skh_engine_order_t *order,
+int32_t skh_rankrelay_unpack(skh_chunk_t bytes, skh_map_cache_t *known, skh_engine_order_t *order,
 			     char **engine)
 {
 	Skh__RankOrder *message = skh__rank_order__unpack(NULL, bytes.len, bytes.data);
-	const skh_rank_map_t *map;
+	const skh_versioned_map_t *map;
 	int32_t status = STATUS_OK;
 
 	*engine = NULL;
@@ -193,23 +193,23 @@
 	/* An order sent again finds its map known already. */
 	if (message->op > SKH_ENGINE_GO)
 		status = STATUS_BAD;
-	else if (message->op == SKH_ENGINE_PREPARE && !skh_rank_maps_find(known, message->version))
+	else if (message->op == SKH_ENGINE_PREPARE && !skh_map_cache_find(known, message->version))
 		status = unpack_map(message, known);
-	map = skh_rank_maps_find(known, message->version);
+	map = skh_map_cache_find(known, message->version);
 	*order = (skh_engine_order_t){
 		.op = (skh_engine_op_t)message->op,
-		.version = message->version,
+		.map_version = message->version,
 		.pass = message->pass,
 		.epoch = message->epoch,
 		.fence = message->fence,
 		.map = map ? map->map : NULL,
-		.sets = message->sets,
-		.ranks = message->ranks,
-		.places = message->places,
+		.n_sets = message->sets,
+		.n_ranks = message->ranks,
+		.n_slots = message->places,
 	};
 	/* What stands for the same version may be of another size. */
 	if (status == STATUS_OK && message->op == SKH_ENGINE_PREPARE &&
-	    (!map || (uint64_t)order->sets * order->ranks * order->places != map->places))
+	    (!map || (uint64_t)order->n_sets * order->n_ranks * order->n_slots != map->n_slots))
 		status = STATUS_BAD;
 	skh__rank_order__free_unpacked(message, NULL);
 	return status;
@@ -217,10 +217,10 @@
 
 static void answer(skh_caller_conn_t *conn, int32_t status)
 {
-	const skh_answer_head_t head = { .status = status, .reason = "Order", .headers = "" };
+	const skh_response_head_t head = { .status = status, .reason = "Order", .headers = "" };
 
-	skh_caller_conn_begin(conn, &head);
-	skh_caller_conn_end(conn);
+	skh_caller_conn_begin_response(conn, &head);
+	skh_caller_conn_end_response(conn);
 }
 
 static void hand_on(relayed_t *relayed);
@@ -283,14 +283,14 @@
 	if (engine == relay->other)
 		relay->other_calls++;
 	if (order->op == SKH_ENGINE_PREPARE) {
-		relay->prepared = order->version;
+		relay->prepared = order->map_version;
 		relay->prepared_us = skh_clock_boot_us();
 	}
-	skh_caller_conn_bind(conn, relayed);
+	skh_caller_conn_set_exchange(conn, relayed);
 	hand_on(relayed);
 }
 
-static void on_request(void *context, skh_caller_conn_t *conn, const skh_message_t *request)
+static void on_request(void *context, skh_caller_conn_t *conn, const skh_http_message_t *request)
 {
 	skh_rankrelay_t *relay = context;
 	g_autofree char *address = NULL;
@@ -298,7 +298,7 @@
 	skh_engine_order_t order;
 	int32_t status = STATUS_BAD;
 
-	if (strcmp(request->target->str, SKH_RANKRELAY_PATH) == 0)
+	if (strcmp(request->request_target->str, SKH_RANKRELAY_PATH) == 0)
 		status = skh_rankrelay_unpack(skh_buffer_chunk(&request->body), &relay->known,
 					      &order, &address);
 	if (status == STATUS_OK) {
@@ -328,13 +328,14 @@
 
 static const skh_listener_ops_t relay_ops = {
 	.on_request = on_request,
-	.on_gone = on_gone,
-	.on_drained = on_drained,
+	.on_disconnect = on_gone,
+	.on_writable = on_drained,
 };
 
 skh_rankrelay_t *skh_rankrelay_start(uv_loop_t *loop, const char *address,
 				     skh_engine_client_t *engine, const skh_dialect_t *dialect,
-				     const skh_pool_options_t *pool_options, skh_error_t *err)
+				     const skh_upstream_pool_options_t *pool_options,
+				     skh_error_t *err)
 {
 	skh_rankrelay_t *relay = g_new0(skh_rankrelay_t, 1);
 
@@ -349,7 +350,7 @@
 	return NULL;
 }
 
-int64_t skh_rankrelay_prepared(const skh_rankrelay_t *relay, int64_t *since_us)
+int64_t skh_rankrelay_last_prepared(const skh_rankrelay_t *relay, int64_t *since_us)
 {
 	*since_us = relay->prepared_us;
 	return relay->prepared;
--- a/src/balance.h
+++ b/src/rebalance.h
@@ -1,5 +1,5 @@
-#ifndef SKH_BALANCE_H
-#define SKH_BALANCE_H
+#ifndef SKH_REBALANCE_H
+#define SKH_REBALANCE_H
 
 /**
  * DOC: Expert balance
@@ -23,11 +23,11 @@
 extern "C" {
 #endif
 
-#define SKH_BALANCE_MAX_RANKS 64
-#define SKH_BALANCE_MAX_MOVES 512
+#define SKH_REBALANCE_MAX_RANKS	 64
+#define SKH_REBALANCE_MAX_COPIES 512
 
 /**
- * struct skh_balance_view - what one decision is made from; all borrowed
+ * struct skh_rebalance_input - what one decision is made from; all borrowed
  * @placement: expert in each slot, [@n_ranks][@n_slots]; a rank holds an expert once
  * @forecast: expected share of tokens, [@n_experts], any unit
  * @speed: of each rank, [@n_ranks]; 1 is nominal, 0 is lost
@@ -38,48 +38,48 @@
  * @max_loads: the weight store's rate over one interval
  * @rank_loads: most loads of each rank, [@n_ranks]; NULL for no limit
  */
-typedef struct skh_balance_view {
+typedef struct skh_rebalance_input {
 	uint32_t n_ranks;
 	uint32_t n_slots;
 	uint32_t n_experts;
 	const uint32_t *placement;
-	const double *forecast;
+	const double *forecast_shares;
 	const double *speed;
-	const uint32_t *domain;
+	const uint32_t *failure_domain;
 	double skew_weight;
 	double cost_weight;
-	double load_cost;
-	uint32_t max_loads;
-	const uint32_t *rank_loads;
-} skh_balance_view_t;
+	double copy_cost;
+	uint32_t max_copies;
+	const uint32_t *max_rank_copies;
+} skh_rebalance_input_t;
 
-/** struct skh_move - load @expert into a slot during @stage, counted from 0 */
-typedef struct skh_move {
+/** struct skh_expert_copy - load @expert into a slot during @stage, counted from 0 */
+typedef struct skh_expert_copy {
 	uint32_t rank;
 	uint32_t slot;
 	uint32_t expert;
 	uint32_t stage;
-} skh_move_t;
+} skh_expert_copy_t;
 
-/** struct skh_balance_plan - the decision; moves in the order of their stages */
-typedef struct skh_balance_plan {
-	skh_move_t moves[SKH_BALANCE_MAX_MOVES];
-	uint32_t n_moves;
+/** struct skh_rebalance_plan - the decision; moves in the order of their stages */
+typedef struct skh_rebalance_plan {
+	skh_expert_copy_t copies[SKH_REBALANCE_MAX_COPIES];
+	uint32_t n_copies;
 	uint32_t n_stages;
 	double skew_before;
 	double skew_after;
-} skh_balance_plan_t;
+} skh_rebalance_plan_t;
 
 /**
- * skh_balance_decide() - the moves that are worth their cost; often none
+ * skh_rebalance_compute_plan() - the moves that are worth their cost; often none
  * Return: false when some expert stands on no rank that is left and none of
  * the loads allowed can mend that.
  */
-bool skh_balance_decide(const skh_balance_view_t *view, skh_balance_plan_t *plan);
+bool skh_rebalance_compute_plan(const skh_rebalance_input_t *view, skh_rebalance_plan_t *plan);
 
-/** skh_balance_skew() - greatest rank load over the mean, for a placement and shares */
-double skh_balance_skew(const skh_balance_view_t *view, const uint32_t *placement,
-			const double *shares);
+/** skh_rebalance_skew() - greatest rank load over the mean, for a placement and shares */
+double skh_rebalance_skew(const skh_rebalance_input_t *view, const uint32_t *placement,
+			  const double *shares);
 
 #ifdef __cplusplus
 }
--- a/src/budget.c
+++ b/src/retry_budget.c
@@ -1,4 +1,4 @@
-#include "budget.h"
+#include "retry_budget.h"
 
 #include "clock.h"
 
@@ -18,21 +18,21 @@
 	uint32_t open; /* requests under way */
 } purse_t;
 
-struct skh_budget {
+struct skh_retry_budget {
 	purse_t entry;
 	GHashTable *customers; /* name -> purse_t */
 };
 
-skh_budget_t *skh_budget_new(void)
+skh_retry_budget_t *skh_retry_budget_new(void)
 {
-	skh_budget_t *budget = g_new0(skh_budget_t, 1);
+	skh_retry_budget_t *budget = g_new0(skh_retry_budget_t, 1);
 
 	budget->entry.tokens = LEAST_MOST;
 	budget->customers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return budget;
 }
 
-void skh_budget_free(skh_budget_t *budget)
+void skh_retry_budget_free(skh_retry_budget_t *budget)
 {
 	g_hash_table_unref(budget->customers);
 	g_free(budget);
@@ -47,7 +47,7 @@
 	purse->tokens = MIN(purse->tokens + tokens, MAX(LEAST_MOST, OPEN_PART * purse->open));
 }
 
-static purse_t *purse_of(skh_budget_t *budget, const char *customer)
+static purse_t *purse_of(skh_retry_budget_t *budget, const char *customer)
 {
 	purse_t *purse = g_hash_table_lookup(budget->customers, customer);
 
@@ -59,7 +59,8 @@
 	return purse;
 }
 
-void skh_budget_note(skh_budget_t *budget, const char *customer, int64_t now_us)
+void skh_retry_budget_record_request(skh_retry_budget_t *budget, const char *customer,
+				     int64_t now_us)
 {
 	purse_t *purse = purse_of(budget, customer);
 
@@ -69,13 +70,13 @@
 	fill(purse, PER_REQUEST, now_us);
 }
 
-void skh_budget_done(skh_budget_t *budget, const char *customer)
+void skh_retry_budget_record_end(skh_retry_budget_t *budget, const char *customer)
 {
 	budget->entry.open--;
 	purse_of(budget, customer)->open--;
 }
 
-bool skh_budget_take(skh_budget_t *budget, const char *customer, int64_t now_us)
+bool skh_retry_budget_acquire(skh_retry_budget_t *budget, const char *customer, int64_t now_us)
 {
 	purse_t *purse = purse_of(budget, customer);
 
--- /dev/null
+++ b/src/retry_policy.c
@@ -0,0 +1,39 @@
+#include "retry_policy.h"
+
+static bool may_go_again(const skh_retry_policy_view_t *view)
+{
+	if (view->sends >= SKH_RETRY_POLICY_MAX_SENDS ||
+	    view->now_us + SKH_RETRY_POLICY_MIN_TIME_US >= view->deadline_us)
+		return false;
+	/* Wherever it may have run, another server is another run. */
+	if (view->possible_runs > 0 &&
+	    (view->retry_mode == SKH_RETRY_MODE_NEVER || view->possible_runs >= view->max_attempts))
+		return false;
+	switch (view->end) {
+	case SKH_END_UNREACHABLE:
+		return true;
+	case SKH_END_NOT_RUN:
+		return view->has_retry_budget;
+	case SKH_END_ERROR:
+		return view->retry_mode == SKH_RETRY_MODE_ALLOWED && view->has_retry_budget;
+	case SKH_END_LOST:
+	case SKH_END_STREAM_BROKEN:
+		return view->retry_mode != SKH_RETRY_MODE_NEVER && view->has_retry_budget &&
+		       !view->is_suspect;
+	}
+	return false;
+}
+
+skh_retry_decision_t skh_retry_policy_decide(const skh_retry_policy_view_t *view)
+{
+	if (may_go_again(view))
+		return SKH_RETRY_DECISION_RETRY;
+	if (view->end == SKH_END_STREAM_BROKEN)
+		return SKH_RETRY_DECISION_CLOSE_STREAM;
+	if (view->end == SKH_END_ERROR)
+		return SKH_RETRY_DECISION_FORWARD_RESPONSE;
+	/* An earlier attempt may have run even if this one has not. */
+	if (view->end == SKH_END_LOST || view->possible_runs > 0)
+		return SKH_RETRY_DECISION_OUTCOME_UNKNOWN;
+	return SKH_RETRY_DECISION_REJECT;
+}
--- a/src/roster.c
+++ b/src/roster.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-struct skh_record {
+struct skh_roster_builder {
 	GHashTable *servers; /* id -> skh_server_t */
 };
 
@@ -34,15 +34,15 @@
 	skh_server_free(data);
 }
 
-skh_record_t *skh_record_new(void)
+skh_roster_builder_t *skh_roster_builder_new(void)
 {
-	skh_record_t *record = g_new0(skh_record_t, 1);
+	skh_roster_builder_t *record = g_new0(skh_roster_builder_t, 1);
 
 	record->servers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_server);
 	return record;
 }
 
-void skh_record_free(skh_record_t *record)
+void skh_roster_builder_free(skh_roster_builder_t *record)
 {
 	g_hash_table_unref(record->servers);
 	g_free(record);
@@ -52,11 +52,12 @@
 {
 	return strcmp(a->service, b->service) == 0 && strcmp(a->host, b->host) == 0 &&
 	       a->port == b->port && strcmp(a->failure_domain, b->failure_domain) == 0 &&
-	       a->slots == b->slots && a->leaving == b->leaving && a->born_ms == b->born_ms &&
-	       a->lapsed_till_us == b->lapsed_till_us;
+	       a->slots == b->slots && a->leaving == b->leaving &&
+	       a->started_unix_ms == b->started_unix_ms &&
+	       a->grace_expires_us == b->grace_expires_us;
 }
 
-bool skh_record_put(skh_record_t *record, skh_server_t *server)
+bool skh_roster_builder_put(skh_roster_builder_t *record, skh_server_t *server)
 {
 	const skh_server_t *old = g_hash_table_lookup(record->servers, server->id);
 
@@ -68,7 +69,8 @@
 	return true;
 }
 
-bool skh_record_remove(skh_record_t *record, const char *id, bool lapsed, int64_t now_us)
+bool skh_roster_builder_remove(skh_roster_builder_t *record, const char *id, bool lapsed,
+			       int64_t now_us)
 {
 	skh_server_t *server = g_hash_table_lookup(record->servers, id);
 
@@ -79,19 +81,20 @@
 		(void)g_hash_table_remove(record->servers, id);
 		return true;
 	}
-	if (server->lapsed_till_us == 0)
-		server->lapsed_till_us = now_us + SKH_ROSTER_LAPSE_US;
+	if (server->grace_expires_us == 0)
+		server->grace_expires_us = now_us + SKH_ROSTER_GRACE_US;
 	return false;
 }
 
-bool skh_record_retain(skh_record_t *record, GHashTable *ids, bool lapsed, int64_t now_us)
+bool skh_roster_builder_retain(skh_roster_builder_t *record, GHashTable *ids, bool lapsed,
+			       int64_t now_us)
 {
 	g_autoptr(GList) known = g_hash_table_get_keys(record->servers);
 	bool changed = false;
 
 	for (const GList *item = known; item; item = item->next) {
 		if (!g_hash_table_contains(ids, item->data) &&
-		    skh_record_remove(record, item->data, lapsed, now_us))
+		    skh_roster_builder_remove(record, item->data, lapsed, now_us))
 			changed = true;
 	}
 	return changed;
@@ -103,10 +106,10 @@
 	int64_t now_us = *(const int64_t *)context;
 
 	(void)key;
-	return server->lapsed_till_us != 0 && now_us >= server->lapsed_till_us;
+	return server->grace_expires_us != 0 && now_us >= server->grace_expires_us;
 }
 
-bool skh_record_expire(skh_record_t *record, int64_t now_us)
+bool skh_roster_builder_expire(skh_roster_builder_t *record, int64_t now_us)
 {
 	return g_hash_table_foreach_remove(record->servers, is_expired, &now_us) > 0;
 }
@@ -119,7 +122,7 @@
 	return strcmp((*a)->id, (*b)->id);
 }
 
-skh_roster_t *skh_record_roster(const skh_record_t *record, int64_t revision)
+skh_roster_t *skh_roster_builder_snapshot(const skh_roster_builder_t *record, int64_t revision)
 {
 	skh_roster_t *roster = g_new0(skh_roster_t, 1);
 	GHashTableIter iter;
--- a/src/routing.c
+++ b/src/routing.c
@@ -86,16 +86,16 @@
 		g_ptr_array_sort(list, by_prefix_length);
 }
 
-int32_t skh_routing_service(const skh_routing_t *routing, const char *name)
+int32_t skh_routing_find_service(const skh_routing_t *routing, const char *name)
 {
 	for (guint i = 0; i < routing->services->len; i++) {
-		if (strcmp(skh_routing_service_at(routing, i)->name, name) == 0)
+		if (strcmp(skh_routing_get_service(routing, i)->name, name) == 0)
 			return (int32_t)i;
 	}
 	return -1;
 }
 
-const skh_service_info_t *skh_routing_service_at(const skh_routing_t *routing, uint32_t index)
+const skh_service_info_t *skh_routing_get_service(const skh_routing_t *routing, uint32_t index)
 {
 	return &g_array_index(routing->services, skh_service_info_t, index);
 }
@@ -108,8 +108,8 @@
 	return path_len >= len && strncmp(target, prefix, len) == 0;
 }
 
-const skh_route_t *skh_routing_find(const skh_routing_t *routing, const char *host,
-				    const char *target)
+const skh_route_t *skh_routing_find_route(const skh_routing_t *routing, const char *host,
+					  const char *target)
 {
 	g_autofree char *name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
 	const GPtrArray *list = g_hash_table_lookup(routing->hosts, name);
@@ -123,7 +123,7 @@
 	return NULL;
 }
 
-uint32_t skh_routing_split(const skh_route_t *route, double draw)
+uint32_t skh_routing_select_service(const skh_route_t *route, double draw)
 {
 	uint32_t total = 0;
 	double left;
@@ -139,8 +139,8 @@
 	return route->splits[0].service;
 }
 
-const skh_key_owner_t *skh_routing_owner(const skh_routing_t *routing, const char *scheme,
-					 const char *authorization)
+const skh_key_owner_t *skh_routing_find_key_owner(const skh_routing_t *routing, const char *scheme,
+						  const char *authorization)
 {
 	size_t len = strlen(scheme);
 
--- a/src/routing.h
+++ b/src/routing.h
@@ -20,50 +20,50 @@
 
 #define SKH_ROUTING_MAX_SPLITS 8
 
-/** enum skh_repeat - whether a request may run more than once */
-typedef enum skh_repeat {
-	SKH_REPEAT_NEVER,
-	SKH_REPEAT_FREELY,
-	SKH_REPEAT_FROM_EVENT /* a stream that goes on after the last event delivered */
-} skh_repeat_t;
-
-/** struct skh_split - a share of a route's requests; @service is an index */
-typedef struct skh_split {
+/** enum skh_retry_mode - whether a request may run more than once */
+typedef enum skh_retry_mode {
+	SKH_RETRY_MODE_NEVER,
+	SKH_RETRY_MODE_ALLOWED,
+	SKH_RETRY_MODE_RESUME_STREAM /* a stream that goes on after the last event delivered */
+} skh_retry_mode_t;
+
+/** struct skh_traffic_split - a share of a route's requests; @service is an index */
+typedef struct skh_traffic_split {
 	uint32_t service;
 	uint32_t weight;
-} skh_split_t;
+} skh_traffic_split_t;
 
 /** struct skh_route - requests of one host whose path begins with @prefix */
 typedef struct skh_route {
 	char *name;
 	char *host;
 	char *prefix;
-	skh_repeat_t repeat;
-	bool streams;
+	skh_retry_mode_t retry_mode;
+	bool is_streaming;
 	bool needs_key;
-	int64_t timeout_us;  /* longest time a caller is kept waiting */
-	int64_t goal_us;     /* latency objective; of a stream up to its first event */
-	int64_t gap_goal_us; /* longest pause between two events */
+	int64_t timeout_us;	  /* longest time a caller is kept waiting */
+	int64_t objective_us;	  /* latency objective; of a stream up to its first event */
+	int64_t gap_objective_us; /* longest pause between two events */
 	uint32_t max_attempts;
 	uint32_t priority; /* 0 is served first */
 	uint32_t n_splits;
-	skh_split_t splits[SKH_ROUTING_MAX_SPLITS];
+	skh_traffic_split_t splits[SKH_ROUTING_MAX_SPLITS];
 } skh_route_t;
 
-/** struct skh_engine_shape - how the engines of a model service work */
-typedef struct skh_engine_shape {
-	uint32_t slots;	     /* requests that a rank works on at a time */
-	uint32_t sets;	     /* of layers, each with experts of its own */
-	uint32_t experts;    /* in each set */
-	uint32_t placements; /* experts that a rank holds of a set, at the most */
-	uint32_t spare;	     /* experts of a set that one switch may bring to a rank */
-	double expert_share; /* part of a step that experts take */
+/** struct skh_engine_spec - how the engines of a model service work */
+typedef struct skh_engine_spec {
+	uint32_t slots;		  /* requests that a rank works on at a time */
+	uint32_t expert_sets;	  /* of layers, each with experts of its own */
+	uint32_t experts_per_set; /* in each set */
+	uint32_t expert_slots;	  /* experts that a rank holds of a set, at the most */
+	uint32_t spare_slots;	  /* experts of a set that one switch may bring to a rank */
+	double expert_share;	  /* part of a step that experts take */
 	double expert_mb;
 	double link_mbps;
-	double step_ms;	       /* of a step without requests */
-	double step_ms_each;   /* and for each request that writes */
-	uint32_t steps_a_pass; /* all ranks of a group begin a pass together */
-} skh_engine_shape_t;
+	double step_ms;		    /* of a step without requests */
+	double step_ms_per_request; /* and for each request that writes */
+	uint32_t steps_per_pass;    /* all ranks of a group begin a pass together */
+} skh_engine_spec_t;
 
 /** struct skh_service_info - one service of backend servers */
 typedef struct skh_service_info {
@@ -71,7 +71,7 @@
 	char *health_path;
 	uint32_t max_connections;
 	bool has_engine;
-	skh_engine_shape_t engine;
+	skh_engine_spec_t engine;
 } skh_service_info_t;
 
 /** struct skh_key_owner - the customer that holds a key */
@@ -108,24 +108,24 @@
 /** skh_routing_seal() - index the routes; nothing is added afterwards */
 void skh_routing_seal(skh_routing_t *routing);
 
-/** skh_routing_service() - index of the service called @name, or -1 */
-int32_t skh_routing_service(const skh_routing_t *routing, const char *name);
-const skh_service_info_t *skh_routing_service_at(const skh_routing_t *routing, uint32_t index);
+/** skh_routing_find_service() - index of the service called @name, or -1 */
+int32_t skh_routing_find_service(const skh_routing_t *routing, const char *name);
+const skh_service_info_t *skh_routing_get_service(const skh_routing_t *routing, uint32_t index);
 
 /**
- * skh_routing_find() - the route of a request
+ * skh_routing_find_route() - the route of a request
  * @host: the Host header; a port and the case do not matter
  * @target: path and query
  */
-const skh_route_t *skh_routing_find(const skh_routing_t *routing, const char *host,
-				    const char *target);
+const skh_route_t *skh_routing_find_route(const skh_routing_t *routing, const char *host,
+					  const char *target);
 
-/** skh_routing_split() - the service that @draw, 0 to 1, falls on */
-uint32_t skh_routing_split(const skh_route_t *route, double draw);
+/** skh_routing_select_service() - the service that @draw, 0 to 1, falls on */
+uint32_t skh_routing_select_service(const skh_route_t *route, double draw);
 
-/** skh_routing_owner() - holder of the key in "@scheme KEY", or NULL */
-const skh_key_owner_t *skh_routing_owner(const skh_routing_t *routing, const char *scheme,
-					 const char *authorization);
+/** skh_routing_find_key_owner() - holder of the key in "@scheme KEY", or NULL */
+const skh_key_owner_t *skh_routing_find_key_owner(const skh_routing_t *routing, const char *scheme,
+						  const char *authorization);
 
 #ifdef __cplusplus
 }
--- a/src/serve.h
+++ b/src/serve.h
@@ -4,23 +4,23 @@
 /**
  * DOC: Serving one request
  *
- * The shell around relay.h: places attempts over the link, turns its events
+ * The shell around request_fsm.h: places attempts over the link, turns its events
  * into relay steps and the relay's actions into writes to the caller.
  */
 
 #include "link.h"
 #include "quarantine.h"
-#include "relay.h"
+#include "request_fsm.h"
 
 #ifdef __cplusplus
 extern "C" {
 #endif
 
-/** struct skh_job - one request as the entry understood it; all borrowed */
-typedef struct skh_job {
+/** struct skh_entry_request - one request as the entry understood it; all borrowed */
+typedef struct skh_entry_request {
 	const char *request_id;
 	const char *customer;
-	const char *class_name; /* name of its priority */
+	const char *priority_name; /* name of its priority */
 	uint32_t priority;
 	double weight; /* of the customer */
 	const char *service;
@@ -29,39 +29,40 @@
 	const char *path;
 	const char *content_type;
 	skh_chunk_t body;
-	bool stream;
+	bool is_streaming;
 	bool idempotent;
-	const char *key; /* idempotency key, "" for none */
+	const char *idempotency_key; /* idempotency key, "" for none */
 	uint64_t prefix_hash;
 	int64_t accepted_at_us;
 	int64_t deadline_us;
-} skh_job_t;
+} skh_entry_request_t;
 
-typedef struct skh_sink skh_sink_t;
+typedef struct skh_response_sink skh_response_sink_t;
 
-/** struct skh_sink_ops - where an answer goes; each returns false when the caller is gone */
-typedef struct skh_sink_ops {
-	bool (*begin)(skh_sink_t *sink, int32_t status, const char *content_type);
-	bool (*write)(skh_sink_t *sink, skh_chunk_t bytes);
-	bool (*end)(skh_sink_t *sink);
-	bool (*whole)(skh_sink_t *sink, int32_t status, const char *content_type, skh_chunk_t body,
-		      bool replayed);
+/** struct skh_response_sink_ops - where an answer goes; each returns false when the caller is gone */
+typedef struct skh_response_sink_ops {
+	bool (*begin)(skh_response_sink_t *sink, int32_t status, const char *content_type);
+	bool (*write)(skh_response_sink_t *sink, skh_chunk_t bytes);
+	bool (*end)(skh_response_sink_t *sink);
+	bool (*send_complete)(skh_response_sink_t *sink, int32_t status, const char *content_type,
+			      skh_chunk_t body, bool replayed);
 	/* Before begin() an error answer, afterwards an error event and no end mark. */
-	void (*fail)(skh_sink_t *sink, const skh_error_t *err);
-} skh_sink_ops_t;
+	void (*fail)(skh_response_sink_t *sink, const skh_error_t *err);
+} skh_response_sink_ops_t;
 
-/** struct skh_sink - first member of every implementation */
-struct skh_sink {
-	const skh_sink_ops_t *ops;
+/** struct skh_response_sink - first member of every implementation */
+struct skh_response_sink {
+	const skh_response_sink_ops_t *ops;
 };
 
 /**
- * skh_serve_run() - serve @job to its end
+ * skh_serve_request() - serve @job to its end
  * @result: filled with the failure; SKH_OK when the answer was whole
  * Return: true when the whole answer was handed to @sink.
  */
-bool skh_serve_run(skh_link_t *link, skh_quarantine_t *quarantine, const skh_job_t *job,
-		   skh_sink_t *sink, skh_error_t *result);
+bool skh_serve_request(skh_link_t *link, skh_quarantine_t *quarantine,
+		       const skh_entry_request_t *job, skh_response_sink_t *sink,
+		       skh_error_t *result);
 
 #ifdef __cplusplus
 }
--- a/src/settings.c
+++ b/src/settings.c
@@ -47,7 +47,7 @@
 	  Z85_KEY_CHARS, NULL },
 };
 static const skh_field_t store_fields[] = {
-	{ "endpoints", SKH_FIELD_TEXTS, true, FIELD(store_endpoints), 0, 0, NULL },
+	{ "endpoints", SKH_FIELD_TEXT_ARRAY, true, FIELD(store_endpoints), 0, 0, NULL },
 	TEXT("prefix", store_prefix, false),
 	TEXT("instances_prefix", instances_prefix, false),
 	INTEGER("timeout_ms", store_timeout_ms, 50, 60000),
@@ -144,23 +144,26 @@
 	settings->log_level = 1;
 }
 
-static void refuse_sections(const skh_node_t *tree, skh_role_t role, skh_faults_t *faults)
+static void refuse_sections(const skh_doc_node_t *tree, skh_role_t role,
+			    skh_validation_errors_t *faults)
 {
-	for (size_t i = 0; i < skh_node_count(tree); i++) {
-		const skh_node_t *child = skh_node_at(tree, i);
+	for (size_t i = 0; i < skh_doc_node_count(tree); i++) {
+		const skh_doc_node_t *child = skh_doc_node_at(tree, i);
 		bool known = false;
 
 		for (size_t s = 0; s < G_N_ELEMENTS(sections); s++) {
-			if (strcmp(sections[s].name, skh_node_key(child)) == 0)
+			if (strcmp(sections[s].name, skh_doc_node_key(child)) == 0)
 				known = sections[s].roles & ROLE_BIT(role);
 		}
 		if (!known)
-			skh_faults_add(faults, skh_node_line(child), skh_node_key(child),
-				       "unknown section for this role");
+			skh_validation_errors_add(faults, skh_doc_node_line(child),
+						  skh_doc_node_key(child),
+						  "unknown section for this role");
 	}
 }
 
-skh_settings_t *skh_settings_parse(skh_chunk_t text, skh_role_t role, skh_faults_t *faults)
+skh_settings_t *skh_settings_parse(skh_chunk_t text, skh_role_t role,
+				   skh_validation_errors_t *faults)
 {
 	skh_settings_t *settings = g_new0(skh_settings_t, 1);
 	skh_error_t err;
@@ -168,27 +171,28 @@
 
 	settings->role = role;
 	set_defaults(settings);
-	settings->tree = skh_node_from_toml(text, &line, &err);
+	settings->tree = skh_doc_node_from_toml(text, &line, &err);
 	if (!settings->tree) {
-		skh_faults_add(faults, line, "", "%s", err.text);
+		skh_validation_errors_add(faults, line, "", "%s", err.text);
 		return settings;
 	}
 	for (size_t s = 0; s < G_N_ELEMENTS(sections); s++) {
-		const skh_node_t *table = skh_node_find(settings->tree, sections[s].name);
+		const skh_doc_node_t *table = skh_doc_node_find(settings->tree, sections[s].name);
 
 		if (!(sections[s].roles & ROLE_BIT(role)) || (!table && sections[s].optional))
 			continue;
 		skh_schema_read(table, sections[s].name, 1, sections[s].fields,
 				sections[s].n_fields, settings, faults);
 	}
-	if (settings->store_endpoints && skh_node_count(settings->store_endpoints) == 0)
-		skh_faults_add(faults, skh_node_line(settings->store_endpoints), "store.endpoints",
-			       "at least one address is needed");
+	if (settings->store_endpoints && skh_doc_node_count(settings->store_endpoints) == 0)
+		skh_validation_errors_add(faults, skh_doc_node_line(settings->store_endpoints),
+					  "store.endpoints", "at least one address is needed");
 	refuse_sections(settings->tree, role, faults);
 	return settings;
 }
 
-skh_settings_t *skh_settings_load(const char *path, skh_role_t role, skh_faults_t *faults)
+skh_settings_t *skh_settings_load(const char *path, skh_role_t role,
+				  skh_validation_errors_t *faults)
 {
 	g_autoptr(GError) fault = NULL;
 	g_autofree char *text = NULL;
@@ -196,7 +200,7 @@
 	gsize len = 0;
 
 	if (!g_file_get_contents(path, &text, &len, &fault)) {
-		skh_faults_add(faults, 0, path, "%s", fault->message);
+		skh_validation_errors_add(faults, 0, path, "%s", fault->message);
 		return NULL;
 	}
 	settings = skh_settings_parse(skh_chunk_make(text, len), role, faults);
@@ -208,14 +212,14 @@
 {
 	if (!settings)
 		return;
-	skh_node_free(settings->tree);
+	skh_doc_node_free(settings->tree);
 	g_free(settings->path);
 	g_free(settings);
 }
 
-const char *skh_settings_endpoint(const skh_settings_t *settings, size_t index)
+const char *skh_settings_store_endpoint(const skh_settings_t *settings, size_t index)
 {
-	size_t n = skh_node_count(settings->store_endpoints);
+	size_t n = skh_doc_node_count(settings->store_endpoints);
 
-	return skh_node_text(skh_node_at(settings->store_endpoints, index % n));
+	return skh_doc_node_text(skh_doc_node_at(settings->store_endpoints, index % n));
 }
--- a/src/settings.h
+++ b/src/settings.h
@@ -47,7 +47,7 @@
 	const char *link_public_key;
 	const char *link_secret_key;
 	/* [store] */
-	const skh_node_t *store_endpoints;
+	const skh_doc_node_t *store_endpoints;
 	const char *store_prefix;
 	const char *instances_prefix;
 	int64_t store_timeout_ms;
@@ -81,19 +81,21 @@
 	int32_t log_output;
 	skh_role_t role;
 	char *path; /* of the file; NULL when read from elsewhere */
-	skh_node_t *tree;
+	skh_doc_node_t *tree;
 } skh_settings_t;
 
 /** skh_settings_parse() - read @text for @role; faults tell what is wrong */
-skh_settings_t *skh_settings_parse(skh_chunk_t text, skh_role_t role, skh_faults_t *faults);
+skh_settings_t *skh_settings_parse(skh_chunk_t text, skh_role_t role,
+				   skh_validation_errors_t *faults);
 
 /** skh_settings_load() - the same from the file at @path; NULL when unreadable */
-skh_settings_t *skh_settings_load(const char *path, skh_role_t role, skh_faults_t *faults);
+skh_settings_t *skh_settings_load(const char *path, skh_role_t role,
+				  skh_validation_errors_t *faults);
 
 void skh_settings_free(skh_settings_t *settings);
 
 /** skh_store_endpoint() - first address of the key-value service */
-const char *skh_settings_endpoint(const skh_settings_t *settings, size_t index);
+const char *skh_settings_store_endpoint(const skh_settings_t *settings, size_t index);
 
 #ifdef __cplusplus
 }
--- a/src/reload.c
+++ b/src/settings_watcher.c
@@ -1,4 +1,4 @@
-#include "reload.h"
+#include "settings_watcher.h"
 
 #include "clock.h"
 #include "log.h"
@@ -10,7 +10,7 @@
 #define PART	"reload"
 #define LOOK_US (1 * SKH_US_PER_S)
 
-struct skh_reload {
+struct skh_settings_watcher {
 	const skh_settings_t *settings;
 	int32_t seen_requests;
 	struct timespec changed_at;
@@ -18,7 +18,7 @@
 	int64_t look_us;
 };
 
-static bool look_at_file(skh_reload_t *reload)
+static bool look_at_file(skh_settings_watcher_t *reload)
 {
 	struct stat info;
 	bool changed;
@@ -33,24 +33,24 @@
 	return changed;
 }
 
-skh_reload_t *skh_reload_new(const skh_settings_t *settings)
+skh_settings_watcher_t *skh_settings_watcher_new(const skh_settings_t *settings)
 {
-	skh_reload_t *reload = g_new0(skh_reload_t, 1);
+	skh_settings_watcher_t *reload = g_new0(skh_settings_watcher_t, 1);
 
 	reload->settings = settings;
 	(void)look_at_file(reload);
 	return reload;
 }
 
-static const skh_settings_t *read_again(skh_reload_t *reload)
+static const skh_settings_t *read_again(skh_settings_watcher_t *reload)
 {
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 	skh_settings_t *fresh =
 		skh_settings_load(reload->settings->path, reload->settings->role, faults);
-	size_t n = skh_faults_count(faults);
+	size_t n = skh_validation_errors_count(faults);
 
 	if (n > 0) {
-		const skh_fault_t *fault = skh_faults_at(faults, 0);
+		const skh_validation_error_t *fault = skh_validation_errors_at(faults, 0);
 
 		skh_log(SKH_LOG_ERROR, PART, "Settings not taken.",
 			"faults=%zu line=%u key=%s reason=%s", n, fault->line, fault->key,
@@ -61,11 +61,11 @@
 		skh_log(SKH_LOG_INFO, PART, "Settings reloaded.", "bytes=%" PRId64, reload->size);
 		reload->settings = fresh;
 	}
-	skh_faults_free(faults);
+	skh_validation_errors_free(faults);
 	return fresh;
 }
 
-const skh_settings_t *skh_reload_look(skh_reload_t *reload, int64_t now_us)
+const skh_settings_t *skh_settings_watcher_poll(skh_settings_watcher_t *reload, int64_t now_us)
 {
 	int32_t requests = skh_process_reload_requests();
 	bool asked = requests != reload->seen_requests;
--- a/src/reload.h
+++ b/src/settings_watcher.h
@@ -1,5 +1,5 @@
-#ifndef SKH_RELOAD_H
-#define SKH_RELOAD_H
+#ifndef SKH_SETTINGS_WATCHER_H
+#define SKH_SETTINGS_WATCHER_H
 
 /**
  * DOC: Settings that change while a process runs
@@ -15,17 +15,17 @@
 extern "C" {
 #endif
 
-typedef struct skh_reload skh_reload_t;
+typedef struct skh_settings_watcher skh_settings_watcher_t;
 
-/** skh_reload_new() - watch the file of @settings */
-skh_reload_t *skh_reload_new(const skh_settings_t *settings);
+/** skh_settings_watcher_new() - watch the file of @settings */
+skh_settings_watcher_t *skh_settings_watcher_new(const skh_settings_t *settings);
 
 /**
- * skh_reload_look() - settings that replace those in force, or NULL
+ * skh_settings_watcher_poll() - settings that replace those in force, or NULL
  *
  * What it returns, and what it replaces, stays valid for the process's life.
  */
-const skh_settings_t *skh_reload_look(skh_reload_t *reload, int64_t now_us);
+const skh_settings_t *skh_settings_watcher_poll(skh_settings_watcher_t *reload, int64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/src/sidecar.c
+++ b/src/sidecar.c
@@ -3,12 +3,12 @@
 #include "admin.h"
 #include "board.h"
 #include "clock.h"
-#include "config.h"
-#include "group.h"
+#include "config_watcher.h"
+#include "group_member.h"
 #include "log.h"
-#include "port.h"
+#include "sidecar_link.h"
 #include "process.h"
-#include "worker.h"
+#include "attempt_runner.h"
 
 #include <string.h>
 
@@ -19,10 +19,10 @@
 	const skh_settings_t *settings;
 	skh_board_t *board;
 	skh_store_t *store;
-	skh_follower_t *follower;
-	skh_port_t *port;
+	skh_config_watcher_t *follower;
+	skh_sidecar_link_t *port;
 	skh_backend_t *backend;
-	skh_worker_t *worker;
+	skh_attempt_runner_t *worker;
 	skh_engine_t *engine;	   /* NULL beside a plain service */
 	skh_group_member_t *group; /* NULL outside of groups */
 	int64_t tick_at_us;
@@ -36,9 +36,9 @@
 
 static bool listed_leaving(const sidecar_t *sidecar)
 {
-	const skh_members_t *members = skh_board_members(sidecar->board);
-	const skh_member_t *self =
-		members ? skh_members_find(members, sidecar->settings->id) : NULL;
+	const skh_instances_t *members = skh_board_acquire_instances(sidecar->board);
+	const skh_instance_t *self =
+		members ? skh_instances_find(members, sidecar->settings->id) : NULL;
 	bool leaving = self && self->leaving;
 
 	skh_board_release(members);
@@ -47,7 +47,7 @@
 
 static bool service_is_known(const sidecar_t *sidecar)
 {
-	const skh_config_t *config = skh_board_config(sidecar->board);
+	const skh_config_t *config = skh_board_acquire_config(sidecar->board);
 	bool known = config &&
 		     skh_manifest_service(config->manifest, sidecar->settings->backend_service);
 
@@ -61,18 +61,18 @@
 		return;
 	sidecar->stop_by_us = now_us + sidecar->settings->drain_ms * SKH_US_PER_MS;
 	skh_log(SKH_LOG_INFO, PART, "Planned stop begins.", "attempts=%zu",
-		skh_worker_count(sidecar->worker));
+		skh_attempt_runner_attempt_count(sidecar->worker));
 }
 
 static void copy_for_admin(sidecar_t *sidecar)
 {
-	const skh_gate_t *gate = skh_worker_gate(sidecar->worker);
+	const skh_gate_t *gate = skh_attempt_runner_gate(sidecar->worker);
 
 	g_atomic_int_set(&sidecar->phase_copy, (gint)skh_gate_phase(gate));
 	g_atomic_int_set(&sidecar->running_copy, (gint)skh_gate_running(gate));
 	g_atomic_int_set(&sidecar->queued_copy, (gint)skh_gate_queued(gate));
 	if (sidecar->group)
-		__atomic_store_n(&sidecar->map_copy, skh_group_member_version(sidecar->group),
+		__atomic_store_n(&sidecar->map_copy, skh_group_member_map_version(sidecar->group),
 				 __ATOMIC_RELAXED);
 }
 
@@ -87,8 +87,9 @@
 	note_stop(sidecar, now_us);
 	leaving = sidecar->stop_by_us != 0 || g_atomic_int_get(&sidecar->drain_asked) ||
 		  listed_leaving(sidecar);
-	skh_worker_tick(sidecar->worker, service_is_known(sidecar), leaving, now_us);
-	skh_follower_hint(sidecar->follower, skh_worker_newest_revision(sidecar->worker));
+	skh_attempt_runner_tick(sidecar->worker, service_is_known(sidecar), leaving, now_us);
+	skh_config_watcher_hint_revision(sidecar->follower,
+					 skh_attempt_runner_newest_revision(sidecar->worker));
 	if (sidecar->engine)
 		skh_engine_tick(sidecar->engine, now_us);
 	if (sidecar->group)
@@ -101,11 +102,11 @@
 {
 	if (sidecar->stop_by_us == 0)
 		return false;
-	if (skh_worker_count(sidecar->worker) == 0)
+	if (skh_attempt_runner_attempt_count(sidecar->worker) == 0)
 		return true;
 	if (skh_clock_now_us() < sidecar->stop_by_us)
 		return false;
-	skh_worker_abandon_rest(sidecar->worker);
+	skh_attempt_runner_fail_all(sidecar->worker);
 	return true;
 }
 
@@ -115,7 +116,7 @@
 			frame->body_case == SKH__FRAME__BODY_ORDER_REPLY;
 
 	if (!is_order) {
-		skh_worker_on_frame(sidecar->worker, peer, frame);
+		skh_attempt_runner_on_frame(sidecar->worker, peer, frame);
 		return;
 	}
 	if (sidecar->group)
@@ -125,15 +126,15 @@
 
 static void loop(sidecar_t *sidecar)
 {
-	char entry[SKH_PORT_PEER_BYTES];
+	char entry[SKH_SIDECAR_LINK_PEER_BYTES];
 	Skh__Frame *frame;
 
 	while (!has_stopped(sidecar)) {
 		tick(sidecar);
 		/* ZeroMQ's descriptor only signals changes, so the port is read until empty. */
-		while ((frame = skh_port_receive(sidecar->port, entry)) != NULL)
+		while ((frame = skh_sidecar_link_receive(sidecar->port, entry)) != NULL)
 			on_frame(sidecar, entry, frame);
-		skh_worker_wait(sidecar->worker, sidecar->tick_at_us);
+		skh_attempt_runner_poll(sidecar->worker, sidecar->tick_at_us);
 	}
 }
 
@@ -150,7 +151,7 @@
 
 	if (!sidecar->engine)
 		return json_null();
-	skh_engine_look(sidecar->engine, &view);
+	skh_engine_get_view(sidecar->engine, &view);
 	return json_pack("{s:b, s:i, s:i, s:i, s:I, s:I, s:I}", "reported",
 			 view.reported_at_us != 0, "running", (int)view.running, "queued",
 			 (int)view.queued, "cached_prefixes", (int)view.cached_prefixes,
@@ -169,8 +170,8 @@
 			 settings->id, "role", "sidecar", "failure_domain",
 			 settings->failure_domain, "service", settings->backend_service, "ready",
 			 is_ready(sidecar), "phase", phases[g_atomic_int_get(&sidecar->phase_copy)],
-			 "revision", (json_int_t)skh_board_revision(sidecar->board), "running",
-			 g_atomic_int_get(&sidecar->running_copy), "queued",
+			 "revision", (json_int_t)skh_board_config_revision(sidecar->board),
+			 "running", g_atomic_int_get(&sidecar->running_copy), "queued",
 			 g_atomic_int_get(&sidecar->queued_copy), "capacity",
 			 (int)settings->backend_capacity, "group", settings->backend_group,
 			 "map_version",
@@ -186,20 +187,21 @@
 	const char *kind = json_string_value(json_object_get(body, "order"));
 	const char *name = json_string_value(json_object_get(body, "name"));
 	const char *version = json_string_value(json_object_get(body, "version"));
-	skh_engine_order_t wanted = { .fence = (uint64_t)skh_board_revision(sidecar->board) };
+	skh_backend_order_t wanted = { .fence = (uint64_t)skh_board_config_revision(
+					       sidecar->board) };
 
 	if (!sidecar->engine)
 		return skh_error_set(err, SKH_NOT_FOUND, "a plain service takes no orders");
-	if (!kind || !name || strlen(name) >= SKH_ENGINE_NAME_BYTES ||
-	    (version && strlen(version) >= SKH_ENGINE_NAME_BYTES))
+	if (!kind || !name || strlen(name) >= SKH_BACKEND_ORDER_NAME_BYTES ||
+	    (version && strlen(version) >= SKH_BACKEND_ORDER_NAME_BYTES))
 		return skh_error_set(err, SKH_BAD_REQUEST, "\"order\" and \"name\" are needed");
 	(void)g_strlcpy(wanted.name, name, sizeof(wanted.name));
 	(void)g_strlcpy(wanted.version, version ? version : "", sizeof(wanted.version));
 	for (size_t i = 0; i < G_N_ELEMENTS(kinds); i++) {
 		if (strcmp(kinds[i], kind) != 0)
 			continue;
-		wanted.kind = (skh_engine_order_kind_t)i;
-		skh_engine_order(sidecar->engine, &wanted);
+		wanted.kind = (skh_backend_order_kind_t)i;
+		skh_engine_enqueue_order(sidecar->engine, &wanted);
 		return true;
 	}
 	return skh_error_set(err, SKH_BAD_REQUEST, "no order is called \"%.32s\"", kind);
@@ -211,7 +213,7 @@
 }
 
 static const skh_admin_ops_t admin_ops = {
-	.is_ready = is_ready, .status = status, .drain = drain, .order = order
+	.is_ready = is_ready, .get_status = status, .set_draining = drain, .enqueue_order = order
 };
 
 static bool open_sidecar(sidecar_t *sidecar, skh_error_t *err)
@@ -219,18 +221,18 @@
 	const skh_settings_t *settings = sidecar->settings;
 
 	sidecar->board = skh_board_new();
-	sidecar->store = skh_settings_store(settings);
-	sidecar->follower = skh_follower_start(sidecar->store, settings, sidecar->board);
-	sidecar->port = skh_port_open(settings, err);
+	sidecar->store = skh_settings_open_store(settings);
+	sidecar->follower = skh_config_watcher_start(sidecar->store, settings, sidecar->board);
+	sidecar->port = skh_sidecar_link_open(settings, err);
 	if (!sidecar->port)
 		return false;
 	sidecar->backend = settings->backend_kind == SKH_BACKEND_ENGINE
 				   ? skh_backend_new_engine(settings->backend_url)
 				   : skh_backend_new_plain(settings->backend_url);
 	sidecar->engine = skh_engine_new(sidecar->backend);
-	sidecar->worker = skh_worker_new(settings, sidecar->board, sidecar->store, sidecar->port,
-					 sidecar->backend, sidecar->engine);
-	if (*settings->backend_group && sidecar->backend->ops->order)
+	sidecar->worker = skh_attempt_runner_new(settings, sidecar->board, sidecar->store,
+						 sidecar->port, sidecar->backend, sidecar->engine);
+	if (*settings->backend_group && sidecar->backend->ops->send_map_order)
 		sidecar->group = skh_group_member_new(settings, sidecar->board, sidecar->store,
 						      sidecar->port, sidecar->backend);
 	return true;
@@ -240,12 +242,12 @@
 {
 	if (sidecar->port) {
 		skh_group_member_free(sidecar->group);
-		skh_worker_free(sidecar->worker);
+		skh_attempt_runner_free(sidecar->worker);
 		skh_engine_free(sidecar->engine);
 		skh_backend_free(sidecar->backend);
-		skh_port_close(sidecar->port);
+		skh_sidecar_link_close(sidecar->port);
 	}
-	skh_follower_stop(sidecar->follower);
+	skh_config_watcher_stop(sidecar->follower);
 	sidecar->store->ops->close(sidecar->store);
 	skh_board_free(sidecar->board);
 }
--- a/src/port.c
+++ b/src/sidecar_link.c
@@ -1,6 +1,6 @@
-#include "port.h"
+#include "sidecar_link.h"
 
-#include "guard.h"
+#include "curve_auth.h"
 #include "metrics.h"
 
 #include <errno.h>
@@ -10,50 +10,50 @@
 
 #define LINGER_MS 2000
 
-struct skh_port {
+struct skh_sidecar_link {
 	const skh_settings_t *settings;
-	skh_guard_t *guard;
+	skh_curve_auth_t *guard;
 	void *context;
 	void *router;
 	skh_buffer_t packed; /* reused for each frame */
 };
 
-skh_port_t *skh_port_open(const skh_settings_t *settings, skh_error_t *err)
+skh_sidecar_link_t *skh_sidecar_link_open(const skh_settings_t *settings, skh_error_t *err)
 {
-	skh_port_t *port = g_new0(skh_port_t, 1);
+	skh_sidecar_link_t *port = g_new0(skh_sidecar_link_t, 1);
 
 	port->settings = settings;
 	port->context = zmq_ctx_new();
-	port->guard = skh_guard_start(port->context, settings);
+	port->guard = skh_curve_auth_start(port->context, settings);
 	port->router = zmq_socket(port->context, ZMQ_ROUTER);
 	skh_wire_setup_router(port->router, LINGER_MS);
-	skh_guard_as_server(port->router, settings);
+	skh_curve_auth_set_server(port->router, settings);
 	if (zmq_setsockopt(port->router, ZMQ_ROUTING_ID, settings->id, strlen(settings->id)) != 0 ||
 	    zmq_bind(port->router, settings->link_listen) != 0) {
 		(void)skh_error_set(err, SKH_CONFIG_INVALID, "can't listen on %s: %s",
 				    settings->link_listen, zmq_strerror(errno));
-		skh_port_close(port);
+		skh_sidecar_link_close(port);
 		return NULL;
 	}
 	return port;
 }
 
-void skh_port_close(skh_port_t *port)
+void skh_sidecar_link_close(skh_sidecar_link_t *port)
 {
 	(void)zmq_close(port->router);
-	skh_guard_stop(port->guard);
+	skh_curve_auth_stop(port->guard);
 	(void)zmq_ctx_term(port->context);
 	skh_buffer_free(&port->packed);
 	g_free(port);
 }
 
-void skh_port_connect(skh_port_t *port, const char *address)
+void skh_sidecar_link_connect(skh_sidecar_link_t *port, const char *address)
 {
-	skh_guard_as_client(port->router, port->settings);
+	skh_curve_auth_set_client(port->router, port->settings);
 	(void)zmq_connect(port->router, address);
 }
 
-int skh_port_fd(const skh_port_t *port)
+int skh_sidecar_link_fd(const skh_sidecar_link_t *port)
 {
 	int fd = -1;
 	size_t len = sizeof(fd);
@@ -62,18 +62,18 @@
 	return fd;
 }
 
-static bool receive_parts(skh_port_t *port, char *peer, zmq_msg_t *body)
+static bool receive_parts(skh_sidecar_link_t *port, char *peer, zmq_msg_t *body)
 {
-	int len = zmq_recv(port->router, peer, SKH_PORT_PEER_BYTES - 1, ZMQ_DONTWAIT);
+	int len = zmq_recv(port->router, peer, SKH_SIDECAR_LINK_PEER_BYTES - 1, ZMQ_DONTWAIT);
 
 	if (len < 0)
 		return false;
-	peer[MIN(len, SKH_PORT_PEER_BYTES - 1)] = '\0';
+	peer[MIN(len, SKH_SIDECAR_LINK_PEER_BYTES - 1)] = '\0';
 	return zmq_msg_recv(body, port->router, ZMQ_DONTWAIT) >= 0;
 }
 
 /* What follows the frame in the same message is not ours; it is read and dropped. */
-static void drop_rest(skh_port_t *port, zmq_msg_t *body)
+static void drop_rest(skh_sidecar_link_t *port, zmq_msg_t *body)
 {
 	while (zmq_msg_more(body)) {
 		if (zmq_msg_recv(body, port->router, ZMQ_DONTWAIT) < 0)
@@ -81,7 +81,8 @@
 	}
 }
 
-Skh__Frame *skh_port_receive(skh_port_t *port, char peer[SKH_PORT_PEER_BYTES])
+Skh__Frame *skh_sidecar_link_receive(skh_sidecar_link_t *port,
+				     char peer[SKH_SIDECAR_LINK_PEER_BYTES])
 {
 	Skh__Frame *frame = NULL;
 	skh_error_t err;
@@ -100,7 +101,7 @@
 	return frame;
 }
 
-bool skh_port_send(skh_port_t *port, const char *peer, Skh__Frame *frame)
+bool skh_sidecar_link_send(skh_sidecar_link_t *port, const char *peer, Skh__Frame *frame)
 {
 	frame->version = SKH_WIRE_VERSION;
 	skh_buffer_clear(&port->packed);
--- a/src/skylarkhead.h
+++ b/src/skylarkhead.h
@@ -9,12 +9,12 @@
  * manual.
  *
  * Foundations: error.h, buffer.h, clock.h, log.h, metrics.h.
- * Documents: node.h, schema.h, settings.h, manifest.h, parts.h.
- * Decisions (pure): relay.h, gate.h, peers.h, route.h, admit.h, claim.h,
+ * Documents: doc_node.h, schema.h, settings.h, manifest.h, config_parts.h.
+ * Decisions (pure): request_fsm.h, gate.h, peers.h, peer_selection.h, admission.h, claim.h,
  * rank.h, mapswitch.h.
- * Shell: board.h, store.h, mirror.h, config.h, link.h, port.h, fetch.h,
- * backend.h, engine.h, claimer.h, leader.h, group.h, guard.h, http.h.
- * Roles: entry.h (with caller.h, serve.h), sidecar.h (with worker.h, tell.h).
+ * Shell: board.h, store.h, mirror.h, config_watcher.h, link.h, sidecar_link.h, fetch.h,
+ * backend.h, engine.h, claim_writer.h, leader.h, group_member.h, curve_auth.h, http.h.
+ * Roles: entry.h (with caller_api.h, serve.h), sidecar.h (with attempt_runner.h, frame_sender.h).
  */
 
 #ifdef __cplusplus
@@ -25,14 +25,14 @@
 
 /* Commands. Each takes its own argument vector and returns the exit status. */
 
-/** enum skh_exit - exit status of every command */
-typedef enum skh_exit {
+/** enum skh_exit_status - exit status of every command */
+typedef enum skh_exit_status {
 	SKH_EXIT_OK = 0,
-	SKH_EXIT_FAULT = 1,    /* a document is refused, or the work failed */
+	SKH_EXIT_FAILURE = 1,  /* a document is refused, or the work failed */
 	SKH_EXIT_USAGE = 2,    /* the command line is wrong */
 	SKH_EXIT_CONFLICT = 3, /* another operator's change came first */
 	SKH_EXIT_UNKNOWN = 4   /* the outcome can't be known */
-} skh_exit_t;
+} skh_exit_status_t;
 
 /** skh_cmd_entry() - run an entry instance */
 int skh_cmd_entry(int argc, char **argv);
--- a/src/stages.c
+++ b/src/stages.c
@@ -18,7 +18,8 @@
 }
 
 /* From @stage on, @old is gone from the rank and always stands somewhere else. */
-static bool fits(const schedule_t *schedule, const skh_move_t *move, uint32_t old, uint32_t stage)
+static bool fits(const schedule_t *schedule, const skh_expert_copy_t *move, uint32_t old,
+		 uint32_t stage)
 {
 	uint64_t bit = 1ULL << move->rank;
 
@@ -32,7 +33,7 @@
 	return true;
 }
 
-static void enter(schedule_t *schedule, const skh_move_t *move, uint32_t old)
+static void enter(schedule_t *schedule, const skh_expert_copy_t *move, uint32_t old)
 {
 	uint64_t bit = 1ULL << move->rank;
 
@@ -46,8 +47,8 @@
 
 static int by_stage(const void *a, const void *b)
 {
-	const skh_move_t *left = a;
-	const skh_move_t *right = b;
+	const skh_expert_copy_t *left = a;
+	const skh_expert_copy_t *right = b;
 
 	if (left->stage != right->stage)
 		return left->stage < right->stage ? -1 : 1;
@@ -60,19 +61,19 @@
  * Puts each load into the first stage during which its slot's old expert stands
  * elsewhere. The order of the decisions, one load a stage, always works.
  */
-void skh_stages_find(const skh_balance_view_t *view, skh_balance_plan_t *plan)
+void skh_stages_assign(const skh_rebalance_input_t *view, skh_rebalance_plan_t *plan)
 {
 	g_autofree uint32_t *placement =
 		g_memdup2(view->placement, view->n_ranks * view->n_slots * sizeof(uint32_t));
 	/* An expert may stand in two slots of a rank in turn: hosts alone don't tell which. */
 	uint32_t *earliest = g_new0(uint32_t, view->n_ranks * view->n_slots);
-	schedule_t schedule = { view->n_experts, plan->n_moves + 1, NULL };
+	schedule_t schedule = { view->n_experts, plan->n_copies + 1, NULL };
 
 	schedule.hosts = g_new(uint64_t, (size_t)schedule.n_stages * view->n_experts);
 	for (uint32_t t = 0; t < schedule.n_stages; t++)
 		skh_layout_find_hosts(view, placement, hosts_at(&schedule, t, 0));
-	for (uint32_t i = 0; i < plan->n_moves; i++) {
-		skh_move_t *move = &plan->moves[i];
+	for (uint32_t i = 0; i < plan->n_copies; i++) {
+		skh_expert_copy_t *move = &plan->copies[i];
 		uint32_t at = move->rank * view->n_slots + move->slot;
 		uint32_t *cell = &placement[at];
 
@@ -87,5 +88,5 @@
 	}
 	g_free(schedule.hosts);
 	g_free(earliest);
-	qsort(plan->moves, plan->n_moves, sizeof(skh_move_t), by_stage);
+	qsort(plan->copies, plan->n_copies, sizeof(skh_expert_copy_t), by_stage);
 }
--- a/src/stages.h
+++ b/src/stages.h
@@ -8,18 +8,18 @@
  * expert is ever missing. Pure.
  */
 
-#include "balance.h"
+#include "rebalance.h"
 
 #ifdef __cplusplus
 extern "C" {
 #endif
 
 /**
- * skh_stages_find() - give each load of @plan the first stage that it fits into
+ * skh_stages_assign() - give each load of @plan the first stage that it fits into
  *
  * The loads must be in an order in which one at a time is possible.
  */
-void skh_stages_find(const skh_balance_view_t *view, skh_balance_plan_t *plan);
+void skh_stages_assign(const skh_rebalance_input_t *view, skh_rebalance_plan_t *plan);
 
 #ifdef __cplusplus
 }
--- a/src/store.c
+++ b/src/store.c
@@ -6,17 +6,17 @@
 
 static atomic_uint_fast64_t calls;
 
-void skh_pairs_clear(skh_pairs_t *pairs)
+void skh_kv_pairs_clear(skh_kv_pairs_t *pairs)
 {
 	for (size_t i = 0; i < pairs->count; i++) {
 		g_free(pairs->list[i].key);
 		g_free(pairs->list[i].value);
 	}
 	g_free(pairs->list);
-	*pairs = (skh_pairs_t){ 0 };
+	*pairs = (skh_kv_pairs_t){ 0 };
 }
 
-const skh_pair_t *skh_pairs_find(const skh_pairs_t *pairs, const char *key)
+const skh_kv_pair_t *skh_kv_pairs_find(const skh_kv_pairs_t *pairs, const char *key)
 {
 	for (size_t i = 0; i < pairs->count; i++) {
 		if (strcmp(pairs->list[i].key, key) == 0)
@@ -25,17 +25,17 @@
 	return NULL;
 }
 
-void skh_changes_clear(skh_changes_t *changes)
+void skh_kv_changes_clear(skh_kv_changes_t *changes)
 {
 	for (size_t i = 0; i < changes->count; i++) {
 		g_free(changes->list[i].key);
 		g_free(changes->list[i].value);
 	}
 	g_free(changes->list);
-	*changes = (skh_changes_t){ 0 };
+	*changes = (skh_kv_changes_t){ 0 };
 }
 
-char *skh_store_decode(const char *base64)
+char *skh_store_decode_base64(const char *base64)
 {
 	gsize len = 0;
 	g_autofree guchar *bytes = NULL;
@@ -46,17 +46,17 @@
 	return g_strndup((const char *)bytes, len);
 }
 
-size_t skh_store_keep_answer(char *data, size_t size, size_t n, void *context)
+size_t skh_store_append_response(char *data, size_t size, size_t n, void *context)
 {
 	skh_buffer_t *answer = context;
 
-	if (answer->len + size * n > SKH_STORE_MAX_ANSWER_BYTES)
+	if (answer->len + size * n > SKH_STORE_MAX_RESPONSE_BYTES)
 		return 0;
 	skh_buffer_append(answer, skh_chunk_make(data, size * n));
 	return size * n;
 }
 
-uint64_t skh_store_calls(void)
+uint64_t skh_store_call_count(void)
 {
 	return atomic_load(&calls);
 }
--- a/src/store_etcd.c
+++ b/src/store_etcd.c
@@ -53,7 +53,7 @@
 }
 
 /* Only a failure before the connection stood proves that nothing was written. */
-static skh_kind_t kind_of_failure(CURLcode code)
+static skh_error_kind_t kind_of_failure(CURLcode code)
 {
 	if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST ||
 	    code == CURLE_URL_MALFORMAT)
@@ -86,7 +86,7 @@
 
 	skh_store_count_call();
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)store->timeout_ms);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, skh_store_keep_answer);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, skh_store_append_response);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, answer);
 	code = curl_easy_perform(curl);
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, status);
@@ -128,32 +128,32 @@
 	return json;
 }
 
-static void read_pair(const json_t *kv, skh_pair_t *pair)
+static void read_pair(const json_t *kv, skh_kv_pair_t *pair)
 {
-	pair->key = skh_store_decode(json_string_value(json_object_get(kv, "key")));
-	pair->value = skh_store_decode(json_string_value(json_object_get(kv, "value")));
+	pair->key = skh_store_decode_base64(json_string_value(json_object_get(kv, "key")));
+	pair->value = skh_store_decode_base64(json_string_value(json_object_get(kv, "value")));
 	pair->create_revision = integer_of(kv, "create_revision");
 	pair->mod_revision = integer_of(kv, "mod_revision");
 	pair->lease = integer_of(kv, "lease");
 }
 
-static void read_pairs(const json_t *kvs, skh_pairs_t *pairs)
+static void read_pairs(const json_t *kvs, skh_kv_pairs_t *pairs)
 {
 	size_t more = json_array_size(kvs);
 
-	pairs->list = g_renew(skh_pair_t, pairs->list, pairs->count + more);
+	pairs->list = g_renew(skh_kv_pair_t, pairs->list, pairs->count + more);
 	for (size_t i = 0; i < more; i++)
 		read_pair(json_array_get(kvs, i), &pairs->list[pairs->count + i]);
 	pairs->count += more;
 }
 
-static bool etcd_range(skh_store_t *base, const char *key, bool prefix, skh_pairs_t *pairs,
+static bool etcd_range(skh_store_t *base, const char *key, bool prefix, skh_kv_pairs_t *pairs,
 		       skh_error_t *err)
 {
 	json_t *request = json_object();
 	json_t *answer;
 
-	*pairs = (skh_pairs_t){ 0 };
+	*pairs = (skh_kv_pairs_t){ 0 };
 	set_encoded(request, "key", key);
 	if (prefix) {
 		g_autofree char *end = range_end(key);
@@ -169,7 +169,7 @@
 	return true;
 }
 
-static json_t *compare_to_json(const skh_compare_t *compare)
+static json_t *compare_to_json(const skh_txn_compare_t *compare)
 {
 	json_t *json = json_object();
 	g_autofree char *revision = g_strdup_printf("%" G_GINT64_FORMAT, compare->mod_revision);
@@ -181,18 +181,18 @@
 	return json;
 }
 
-static json_t *op_to_json(const skh_op_t *op)
+static json_t *op_to_json(const skh_txn_op_t *op)
 {
 	static const char *const names[] = {
-		[SKH_OP_PUT] = "request_put",
-		[SKH_OP_DELETE] = "request_delete_range",
-		[SKH_OP_READ] = "request_range",
+		[SKH_TXN_OP_PUT] = "request_put",
+		[SKH_TXN_OP_DELETE] = "request_delete_range",
+		[SKH_TXN_OP_READ] = "request_range",
 	};
 	json_t *json = json_object();
 	json_t *inner = json_object();
 
 	set_encoded(inner, "key", op->key);
-	if (op->type == SKH_OP_PUT)
+	if (op->type == SKH_TXN_OP_PUT)
 		set_encoded(inner, "value", op->value);
 	if (op->lease != 0) {
 		g_autofree char *lease = g_strdup_printf("%" G_GINT64_FORMAT, op->lease);
@@ -203,7 +203,7 @@
 	return json;
 }
 
-static json_t *ops_to_json(const skh_op_t *ops, size_t n_ops)
+static json_t *ops_to_json(const skh_txn_op_t *ops, size_t n_ops)
 {
 	json_t *list = json_array();
 
@@ -281,7 +281,7 @@
 	const json_t *kv = json_object_get(event, "kv");
 	const char *type = json_string_value(json_object_get(event, "type"));
 	bool deleted = type && strcmp(type, "DELETE") == 0;
-	skh_pair_t pair;
+	skh_kv_pair_t pair;
 
 	read_pair(kv, &pair);
 	if (!watching->fn(watching->context, pair.key, deleted ? NULL : pair.value,
@@ -311,7 +311,7 @@
 	char *end;
 
 	skh_buffer_append(&watching->line, skh_chunk_make(data, size * n));
-	if (watching->line.len > SKH_STORE_MAX_ANSWER_BYTES)
+	if (watching->line.len > SKH_STORE_MAX_RESPONSE_BYTES)
 		return 0;
 	while (watching->line.len > 0 &&
 	       (end = memchr(watching->line.data, '\n', watching->line.len)) != NULL) {
@@ -408,7 +408,7 @@
 	.range = etcd_range,
 	.txn = etcd_txn,
 	.lease_grant = etcd_lease_grant,
-	.lease_keep = etcd_lease_keep,
+	.lease_renew = etcd_lease_keep,
 	.watch = etcd_watch,
 	.close = etcd_close,
 };
--- a/src/suspect.c
+++ b/src/suspect.c
@@ -18,7 +18,7 @@
 
 typedef struct record {
 	uint64_t request;
-	crash_t crashes[SKH_SUSPECT_CRASHES];
+	crash_t crashes[SKH_SUSPECT_QUARANTINE_CRASHES];
 	size_t n;
 } record_t;
 
@@ -57,21 +57,22 @@
 	return n;
 }
 
-static skh_standing_t standing_of(const record_t *record, int64_t now_us)
+static skh_suspect_state_t standing_of(const record_t *record, int64_t now_us)
 {
 	size_t n = count_valid(record, now_us);
 
 	if (n == 0)
-		return SKH_STANDING_CLEAR;
-	return n < SKH_SUSPECT_CRASHES ? SKH_STANDING_SUSPECT : SKH_STANDING_QUARANTINED;
+		return SKH_SUSPECT_STATE_CLEAR;
+	return n < SKH_SUSPECT_QUARANTINE_CRASHES ? SKH_SUSPECT_STATE_SUSPECT
+						  : SKH_SUSPECT_STATE_QUARANTINED;
 }
 
-skh_standing_t skh_suspects_standing(const skh_suspects_t *suspects, uint64_t request,
-				     int64_t now_us)
+skh_suspect_state_t skh_suspects_get_state(const skh_suspects_t *suspects, uint64_t request,
+					   int64_t now_us)
 {
 	const record_t *record = g_hash_table_lookup(suspects->records, &request);
 
-	return record ? standing_of(record, now_us) : SKH_STANDING_CLEAR;
+	return record ? standing_of(record, now_us) : SKH_SUSPECT_STATE_CLEAR;
 }
 
 static void forget_old_crashes(skh_suspects_t *suspects, int64_t now_us)
@@ -149,15 +150,16 @@
 		if (record->crashes[i].until_us <= now_us)
 			remove_crash(record, i);
 	}
-	if (record->n == SKH_SUSPECT_CRASHES)
+	if (record->n == SKH_SUSPECT_QUARANTINE_CRASHES)
 		return NULL;
 	held = &record->crashes[record->n++];
-	*held = (crash_t){ crash, now_us + SKH_SUSPECT_HOLD_S * SKH_US_PER_S, false, false };
+	*held = (crash_t){ crash, now_us + SKH_SUSPECT_EXPIRY_S * SKH_US_PER_S, false, false };
 	*is_new = true;
 	return held;
 }
 
-bool skh_suspects_accuse(skh_suspects_t *suspects, uint64_t request, uint64_t crash, int64_t now_us)
+bool skh_suspects_record_crash(skh_suspects_t *suspects, uint64_t request, uint64_t crash,
+			       int64_t now_us)
 {
 	bool is_new;
 
@@ -168,7 +170,7 @@
 }
 
 size_t skh_suspects_clear(skh_suspects_t *suspects, uint64_t request,
-			  uint64_t crashes[SKH_SUSPECT_CRASHES])
+			  uint64_t crashes[SKH_SUSPECT_QUARANTINE_CRASHES])
 {
 	const record_t *record = g_hash_table_lookup(suspects->records, &request);
 	size_t n = record ? record->n : 0;
@@ -179,7 +181,7 @@
 	return n;
 }
 
-void skh_suspects_begin_load(skh_suspects_t *suspects)
+void skh_suspects_begin_snapshot(skh_suspects_t *suspects)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -193,7 +195,8 @@
 	}
 }
 
-void skh_suspects_load(skh_suspects_t *suspects, uint64_t request, uint64_t crash, int64_t now_us)
+void skh_suspects_add_snapshot_crash(skh_suspects_t *suspects, uint64_t request, uint64_t crash,
+				     int64_t now_us)
 {
 	bool is_new;
 	crash_t *held = hold(suspects, request, crash, now_us, &is_new);
@@ -204,7 +207,7 @@
 	held->named = true;
 }
 
-void skh_suspects_end_load(skh_suspects_t *suspects)
+void skh_suspects_end_snapshot(skh_suspects_t *suspects)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -222,8 +225,8 @@
 	}
 }
 
-void skh_suspects_each(const skh_suspects_t *suspects, int64_t now_us, skh_suspect_fn fn,
-		       void *context)
+void skh_suspects_for_each(const skh_suspects_t *suspects, int64_t now_us, skh_suspect_fn fn,
+			   void *context)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -231,9 +234,9 @@
 	g_hash_table_iter_init(&iter, suspects->records);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const record_t *record = value;
-		skh_standing_t standing = standing_of(record, now_us);
+		skh_suspect_state_t standing = standing_of(record, now_us);
 
-		if (standing != SKH_STANDING_CLEAR)
+		if (standing != SKH_SUSPECT_STATE_CLEAR)
 			fn(context, record->request, standing);
 	}
 }
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -19,10 +19,10 @@
 	STATE_CLOSED
 } state_t;
 
-struct skh_pool {
+struct skh_upstream_pool {
 	uv_loop_t *loop;
 	struct sockaddr_in address;
-	const skh_pool_options_t *options;
+	const skh_upstream_pool_options_t *options;
 	GQueue idle; /* skh_upstream_t, the last used at the tail */
 	guint users; /* connections that point here */
 	bool freed;
@@ -32,11 +32,11 @@
 	uv_tcp_t tcp;
 	uv_timer_t timer;
 	uv_connect_t connect;
-	skh_pool_t *pool;
+	skh_upstream_pool_t *pool;
 	state_t state;
 	const skh_upstream_ops_t *ops; /* NULL while nobody listens */
 	void *context;
-	skh_message_t answer;
+	skh_http_message_t answer;
 	skh_buffer_t bytes; /* of the request */
 	char *attempt_id;
 	bool head_only;
@@ -59,12 +59,12 @@
 static char read_buffer[64 << 10]; /* of the loop's thread; used up before the next read */
 static uint64_t opened;
 
-uint64_t skh_pool_opened(void)
+uint64_t skh_upstream_pool_opened_count(void)
 {
 	return opened;
 }
 
-static void drop_pool(skh_pool_t *pool)
+static void drop_pool(skh_upstream_pool_t *pool)
 {
 	if (pool->freed && pool->users == 0)
 		g_free(pool);
@@ -73,11 +73,11 @@
 static void on_closed(uv_handle_t *handle)
 {
 	skh_upstream_t *upstream = handle->data;
-	skh_pool_t *pool = upstream->pool;
+	skh_upstream_pool_t *pool = upstream->pool;
 
 	if (--upstream->open_handles > 0)
 		return;
-	skh_message_free(&upstream->answer);
+	skh_http_message_free(&upstream->answer);
 	skh_buffer_free(&upstream->bytes);
 	g_free(upstream->attempt_id);
 	g_free(upstream);
@@ -97,7 +97,7 @@
 	uv_close((uv_handle_t *)&upstream->timer, on_closed);
 }
 
-static void lose(skh_upstream_t *upstream, skh_lost_t lost)
+static void lose(skh_upstream_t *upstream, skh_upstream_error_t lost)
 {
 	const skh_upstream_ops_t *ops = upstream->ops;
 	void *context = upstream->context;
@@ -105,7 +105,7 @@
 
 	close_upstream(upstream);
 	if (ops)
-		ops->on_lost(context, lost, handed_over);
+		ops->on_error(context, lost, handed_over);
 }
 
 static void set_socket_options(skh_upstream_t *upstream)
@@ -115,7 +115,7 @@
 	const int probes = KEEPALIVE_PROBES;
 	const int on = 1;
 	unsigned int silence_ms =
-		(unsigned int)(upstream->pool->options->silence_timeout_us / SKH_US_PER_MS);
+		(unsigned int)(upstream->pool->options->unacked_timeout_us / SKH_US_PER_MS);
 	uv_os_fd_t fd;
 
 	if (uv_fileno((uv_handle_t *)&upstream->tcp, &fd) != 0)
@@ -137,7 +137,7 @@
 	skh_buffer_free(&write->bytes);
 	g_free(write);
 	if (status < 0 && status != UV_ECANCELED && upstream->state == STATE_BUSY)
-		lose(upstream, SKH_LOST_BROKEN);
+		lose(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
 }
 
 static void write_request(skh_upstream_t *upstream)
@@ -156,7 +156,7 @@
 	upstream->writing = false;
 	skh_buffer_free(&write->bytes);
 	g_free(write);
-	lose(upstream, SKH_LOST_BROKEN);
+	lose(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
 }
 
 static void give_buffer(uv_handle_t *handle, size_t wanted, uv_buf_t *buffer)
@@ -169,9 +169,9 @@
 /* The server says for how long it keeps an idle connection, in whole seconds. */
 static int64_t idle_limit_of(const skh_upstream_t *upstream)
 {
-	const char *keep_alive = skh_message_header(&upstream->answer, "Keep-Alive");
+	const char *keep_alive = skh_http_message_header(&upstream->answer, "Keep-Alive");
 	const char *timeout = keep_alive ? strstr(keep_alive, "timeout=") : NULL;
-	int64_t limit_us = upstream->pool->options->max_idle_us;
+	int64_t limit_us = upstream->pool->options->idle_timeout_us;
 
 	if (timeout) {
 		int64_t said_us =
@@ -185,25 +185,26 @@
 
 static void make_idle(skh_upstream_t *upstream)
 {
-	skh_pool_t *pool = upstream->pool;
+	skh_upstream_pool_t *pool = upstream->pool;
 
 	upstream->ops = NULL;
 	upstream->idle_limit_us = idle_limit_of(upstream);
 	if (pool->freed || upstream->dirty || upstream->writing || upstream->idle_limit_us <= 0 ||
-	    !skh_message_keeps_alive(&upstream->answer)) {
+	    !skh_http_message_can_keep_alive(&upstream->answer)) {
 		close_upstream(upstream);
 		return;
 	}
 	upstream->state = STATE_IDLE;
 	upstream->idle_since_us = skh_clock_boot_us();
 	g_queue_push_tail(&pool->idle, upstream);
-	if (g_queue_get_length(&pool->idle) > pool->options->max_idle)
+	if (g_queue_get_length(&pool->idle) > pool->options->max_idle_connections)
 		close_upstream(g_queue_peek_head(&pool->idle));
 }
 
-static bool belongs_here(const skh_upstream_t *upstream, const skh_message_t *answer)
+static bool belongs_here(const skh_upstream_t *upstream, const skh_http_message_t *answer)
 {
-	const char *id = skh_message_header(answer, upstream->pool->options->attempt_header);
+	const char *id =
+		skh_http_message_header(answer, upstream->pool->options->attempt_id_header);
 
 	if (!upstream->attempt_id)
 		return true;
@@ -213,7 +214,7 @@
 	return strcmp(id, upstream->attempt_id) == 0;
 }
 
-static bool on_head(void *context, skh_message_t *answer)
+static bool on_head(void *context, skh_http_message_t *answer)
 {
 	skh_upstream_t *upstream = context;
 
@@ -234,12 +235,12 @@
 		upstream->ops->on_body(upstream->context, bytes);
 }
 
-static const skh_message_ops_t answer_ops = { .on_head = on_head, .on_body = on_body };
+static const skh_http_message_ops_t answer_ops = { .on_head = on_head, .on_body = on_body };
 
 static void expect_answer(skh_upstream_t *upstream)
 {
 	upstream->skipping = false;
-	skh_message_reset(&upstream->answer, HTTP_RESPONSE, &answer_ops, upstream);
+	skh_http_message_reset(&upstream->answer, HTTP_RESPONSE, &answer_ops, upstream);
 }
 
 /* True when reading goes on: what was read was an interim answer, or another's. */
@@ -263,13 +264,13 @@
 	while (bytes.len > 0) {
 		skh_error_t err;
 		size_t used;
-		bool valid = skh_message_feed(&upstream->answer, bytes, &used, &err);
+		bool valid = skh_http_message_feed(&upstream->answer, bytes, &used, &err);
 
 		/* The listener may have cancelled. */
 		if (upstream->state == STATE_CLOSED)
 			return;
 		if (!valid) {
-			lose(upstream, SKH_LOST_GARBLED);
+			lose(upstream, SKH_UPSTREAM_ERROR_INVALID_RESPONSE);
 			return;
 		}
 		bytes = skh_chunk_make(bytes.data + used, bytes.len - used);
@@ -317,13 +318,13 @@
 		return;
 	}
 	if (n == UV_EOF && !upstream->skipping && ended_cleanly(upstream) &&
-	    skh_message_eof(&upstream->answer)) {
+	    skh_http_message_feed_eof(&upstream->answer)) {
 		upstream->dirty = true;
 		(void)end_answer(upstream);
 		close_upstream(upstream);
 		return;
 	}
-	lose(upstream, SKH_LOST_BROKEN);
+	lose(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
 }
 
 static void on_connected(uv_connect_t *request, int status)
@@ -333,7 +334,7 @@
 	if (upstream->state == STATE_CLOSED)
 		return;
 	if (status < 0) {
-		lose(upstream, SKH_LOST_UNREACHABLE);
+		lose(upstream, SKH_UPSTREAM_ERROR_UNREACHABLE);
 		return;
 	}
 	(void)uv_timer_stop(&upstream->timer);
@@ -345,10 +346,10 @@
 
 static void on_connect_timeout(uv_timer_t *timer)
 {
-	lose(timer->data, SKH_LOST_UNREACHABLE);
+	lose(timer->data, SKH_UPSTREAM_ERROR_UNREACHABLE);
 }
 
-static skh_upstream_t *open_upstream(skh_pool_t *pool)
+static skh_upstream_t *open_upstream(skh_upstream_pool_t *pool)
 {
 	skh_upstream_t *upstream = g_new0(skh_upstream_t, 1);
 
@@ -365,7 +366,7 @@
 	return upstream;
 }
 
-static skh_upstream_t *take_idle(skh_pool_t *pool)
+static skh_upstream_t *take_idle(skh_upstream_pool_t *pool)
 {
 	int64_t now_us = skh_clock_boot_us();
 	skh_upstream_t *upstream;
@@ -381,10 +382,10 @@
 	return NULL;
 }
 
-/* Failures are told from the loop, never from within skh_pool_send(). */
+/* Failures are told from the loop, never from within skh_upstream_pool_send(). */
 static void on_refused_soon(uv_timer_t *timer)
 {
-	lose(timer->data, SKH_LOST_UNREACHABLE);
+	lose(timer->data, SKH_UPSTREAM_ERROR_UNREACHABLE);
 }
 
 static void connect_upstream(skh_upstream_t *upstream)
@@ -401,17 +402,18 @@
 		(void)uv_timer_start(&upstream->timer, on_refused_soon, 0, 0);
 }
 
-skh_upstream_t *skh_pool_send(skh_pool_t *pool, const skh_send_t *send,
-			      const skh_upstream_ops_t *ops, void *context)
+skh_upstream_t *skh_upstream_pool_send(skh_upstream_pool_t *pool,
+				       const skh_upstream_request_t *send,
+				       const skh_upstream_ops_t *ops, void *context)
 {
-	skh_upstream_t *upstream = send->fresh ? NULL : take_idle(pool);
+	skh_upstream_t *upstream = send->use_new_connection ? NULL : take_idle(pool);
 	bool is_new = !upstream;
 
 	if (is_new)
 		upstream = open_upstream(pool);
 	g_free(upstream->attempt_id);
 	upstream->attempt_id = g_strdup(send->attempt_id);
-	upstream->head_only = send->head_only;
+	upstream->head_only = send->is_head_request;
 	upstream->ops = ops;
 	upstream->context = context;
 	upstream->handed_over = false;
@@ -430,7 +432,7 @@
 	close_upstream(upstream);
 }
 
-void skh_upstream_pause(skh_upstream_t *upstream, bool paused)
+void skh_upstream_set_paused(skh_upstream_t *upstream, bool paused)
 {
 	if (upstream->state != STATE_BUSY)
 		return;
@@ -440,10 +442,10 @@
 		(void)uv_read_start((uv_stream_t *)&upstream->tcp, give_buffer, on_read);
 }
 
-skh_pool_t *skh_pool_new(uv_loop_t *loop, const char *host, uint16_t port,
-			 const skh_pool_options_t *options)
+skh_upstream_pool_t *skh_upstream_pool_new(uv_loop_t *loop, const char *host, uint16_t port,
+					   const skh_upstream_pool_options_t *options)
 {
-	skh_pool_t *pool = g_new0(skh_pool_t, 1);
+	skh_upstream_pool_t *pool = g_new0(skh_upstream_pool_t, 1);
 
 	pool->loop = loop;
 	pool->options = options;
@@ -452,7 +454,7 @@
 	return pool;
 }
 
-void skh_pool_drop_idle(skh_pool_t *pool)
+void skh_upstream_pool_close_idle(skh_upstream_pool_t *pool)
 {
 	skh_upstream_t *upstream;
 
@@ -460,9 +462,9 @@
 		close_upstream(upstream);
 }
 
-void skh_pool_free(skh_pool_t *pool)
+void skh_upstream_pool_free(skh_upstream_pool_t *pool)
 {
 	pool->freed = true;
-	skh_pool_drop_idle(pool);
+	skh_upstream_pool_close_idle(pool);
 	drop_pool(pool);
 }
--- a/src/wire.c
+++ b/src/wire.c
@@ -48,7 +48,7 @@
 	return name_fits(start->request) && name_fits(start->customer) &&
 	       name_fits(start->method) && name_fits(start->content_type) &&
 	       name_fits(start->service) && start->attempt != 0 &&
-	       !(start->attempt & SKH_WIRE_RESERVED_ATTEMPT);
+	       !(start->attempt & SKH_WIRE_LOCAL_TRANSFER_BIT);
 }
 
 static bool body_fits(const Skh__Frame *frame)
@@ -105,7 +105,7 @@
 	skh__frame__free_unpacked(frame, NULL);
 }
 
-uint64_t skh_wire_hash_content(const Skh__Start *start)
+uint64_t skh_wire_hash_request(const Skh__Start *start)
 {
 	uint64_t hash = skh_chunk_hash(skh_chunk_from_string(start->service), 0);
 
--- a/src/wire.h
+++ b/src/wire.h
@@ -17,10 +17,10 @@
 extern "C" {
 #endif
 
-#define SKH_WIRE_VERSION	  1
-#define SKH_WIRE_MAX_FRAME_BYTES  (80U << 20)
-#define SKH_WIRE_MAX_NAME_BYTES	  256
-#define SKH_WIRE_RESERVED_ATTEMPT (1ULL << 63) /* bit a sidecar uses for its own transfers */
+#define SKH_WIRE_VERSION	    1
+#define SKH_WIRE_MAX_FRAME_BYTES    (80U << 20)
+#define SKH_WIRE_MAX_NAME_BYTES	    256
+#define SKH_WIRE_LOCAL_TRANSFER_BIT (1ULL << 63) /* bit a sidecar uses for its own transfers */
 
 /** enum skh_phase - what a sidecar says about itself in its status */
 typedef enum skh_phase {
@@ -42,8 +42,8 @@
  */
 void skh_wire_setup_router(void *socket, int linger_ms);
 
-/** skh_wire_hash_content() - the same for each copy of a request, whoever sends it */
-uint64_t skh_wire_hash_content(const Skh__Start *start);
+/** skh_wire_hash_request() - the same for each copy of a request, whoever sends it */
+uint64_t skh_wire_hash_request(const Skh__Start *start);
 
 /** skh_wire_pack() - append the packed @frame to @out */
 void skh_wire_pack(const Skh__Frame *frame, skh_buffer_t *out);
--- a/src/wire.pb-c.h
+++ b/src/wire.pb-c.h
@@ -421,7 +421,7 @@
    */
 	uint64_t sender;
 	/*
-   * of each expert after from_pass up to to_pass, src/countpack.h
+   * of each expert after from_pass up to to_pass, src/count_codec.h
    */
 	ProtobufCBinaryData counts;
 	/*
--- a/test/access_test.cc
+++ b/test/access_test.cc
@@ -1,7 +1,7 @@
 // Who may do what to the configuration, and that the routes are as described.
 #include "access.h"
 #include "admin.h"
-#include "difference.h"
+#include "manifest_diff.h"
 
 #include <gtest/gtest.h>
 #include <jansson.h>
@@ -46,18 +46,19 @@
 
 ManifestPtr parse(const std::string &text)
 {
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 	ManifestPtr manifest(
 		skh_manifest_from_toml(skh_chunk_make(text.data(), text.size()), faults),
 		skh_manifest_unref);
 
-	EXPECT_NE(nullptr, manifest.get()) << (manifest ? "" : skh_faults_at(faults, 0)->reason);
-	skh_faults_free(faults);
+	EXPECT_NE(nullptr, manifest.get())
+		<< (manifest ? "" : skh_validation_errors_at(faults, 0)->reason);
+	skh_validation_errors_free(faults);
 	return manifest;
 }
 
-skh_kind_t check(const ManifestPtr &manifest, const char *header, skh_need_t need,
-		 const skh_operator_t **who = nullptr)
+skh_error_kind_t check(const ManifestPtr &manifest, const char *header, skh_access_level_t need,
+		       const skh_operator_t **who = nullptr)
 {
 	const skh_operator_t *found = nullptr;
 	skh_error_t err = {};
@@ -68,28 +69,28 @@
 	return allowed ? SKH_OK : err.kind;
 }
 
-skh_kind_t change(const char *header, const ManifestPtr &before, const ManifestPtr &after)
+skh_error_kind_t change(const char *header, const ManifestPtr &before, const ManifestPtr &after)
 {
 	const skh_operator_t *who = nullptr;
 	skh_error_t err = {};
 
-	EXPECT_EQ(SKH_OK, check(before, header, SKH_NEED_TEAM, &who));
-	return skh_access_may_change(who, before.get(), after.get(), &err) ? SKH_OK : err.kind;
+	EXPECT_EQ(SKH_OK, check(before, header, SKH_ACCESS_LEVEL_TEAM, &who));
+	return skh_access_check_change(who, before.get(), after.get(), &err) ? SKH_OK : err.kind;
 }
 
 TEST(Access, EachRoleReachesAsFarAsItShould)
 {
 	const ManifestPtr manifest = parse(manifest_text("root"));
 
-	EXPECT_EQ(SKH_OK, check(manifest, nullptr, SKH_NEED_NOTHING));
-	EXPECT_EQ(SKH_UNAUTHORIZED, check(manifest, nullptr, SKH_NEED_READER));
-	EXPECT_EQ(SKH_UNAUTHORIZED, check(manifest, "Bearer wrong", SKH_NEED_READER));
-	EXPECT_EQ(SKH_UNAUTHORIZED, check(manifest, "root-key", SKH_NEED_READER));
-	EXPECT_EQ(SKH_OK, check(manifest, "Bearer eye-key", SKH_NEED_READER));
-	EXPECT_EQ(SKH_FORBIDDEN, check(manifest, "Bearer eye-key", SKH_NEED_TEAM));
-	EXPECT_EQ(SKH_OK, check(manifest, "Bearer team-key", SKH_NEED_TEAM));
-	EXPECT_EQ(SKH_FORBIDDEN, check(manifest, "Bearer team-key", SKH_NEED_OPERATOR));
-	EXPECT_EQ(SKH_OK, check(manifest, "Bearer root-key", SKH_NEED_OPERATOR));
+	EXPECT_EQ(SKH_OK, check(manifest, nullptr, SKH_ACCESS_LEVEL_NONE));
+	EXPECT_EQ(SKH_UNAUTHORIZED, check(manifest, nullptr, SKH_ACCESS_LEVEL_READER));
+	EXPECT_EQ(SKH_UNAUTHORIZED, check(manifest, "Bearer wrong", SKH_ACCESS_LEVEL_READER));
+	EXPECT_EQ(SKH_UNAUTHORIZED, check(manifest, "root-key", SKH_ACCESS_LEVEL_READER));
+	EXPECT_EQ(SKH_OK, check(manifest, "Bearer eye-key", SKH_ACCESS_LEVEL_READER));
+	EXPECT_EQ(SKH_FORBIDDEN, check(manifest, "Bearer eye-key", SKH_ACCESS_LEVEL_TEAM));
+	EXPECT_EQ(SKH_OK, check(manifest, "Bearer team-key", SKH_ACCESS_LEVEL_TEAM));
+	EXPECT_EQ(SKH_FORBIDDEN, check(manifest, "Bearer team-key", SKH_ACCESS_LEVEL_OPERATOR));
+	EXPECT_EQ(SKH_OK, check(manifest, "Bearer root-key", SKH_ACCESS_LEVEL_OPERATOR));
 }
 
 TEST(Access, ATeamChangesOnlyItsOwn)
@@ -124,12 +125,12 @@
 {
 	const std::string text = "[change]\nby = \"a\"\nreason = \"b\"\n" +
 				 operator_text("eye", "reader", "eye-key");
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 
 	EXPECT_EQ(nullptr,
 		  skh_manifest_from_toml(skh_chunk_make(text.data(), text.size()), faults));
-	EXPECT_STREQ("operator.role", skh_faults_at(faults, 0)->key);
-	skh_faults_free(faults);
+	EXPECT_STREQ("operator.role", skh_validation_errors_at(faults, 0)->key);
+	skh_validation_errors_free(faults);
 }
 
 TEST(Access, OpenApiDescribesEveryRouteAndNoOther)
@@ -158,7 +159,7 @@
 			g_free(upper);
 		}
 	}
-	for (size_t i = 0; skh_admin_route(i, &method, &path); i++)
+	for (size_t i = 0; skh_admin_route_at(i, &method, &path); i++)
 		served.insert(std::string(method) + " " + path);
 	EXPECT_EQ(served, described);
 	json_decref(document);
--- a/test/admit_test.cc
+++ b/test/admission_test.cc
@@ -1,5 +1,5 @@
 // Customers' limits in virtual time.
-#include "admit.h"
+#include "admission.h"
 #include "clock.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace
 {
 
-using AdmitPtr = std::unique_ptr<skh_admit_t, decltype(&skh_admit_free)>;
+using AdmitPtr = std::unique_ptr<skh_admission_t, decltype(&skh_admission_free)>;
 
 skh_customer_t customer_of(double rate_per_s, int64_t burst, int64_t max_in_flight)
 {
@@ -24,42 +24,42 @@
 
 TEST(Admit, TheRateOverASecondIsTheCustomersShare)
 {
-	AdmitPtr admit(skh_admit_new(), skh_admit_free);
+	AdmitPtr admit(skh_admission_new(), skh_admission_free);
 	skh_customer_t customer = customer_of(100, 10, 1000000);
 	skh_error_t err = {};
 	int admitted = 0;
 
 	/* Two entries share the limit, so this one admits half of it. */
 	for (int64_t now_us = 0; now_us < 10 * SKH_US_PER_S; now_us += SKH_US_PER_MS)
-		admitted += skh_admit_try(admit.get(), &customer, 2, now_us, &err);
+		admitted += skh_admission_acquire(admit.get(), &customer, 2, now_us, &err);
 	EXPECT_NEAR(admitted, 505, 2);
 }
 
 TEST(Admit, ARefusalTellsWhenToComeBackAndThatIsTrue)
 {
-	AdmitPtr admit(skh_admit_new(), skh_admit_free);
+	AdmitPtr admit(skh_admission_new(), skh_admission_free);
 	skh_customer_t customer = customer_of(2, 1, 100);
 	skh_error_t err = {};
 
-	EXPECT_TRUE(skh_admit_try(admit.get(), &customer, 1, 0, &err));
-	EXPECT_FALSE(skh_admit_try(admit.get(), &customer, 1, 0, &err));
+	EXPECT_TRUE(skh_admission_acquire(admit.get(), &customer, 1, 0, &err));
+	EXPECT_FALSE(skh_admission_acquire(admit.get(), &customer, 1, 0, &err));
 	EXPECT_EQ(err.kind, SKH_LIMITED);
-	EXPECT_EQ(err.run, SKH_RUN_NOT_RUN);
+	EXPECT_EQ(err.run_state, SKH_RUN_NOT_RUN);
 	EXPECT_EQ(err.retry_at_us, SKH_US_PER_S / 2);
-	EXPECT_TRUE(skh_admit_try(admit.get(), &customer, 1, err.retry_at_us, &err));
+	EXPECT_TRUE(skh_admission_acquire(admit.get(), &customer, 1, err.retry_at_us, &err));
 }
 
 TEST(Admit, NeverMoreInFlightThanTheShare)
 {
-	AdmitPtr admit(skh_admit_new(), skh_admit_free);
+	AdmitPtr admit(skh_admission_new(), skh_admission_free);
 	skh_customer_t customer = customer_of(1000, 1000, 4);
 	skh_error_t err = {};
 
-	EXPECT_TRUE(skh_admit_try(admit.get(), &customer, 2, 0, &err));
-	EXPECT_TRUE(skh_admit_try(admit.get(), &customer, 2, 0, &err));
-	EXPECT_FALSE(skh_admit_try(admit.get(), &customer, 2, 0, &err));
-	skh_admit_done(admit.get(), "yard");
-	EXPECT_TRUE(skh_admit_try(admit.get(), &customer, 2, 0, &err));
+	EXPECT_TRUE(skh_admission_acquire(admit.get(), &customer, 2, 0, &err));
+	EXPECT_TRUE(skh_admission_acquire(admit.get(), &customer, 2, 0, &err));
+	EXPECT_FALSE(skh_admission_acquire(admit.get(), &customer, 2, 0, &err));
+	skh_admission_release(admit.get(), "yard");
+	EXPECT_TRUE(skh_admission_acquire(admit.get(), &customer, 2, 0, &err));
 }
 
 } // namespace
--- a/test/backends_test.cc
+++ b/test/backends_test.cc
@@ -11,13 +11,13 @@
 
 struct Backends {
 	uv_loop_t loop = {};
-	skh_pool_options_t options = {};
+	skh_upstream_pool_options_t options = {};
 	skh_roster_t roster = {};
 	skh_backends_t *backends = nullptr;
 
 	Backends()
 	{
-		options.attempt_header = "Id";
+		options.attempt_id_header = "Id";
 		EXPECT_EQ(uv_loop_init(&loop), 0);
 		roster.servers = g_ptr_array_new_with_free_func([](gpointer server) {
 			skh_server_free(static_cast<skh_server_t *>(server));
@@ -41,15 +41,15 @@
 		server->failure_domain = g_strdup("a");
 		server->port = 80;
 		server->slots = 4;
-		server->born_ms = born_ms;
+		server->started_unix_ms = born_ms;
 		g_ptr_array_add(roster.servers, server);
 		roster.revision++;
 		skh_backends_sync(backends, &roster, nullptr);
 	}
 	std::string pick()
 	{
-		skh_front_t *front = skh_backends_front(backends, "s");
-		skh_target_t *target = skh_front_pick(front, nullptr, skh_clock_boot_us());
+		skh_target_pool_t *front = skh_backends_get_or_create_pool(backends, "s");
+		skh_target_t *target = skh_target_pool_select(front, nullptr, skh_clock_boot_us());
 
 		return target ? target->server->id : "-";
 	}
@@ -72,12 +72,12 @@
 	Backends t;
 
 	t.list("a", "10.0.0.1", 1);
-	skh_backends_set_paces(t.backends, "110.0.0.1:80 9.0\n10.0.0.2:80 4.5\n");
+	skh_backends_set_slowdowns(t.backends, "110.0.0.1:80 9.0\n10.0.0.2:80 4.5\n");
 	t.list("b", "10.0.0.2", 1);
-	EXPECT_EQ(skh_backends_target(t.backends, "a")->pace, 1.0);
-	EXPECT_EQ(skh_backends_target(t.backends, "b")->pace, 4.5);
-	skh_backends_set_paces(t.backends, "");
-	EXPECT_EQ(skh_backends_target(t.backends, "b")->pace, 1.0);
+	EXPECT_EQ(skh_backends_find_target(t.backends, "a")->slowdown, 1.0);
+	EXPECT_EQ(skh_backends_find_target(t.backends, "b")->slowdown, 4.5);
+	skh_backends_set_slowdowns(t.backends, "");
+	EXPECT_EQ(skh_backends_find_target(t.backends, "b")->slowdown, 1.0);
 }
 
 TEST(Backends, TheOrderOfTheListDoesNotMatter)
@@ -98,17 +98,18 @@
 
 	t.list("one", "127.0.0.1", 1000);
 	t.list("two", "127.0.0.2", 1000);
-	target = skh_backends_target(t.backends, "one");
+	target = skh_backends_find_target(t.backends, "one");
 	target->references++;
-	skh_target_use_t use = {};
+	skh_target_result_t use = {};
 
-	use.work = 1.0;
-	use.outcome = SKH_OUTCOME_MISPLACED;
-	skh_target_begin(target, 1.0, skh_clock_boot_us());
-	skh_target_end(target, &use, skh_clock_boot_us());
+	use.expected_tokens = 1.0;
+	use.outcome = SKH_OUTCOME_WRONG_INSTANCE;
+	skh_target_begin_request(target, 1.0, skh_clock_boot_us());
+	skh_target_end_request(target, &use, skh_clock_boot_us());
 	for (int i = 0; i < 50; i++)
 		EXPECT_EQ(t.pick(), "two");
-	EXPECT_TRUE(skh_front_pick(target->front, nullptr, skh_clock_boot_us() + 60 * kS));
+	EXPECT_TRUE(skh_target_pool_select(target->target_pool, nullptr,
+					   skh_clock_boot_us() + 60 * kS));
 	skh_target_unref(target);
 }
 
--- a/test/claim_test.cc
+++ b/test/claim_test.cc
@@ -24,7 +24,7 @@
 	return text;
 }
 
-skh_kind_t check(const std::string &key)
+skh_error_kind_t check(const std::string &key)
 {
 	skh_error_t err = {};
 
@@ -34,9 +34,9 @@
 TEST(Claim, OnlyKeysYoungerThanTheHorizonAreTaken)
 {
 	EXPECT_EQ(check(key_of(kNowMs)), SKH_OK);
-	EXPECT_EQ(check(key_of(kNowMs - SKH_CLAIM_HORIZON_MS)), SKH_OK);
-	EXPECT_EQ(check(key_of(kNowMs - SKH_CLAIM_HORIZON_MS - 1)), SKH_KEY_EXPIRED);
-	EXPECT_EQ(check(key_of(kNowMs + 2 * SKH_CLAIM_SKEW_MS)), SKH_BAD_REQUEST);
+	EXPECT_EQ(check(key_of(kNowMs - SKH_CLAIM_MAX_KEY_AGE_MS)), SKH_OK);
+	EXPECT_EQ(check(key_of(kNowMs - SKH_CLAIM_MAX_KEY_AGE_MS - 1)), SKH_KEY_EXPIRED);
+	EXPECT_EQ(check(key_of(kNowMs + 2 * SKH_CLAIM_MAX_CLOCK_SKEW_MS)), SKH_BAD_REQUEST);
 	EXPECT_EQ(check("sale-1"), SKH_BAD_REQUEST);
 	EXPECT_EQ(check("01234567-89ab-4abc-8def-0123456789ab"), SKH_BAD_REQUEST);
 	EXPECT_EQ(check("01234567-89ab-7abc-8def-0123456789aZ"), SKH_BAD_REQUEST);
@@ -54,14 +54,15 @@
 	claim.body_hash = 0xfedcba9876543210U;
 	claim.status = 201;
 	claim.content_type = g_strdup("application/json");
-	claim.has_answer = true;
-	skh_buffer_append(&claim.answer, skh_chunk_make(bytes.data(), bytes.size()));
+	claim.has_response = true;
+	skh_buffer_append(&claim.response, skh_chunk_make(bytes.data(), bytes.size()));
 	char *text = skh_claim_encode(&claim);
 	ASSERT_TRUE(skh_claim_decode(text, &back, &err));
 	EXPECT_EQ(back.state, SKH_CLAIM_DONE);
 	EXPECT_EQ(back.body_hash, claim.body_hash);
 	EXPECT_EQ(back.status, 201);
-	EXPECT_EQ(std::string(reinterpret_cast<char *>(back.answer.data), back.answer.len), bytes);
+	EXPECT_EQ(std::string(reinterpret_cast<char *>(back.response.data), back.response.len),
+		  bytes);
 	g_free(text);
 	skh_claim_clear(&claim);
 	skh_claim_clear(&back);
@@ -73,7 +74,7 @@
 	skh_error_t err = {};
 
 	EXPECT_FALSE(skh_claim_decode("{\"state\":\"maybe\"}", &claim, &err));
-	EXPECT_EQ(err.run, SKH_RUN_UNKNOWN);
+	EXPECT_EQ(err.run_state, SKH_RUN_UNKNOWN);
 }
 
 TEST(Claim, OnlyARecordThatSaysNotRunMayBeReplaced)
@@ -84,14 +85,14 @@
 	found.owner = owner;
 	found.body_hash = 5;
 	found.state = SKH_CLAIM_CLAIMED;
-	EXPECT_EQ(skh_claim_judge(&found, "me", 5), SKH_CLAIM_IS_UNFINISHED);
-	EXPECT_EQ(skh_claim_judge(&found, "me", 6), SKH_CLAIM_IS_REUSED);
-	EXPECT_EQ(skh_claim_judge(&found, "other", 5), SKH_CLAIM_IS_MINE);
+	EXPECT_EQ(skh_claim_decide(&found, "me", 5), SKH_CLAIM_DECISION_OUTCOME_UNKNOWN);
+	EXPECT_EQ(skh_claim_decide(&found, "me", 6), SKH_CLAIM_DECISION_KEY_REUSED);
+	EXPECT_EQ(skh_claim_decide(&found, "other", 5), SKH_CLAIM_DECISION_OWN_CLAIM);
 	found.state = SKH_CLAIM_DONE;
-	EXPECT_EQ(skh_claim_judge(&found, "me", 5), SKH_CLAIM_IS_DONE);
+	EXPECT_EQ(skh_claim_decide(&found, "me", 5), SKH_CLAIM_DECISION_REPLAY);
 	found.state = SKH_CLAIM_NOT_RUN;
-	EXPECT_EQ(skh_claim_judge(&found, "me", 5), SKH_CLAIM_IS_FREE);
-	EXPECT_EQ(skh_claim_judge(&found, "me", 6), SKH_CLAIM_IS_REUSED);
+	EXPECT_EQ(skh_claim_decide(&found, "me", 5), SKH_CLAIM_DECISION_REPLACE);
+	EXPECT_EQ(skh_claim_decide(&found, "me", 6), SKH_CLAIM_DECISION_KEY_REUSED);
 }
 
 struct Writes {
@@ -111,7 +112,7 @@
 	~Writes()
 	{
 		for (auto &write : list)
-			g_free(write.found);
+			g_free(write.found_value);
 	}
 
 	std::vector<std::string> keys;
@@ -122,7 +123,7 @@
 TEST(Batch, OneTransactionCarriesManyClaims)
 {
 	FakeStore store;
-	Writes writes(SKH_BATCH_MAX, "a");
+	Writes writes(SKH_BATCH_MAX_WRITES, "a");
 
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
 	EXPECT_EQ(store.n_txns, 1);
@@ -139,7 +140,7 @@
 	skh_batch_run(&store.base, rival.list.data(), 1);
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
 	EXPECT_EQ(writes.list[0].state, SKH_WRITE_CONFLICT);
-	EXPECT_STREQ(writes.list[0].found, "rival0");
+	EXPECT_STREQ(writes.list[0].found_value, "rival0");
 	for (size_t i = 1; i < 8; i++)
 		EXPECT_EQ(writes.list[i].state, SKH_WRITE_DONE);
 }
@@ -213,7 +214,7 @@
 			if (write.state == SKH_WRITE_DONE)
 				RC_ASSERT(naive.emplace(write.key, write.value).second);
 			if (write.state == SKH_WRITE_CONFLICT)
-				RC_ASSERT(naive.at(write.key) == write.found);
+				RC_ASSERT(naive.at(write.key) == write.found_value);
 			RC_ASSERT(write.state != SKH_WRITE_PENDING);
 		}
 	}
--- a/test/config_test.cc
+++ b/test/config_test.cc
@@ -24,14 +24,14 @@
 
 skh_manifest_t *manifest_of(const std::string &text, std::string *faults_text = nullptr)
 {
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 	skh_manifest_t *manifest =
 		skh_manifest_from_toml(skh_chunk_make(text.data(), text.size()), faults);
 
-	for (size_t i = 0; faults_text && i < skh_faults_count(faults); i++)
-		*faults_text += std::string(skh_faults_at(faults, i)->key) + ": " +
-				skh_faults_at(faults, i)->reason + "\n";
-	skh_faults_free(faults);
+	for (size_t i = 0; faults_text && i < skh_validation_errors_count(faults); i++)
+		*faults_text += std::string(skh_validation_errors_at(faults, i)->key) + ": " +
+				skh_validation_errors_at(faults, i)->reason + "\n";
+	skh_validation_errors_free(faults);
 	return manifest;
 }
 
@@ -48,18 +48,18 @@
 		skh_error_t err = {};
 		uint32_t line = 0;
 
-		EXPECT_EQ(nullptr, skh_node_from_toml(skh_chunk_from_string(bad), &line, &err));
+		EXPECT_EQ(nullptr, skh_doc_node_from_toml(skh_chunk_from_string(bad), &line, &err));
 		EXPECT_EQ(2u, line);
 		EXPECT_EQ(SKH_CONFIG_INVALID, err.kind);
 	}
 	skh_error_t err = {};
 	uint32_t line = 0;
-	skh_node_t *node =
-		skh_node_from_toml(skh_chunk_from_string("by = \"Juml\\u00e9\"\n"), &line, &err);
+	skh_doc_node_t *node = skh_doc_node_from_toml(
+		skh_chunk_from_string("by = \"Juml\\u00e9\"\n"), &line, &err);
 
 	ASSERT_NE(nullptr, node) << err.text;
-	EXPECT_STREQ("Juml\303\251", skh_node_text(skh_node_find(node, "by")));
-	skh_node_free(node);
+	EXPECT_STREQ("Juml\303\251", skh_doc_node_text(skh_doc_node_find(node, "by")));
+	skh_doc_node_free(node);
 }
 
 TEST(Manifest, LooksUpWhatItHolds)
@@ -72,8 +72,8 @@
 	ASSERT_NE(customer, nullptr);
 	EXPECT_STREQ(customer->name, "nairobi-yard");
 	EXPECT_EQ(skh_manifest_customer_by_key(manifest, "clerk-kex"), nullptr);
-	EXPECT_TRUE(skh_customer_may_use(customer, "ledger"));
-	EXPECT_FALSE(skh_customer_may_use(customer, "drafting"));
+	EXPECT_TRUE(skh_customer_can_use(customer, "ledger"));
+	EXPECT_FALSE(skh_customer_can_use(customer, "drafting"));
 	const skh_service_t *ledger = skh_manifest_service(manifest, "ledger");
 	EXPECT_TRUE(skh_service_is_idempotent(ledger, "GET"));
 	EXPECT_FALSE(skh_service_is_idempotent(ledger, "POST"));
@@ -84,7 +84,7 @@
 {
 	skh_manifest_t *manifest = manifest_of(good_text());
 	GHashTable *texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	GHashTable *parts = skh_parts_split(skh_manifest_tree(manifest), texts);
+	GHashTable *parts = skh_config_parts_split(skh_manifest_tree(manifest), texts);
 	std::vector<const char *> list;
 	GHashTableIter iter;
 	gpointer text;
@@ -93,22 +93,22 @@
 	g_hash_table_iter_init(&iter, texts);
 	while (g_hash_table_iter_next(&iter, nullptr, &text))
 		list.push_back(static_cast<const char *>(text));
-	skh_node_t *merged = skh_parts_merge(list.data(), list.size(), &err);
+	skh_doc_node_t *merged = skh_config_parts_merge(list.data(), list.size(), &err);
 	ASSERT_NE(merged, nullptr);
 	GHashTable *again_texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	GHashTable *again = skh_parts_split(merged, again_texts);
-	skh_head_t *a = skh_head_new(1, "a", "r", "x", 0, parts);
-	skh_head_t *b = skh_head_new(1, "a", "r", "x", 0, again);
-	char *difference = skh_head_difference(a, b);
+	GHashTable *again = skh_config_parts_split(merged, again_texts);
+	skh_config_head_t *a = skh_config_head_new(1, "a", "r", "x", 0, parts);
+	skh_config_head_t *b = skh_config_head_new(1, "a", "r", "x", 0, again);
+	char *difference = skh_config_head_changed_parts(a, b);
 	EXPECT_STREQ(difference, "");
 	g_free(difference);
-	skh_head_free(a);
-	skh_head_free(b);
+	skh_config_head_free(a);
+	skh_config_head_free(b);
 	g_hash_table_unref(parts);
 	g_hash_table_unref(again);
 	g_hash_table_unref(texts);
 	g_hash_table_unref(again_texts);
-	skh_node_free(merged);
+	skh_doc_node_free(merged);
 	skh_manifest_unref(manifest);
 }
 
@@ -118,8 +118,8 @@
 	bool apply(const std::string &text, int64_t base = -1)
 	{
 		skh_manifest_t *manifest = manifest_of(text);
-		bool accepted =
-			skh_apply(&store.base, "/skh/", manifest, base, floor, &result, &err);
+		bool accepted = skh_apply_manifest(&store.base, "/skh/", manifest, base, floor,
+						   &result, &err);
 
 		skh_manifest_unref(manifest);
 		skh_apply_result_clear_keeping_numbers();
@@ -186,7 +186,7 @@
 	store.drop_txn = store.n_txns + 2;
 	EXPECT_FALSE(apply(with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_STORE_UNAVAILABLE);
-	EXPECT_EQ(err.run, SKH_RUN_NOT_RUN);
+	EXPECT_EQ(err.run_state, SKH_RUN_NOT_RUN);
 }
 
 TEST_F(Apply, ALostAnswerDuringAnOutageIsUnknown)
@@ -196,7 +196,7 @@
 	store.down_after_loss = true;
 	EXPECT_FALSE(apply(with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_OUTCOME_UNKNOWN);
-	EXPECT_EQ(err.run, SKH_RUN_UNKNOWN);
+	EXPECT_EQ(err.run_state, SKH_RUN_UNKNOWN);
 }
 
 TEST_F(Apply, OfTwoRacingOperatorsOneIsToldWhatChanged)
@@ -207,8 +207,8 @@
 		skh_manifest_t *rival = manifest_of(with_rate(70));
 		skh_apply_result_t rival_result = {};
 		skh_error_t rival_err = {};
-		EXPECT_TRUE(
-			skh_apply(&store.base, "/skh/", rival, -1, 0, &rival_result, &rival_err));
+		EXPECT_TRUE(skh_apply_manifest(&store.base, "/skh/", rival, -1, 0, &rival_result,
+					       &rival_err));
 		skh_apply_result_clear(&rival_result);
 		skh_manifest_unref(rival);
 	};
@@ -232,13 +232,13 @@
 
 RC_GTEST_PROP(Settings, AnyTextIsRefusedOrSafe, (const std::string &text))
 {
-	skh_faults_t *faults = skh_faults_new();
+	skh_validation_errors_t *faults = skh_validation_errors_new();
 	skh_settings_t *settings = skh_settings_parse(skh_chunk_make(text.data(), text.size()),
 						      SKH_ROLE_SIDECAR, faults);
 
-	RC_ASSERT(skh_faults_count(faults) > 0U);
+	RC_ASSERT(skh_validation_errors_count(faults) > 0U);
 	skh_settings_free(settings);
-	skh_faults_free(faults);
+	skh_validation_errors_free(faults);
 }
 
 } // namespace
--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -3,7 +3,7 @@
 #include "buffer.h"
 #include "error.h"
 #include "metrics.h"
-#include "node.h"
+#include "doc_node.h"
 
 #include <gtest/gtest.h>
 
@@ -17,23 +17,24 @@
 
 TEST(Error, EveryKindHasARowAndItsNameLeadsBack)
 {
-	for (int i = 0; i < SKH_KIND_COUNT; i++) {
-		const auto kind = static_cast<skh_kind_t>(i);
+	for (int i = 0; i < SKH_ERROR_KIND_COUNT; i++) {
+		const auto kind = static_cast<skh_error_kind_t>(i);
 
-		ASSERT_NE(skh_kind_name(kind), nullptr);
-		EXPECT_EQ(skh_kind_from_name(skh_kind_name(kind)), kind);
-		EXPECT_GE(skh_kind_http_status(kind), 200);
+		ASSERT_NE(skh_error_kind_name(kind), nullptr);
+		EXPECT_EQ(skh_error_kind_from_name(skh_error_kind_name(kind)), kind);
+		EXPECT_GE(skh_error_kind_http_status(kind), 200);
 	}
-	EXPECT_EQ(skh_kind_from_name("no such kind"), SKH_INTERNAL);
+	EXPECT_EQ(skh_error_kind_from_name("no such kind"), SKH_INTERNAL);
 }
 
 TEST(Error, NotRunIsOnlyClaimedByKindsThatComeBeforeAnyRun)
 {
 	skh_error_t err;
 
-	for (skh_kind_t kind : { SKH_OUTCOME_UNKNOWN, SKH_CANCELLED, SKH_INTERNAL, SKH_CUT_OFF }) {
+	for (skh_error_kind_t kind :
+	     { SKH_OUTCOME_UNKNOWN, SKH_CANCELLED, SKH_INTERNAL, SKH_CUT_OFF }) {
 		(void)skh_error_set(&err, kind, "x");
-		EXPECT_NE(err.run, SKH_RUN_NOT_RUN) << skh_kind_name(kind);
+		EXPECT_NE(err.run_state, SKH_RUN_NOT_RUN) << skh_error_kind_name(kind);
 	}
 }
 
@@ -55,13 +56,13 @@
 {
 	skh_error_t err;
 	const char *text = "{\"b\":[1,2.5,true],\"a\":{\"y\":\"t\",\"x\":-3}}";
-	skh_node_t *node = skh_node_from_json(skh_chunk_from_string(text), &err);
+	skh_doc_node_t *node = skh_doc_node_from_json(skh_chunk_from_string(text), &err);
 
 	ASSERT_NE(node, nullptr);
-	char *out = skh_node_to_json(node);
+	char *out = skh_doc_node_to_json(node);
 	EXPECT_STREQ(out, "{\"a\":{\"x\":-3,\"y\":\"t\"},\"b\":[1,2.5,true]}");
 	g_free(out);
-	skh_node_free(node);
+	skh_doc_node_free(node);
 }
 
 TEST(Node, DeepNestingIsRefusedNotFollowed)
@@ -69,7 +70,7 @@
 	skh_error_t err;
 	const std::string deep(100000, '[');
 
-	EXPECT_EQ(skh_node_from_json(skh_chunk_make(deep.data(), deep.size()), &err), nullptr);
+	EXPECT_EQ(skh_doc_node_from_json(skh_chunk_make(deep.data(), deep.size()), &err), nullptr);
 	EXPECT_EQ(err.kind, SKH_BAD_REQUEST);
 }
 
@@ -100,7 +101,7 @@
 		readers.emplace_back([&] {
 			int64_t last = 0;
 			while (!stop) {
-				const skh_config_t *config = skh_board_config(board);
+				const skh_config_t *config = skh_board_acquire_config(board);
 				const int64_t revision = config ? config->revision : 0;
 
 				if (revision < last)
@@ -114,14 +115,14 @@
 		auto *config = g_new0(skh_config_t, 1);
 
 		config->revision = revision;
-		config->by = g_strdup("test");
+		config->author = g_strdup("test");
 		skh_board_publish_config(board, config);
 	}
 	stop = true;
 	for (auto &reader : readers)
 		reader.join();
 	EXPECT_FALSE(backwards);
-	EXPECT_EQ(skh_board_revision(board), 2000);
+	EXPECT_EQ(skh_board_config_revision(board), 2000);
 	skh_board_free(board);
 }
 
--- a/test/demand_test.cc
+++ b/test/demand_test.cc
@@ -1,6 +1,6 @@
 // A shift of demand: from one pass to the next all tokens turn to other experts.
 #include "clock.h"
-#include "countfeed.h"
+#include "count_reporter.h"
 #include "demand.h"
 #include "zipf.h"
 
@@ -25,12 +25,12 @@
 constexpr Kind kMany = { 8, 252, 0.66 };
 constexpr Kind kFew = { 4, 72, 1.3 };
 
-skh_engine_shape_t shape_of(const Kind &kind)
+skh_engine_spec_t shape_of(const Kind &kind)
 {
-	skh_engine_shape_t shape = {};
+	skh_engine_spec_t shape = {};
 
-	shape.sets = kind.sets;
-	shape.experts = kind.experts;
+	shape.expert_sets = kind.sets;
+	shape.experts_per_set = kind.experts;
 	return shape;
 }
 
@@ -125,7 +125,7 @@
 
 	explicit Demand(const Kind &kind)
 	{
-		skh_engine_shape_t shape = shape_of(kind);
+		skh_engine_spec_t shape = shape_of(kind);
 
 		demand = skh_demand_new(&shape);
 	}
@@ -150,7 +150,8 @@
 			std::vector<double> counts = pass_of(tokens, random);
 			skh_demand_sample_t sample = sample_of(counts, pass - 1, pass);
 
-			ASSERT_EQ(skh_demand_add(t.demand, &sample, pass * kPass), SKH_DEMAND_FRESH)
+			ASSERT_EQ(skh_demand_add_sample(t.demand, &sample, pass * kPass),
+				  SKH_DEMAND_UPDATED)
 				<< "seed " << seed << " pass " << pass;
 		}
 		EXPECT_LT(tokens.distance(skh_demand_shares(t.demand)), 0.25);
@@ -172,8 +173,8 @@
 			std::vector<double> counts = pass_of(tokens, random);
 			skh_demand_sample_t sample = sample_of(counts, pass - 1, pass);
 
-			ASSERT_EQ(skh_demand_add(t.demand, &sample, pass * kPass),
-				  shifts ? SKH_DEMAND_SHIFT : SKH_DEMAND_FRESH)
+			ASSERT_EQ(skh_demand_add_sample(t.demand, &sample, pass * kPass),
+				  shifts ? SKH_DEMAND_SHIFTED : SKH_DEMAND_UPDATED)
 				<< "seed " << seed << " pass " << pass;
 		}
 	}
@@ -191,28 +192,28 @@
 		before = pass_of(tokens, random);
 		skh_demand_sample_t sample = sample_of(before, pass - 1, pass);
 
-		(void)skh_demand_add(t.demand, &sample, pass * kPass);
+		(void)skh_demand_add_sample(t.demand, &sample, pass * kPass);
 	}
 	tokens.shift(0.6);
 	std::vector<double> after = pass_of(tokens, random);
 	skh_demand_sample_t sample = sample_of(after, 20, 21);
 
-	ASSERT_EQ(skh_demand_add(t.demand, &sample, 21 * kPass), SKH_DEMAND_SHIFT);
-	EXPECT_FALSE(skh_demand_is_known(t.demand, 21 * kPass));
+	ASSERT_EQ(skh_demand_add_sample(t.demand, &sample, 21 * kPass), SKH_DEMAND_SHIFTED);
+	EXPECT_FALSE(skh_demand_has_enough_counts(t.demand, 21 * kPass));
 	sample = sample_of(before, 12, 20);
-	EXPECT_EQ(skh_demand_add(t.demand, &sample, 21 * kPass), SKH_DEMAND_NONE);
+	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 21 * kPass), SKH_DEMAND_IGNORED);
 	std::vector<double> mixed = after;
 
 	for (size_t i = 0; i < mixed.size(); i++)
 		mixed[i] += before[i];
 	sample = sample_of(mixed, 18, 21);
-	EXPECT_EQ(skh_demand_add(t.demand, &sample, 21 * kPass), SKH_DEMAND_NONE);
+	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 21 * kPass), SKH_DEMAND_IGNORED);
 	for (int i = 0; i < 30; i++) {
 		after = pass_of(tokens, random);
 		sample = sample_of(after, 20, 21);
-		EXPECT_EQ(skh_demand_add(t.demand, &sample, 21 * kPass), SKH_DEMAND_FRESH);
+		EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 21 * kPass), SKH_DEMAND_UPDATED);
 	}
-	EXPECT_TRUE(skh_demand_is_known(t.demand, 21 * kPass));
+	EXPECT_TRUE(skh_demand_has_enough_counts(t.demand, 21 * kPass));
 	EXPECT_LT(tokens.distance(skh_demand_shares(t.demand)), 0.25);
 }
 
@@ -227,7 +228,7 @@
 		std::vector<double> counts = pass_of(tokens, random);
 		skh_demand_sample_t sample = sample_of(counts, pass - 1, pass);
 
-		(void)skh_demand_add(t.demand, &sample, pass * kPass);
+		(void)skh_demand_add_sample(t.demand, &sample, pass * kPass);
 	}
 	std::vector<double> counts = pass_of(tokens, random);
 
@@ -236,12 +237,13 @@
 		tokens.choose(1e5, counts);
 	skh_demand_sample_t sample = sample_of(counts, 20, 23);
 
-	EXPECT_EQ(skh_demand_add(t.demand, &sample, 23 * kPass), SKH_DEMAND_BREAK);
-	EXPECT_FALSE(skh_demand_is_known(t.demand, 24 * kPass));
+	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 23 * kPass),
+		  SKH_DEMAND_SHIFTED_MID_SAMPLE);
+	EXPECT_FALSE(skh_demand_has_enough_counts(t.demand, 24 * kPass));
 	for (int i = 0; i < 30; i++) {
 		counts = pass_of(tokens, random);
 		sample = sample_of(counts, 23, 24);
-		EXPECT_EQ(skh_demand_add(t.demand, &sample, 24 * kPass), SKH_DEMAND_FRESH);
+		EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 24 * kPass), SKH_DEMAND_UPDATED);
 	}
 	EXPECT_LT(tokens.distance(skh_demand_shares(t.demand)), 0.25);
 }
@@ -256,14 +258,14 @@
 	std::vector<double> counts = pass_of(tokens, random);
 	skh_demand_sample_t sample = sample_of(counts, 700, 701);
 
-	EXPECT_EQ(skh_demand_add(t.demand, &sample, kPass), SKH_DEMAND_FRESH);
+	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, kPass), SKH_DEMAND_UPDATED);
 	sample.epoch = 2;
 	sample.from_pass = 0;
 	sample.to_pass = 1;
-	EXPECT_EQ(skh_demand_add(t.demand, &sample, kPass), SKH_DEMAND_FRESH);
+	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, kPass), SKH_DEMAND_UPDATED);
 	sample.epoch = 1;
 	sample.from_pass = 702;
-	EXPECT_EQ(skh_demand_add(t.demand, &sample, kPass), SKH_DEMAND_NONE);
+	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, kPass), SKH_DEMAND_IGNORED);
 }
 
 constexpr int64_t kBytesAS = 1500;
@@ -272,20 +274,20 @@
 struct Feed {
 	Tokens tokens;
 	std::mt19937 random;
-	skh_countfeed_t *feed;
+	skh_count_reporter_t *feed;
 	int64_t now = 0;
 	int64_t pass = 0;
 	size_t bytes = 0;
 
 	explicit Feed(uint32_t seed) : tokens(kMany, seed), random(seed)
 	{
-		skh_engine_shape_t shape = shape_of(kMany);
+		skh_engine_spec_t shape = shape_of(kMany);
 
-		feed = skh_countfeed_new(&shape, kBytesAS, seed * 12345);
+		feed = skh_count_reporter_new(&shape, kBytesAS, seed * 12345);
 	}
 	~Feed()
 	{
-		skh_countfeed_free(feed);
+		skh_count_reporter_free(feed);
 	}
 
 	// One pass; returns whether a report with counts goes out in it.
@@ -297,10 +299,10 @@
 
 		pass++;
 		now += kPass;
-		(void)skh_countfeed_look(feed, &sample, now);
-		due = skh_countfeed_is_due(feed, now);
+		(void)skh_count_reporter_add_sample(feed, &sample, now);
+		due = skh_count_reporter_is_due(feed, now);
 		if (due) {
-			skh_countfeed_told(feed, kReport, true, now);
+			skh_count_reporter_record_sent(feed, kReport, true, now);
 			bytes += kReport;
 		}
 		return due;
@@ -321,7 +323,9 @@
 			for (int i = 1; i <= 36; i++) {
 				if (t.step() && passes == 0) {
 					passes = i;
-					EXPECT_EQ(skh_countfeed_sample(t.feed)->from_pass, 0);
+					EXPECT_EQ(skh_count_reporter_pending_sample(t.feed)
+							  ->from_pass,
+						  0);
 				}
 			}
 			// At once with a prompt; without one after 0.16 s.
@@ -346,10 +350,11 @@
 	std::vector<double> counts = pass_of(t.tokens, t.random);
 	skh_demand_sample_t sample = sample_of(counts, t.pass, t.pass + 1);
 
-	EXPECT_EQ(skh_countfeed_look(t.feed, &sample, t.now + kPass), SKH_DEMAND_SHIFT);
-	EXPECT_EQ(skh_countfeed_sample(t.feed)->from_pass, shift);
-	EXPECT_EQ(skh_countfeed_sample(t.feed)->to_pass, shift + 1);
-	EXPECT_EQ(skh_countfeed_sample(t.feed)->counts[3], counts[3]);
+	EXPECT_EQ(skh_count_reporter_add_sample(t.feed, &sample, t.now + kPass),
+		  SKH_DEMAND_SHIFTED);
+	EXPECT_EQ(skh_count_reporter_pending_sample(t.feed)->from_pass, shift);
+	EXPECT_EQ(skh_count_reporter_pending_sample(t.feed)->to_pass, shift + 1);
+	EXPECT_EQ(skh_count_reporter_pending_sample(t.feed)->counts[3], counts[3]);
 }
 
 TEST(CountFeed, HurriesForANewCoordinator)
@@ -362,9 +367,9 @@
 		;
 	(void)t.step();
 	(void)t.step();
-	EXPECT_FALSE(skh_countfeed_is_due(t.feed, t.now));
-	skh_countfeed_hurry(t.feed, t.now);
-	EXPECT_TRUE(skh_countfeed_is_due(t.feed, t.now + SKH_US_PER_S));
+	EXPECT_FALSE(skh_count_reporter_is_due(t.feed, t.now));
+	skh_count_reporter_expedite(t.feed, t.now);
+	EXPECT_TRUE(skh_count_reporter_is_due(t.feed, t.now + SKH_US_PER_S));
 }
 
 } // namespace
--- a/test/fake_store.h
+++ b/test/fake_store.h
@@ -44,7 +44,7 @@
 	return reinterpret_cast<FakeStore *>(store);
 }
 
-inline bool range(skh_store_t *store, const char *key, bool prefix, skh_pairs_t *pairs,
+inline bool range(skh_store_t *store, const char *key, bool prefix, skh_kv_pairs_t *pairs,
 		  skh_error_t *err)
 {
 	FakeStore *fake = of(store);
@@ -53,14 +53,14 @@
 	fake->n_ranges++;
 	if (fake->down)
 		return skh_error_set(err, SKH_STORE_UNAVAILABLE, "the fake is down");
-	pairs->list = g_new0(skh_pair_t, fake->values.size());
+	pairs->list = g_new0(skh_kv_pair_t, fake->values.size());
 	pairs->store_revision = fake->revision;
 	for (const auto &[name, value] : fake->values) {
 		const bool wanted = prefix ? name.rfind(key, 0) == 0 : name == key;
 
 		if (!wanted)
 			continue;
-		skh_pair_t *pair = &pairs->list[pairs->count++];
+		skh_kv_pair_t *pair = &pairs->list[pairs->count++];
 		*pair = { g_strdup(name.c_str()), g_strdup(value.value.c_str()),
 			  value.create_revision, value.mod_revision, value.lease };
 	}
@@ -80,33 +80,33 @@
 	return true;
 }
 
-inline void add_pair(FakeStore *fake, const char *key, skh_pairs_t *pairs)
+inline void add_pair(FakeStore *fake, const char *key, skh_kv_pairs_t *pairs)
 {
 	auto found = fake->values.find(key);
 
 	if (found == fake->values.end())
 		return;
-	pairs->list = g_renew(skh_pair_t, pairs->list, pairs->count + 1);
+	pairs->list = g_renew(skh_kv_pair_t, pairs->list, pairs->count + 1);
 	pairs->list[pairs->count++] = { g_strdup(key), g_strdup(found->second.value.c_str()),
 					found->second.create_revision, found->second.mod_revision,
 					found->second.lease };
 }
 
-inline void run(FakeStore *fake, const skh_op_t *ops, size_t n_ops, skh_pairs_t *pairs)
+inline void run(FakeStore *fake, const skh_txn_op_t *ops, size_t n_ops, skh_kv_pairs_t *pairs)
 {
 	bool written = false;
 
 	for (size_t i = 0; i < n_ops; i++)
-		written = written || ops[i].type != SKH_OP_READ;
+		written = written || ops[i].type != SKH_TXN_OP_READ;
 	fake->revision += written;
 	for (size_t i = 0; i < n_ops; i++) {
-		const skh_op_t &op = ops[i];
+		const skh_txn_op_t &op = ops[i];
 
-		if (op.type == SKH_OP_READ) {
+		if (op.type == SKH_TXN_OP_READ) {
 			add_pair(fake, op.key, pairs);
 			continue;
 		}
-		if (op.type == SKH_OP_DELETE) {
+		if (op.type == SKH_TXN_OP_DELETE) {
 			fake->values.erase(op.key);
 			continue;
 		}
@@ -140,7 +140,7 @@
 	result->pairs.store_revision = fake->revision;
 	if (number == fake->lose_answer_of_txn) {
 		fake->down = fake->down_after_loss;
-		skh_pairs_clear(&result->pairs);
+		skh_kv_pairs_clear(&result->pairs);
 		return skh_error_set(err, SKH_STORE_UNKNOWN, "the fake lost the answer");
 	}
 	return true;
--- a/test/forward_test.cc
+++ b/test/forward_test.cc
@@ -15,29 +15,29 @@
 	dialect.headers[SKH_HEADER_DEADLINE] = "Left-Ms";
 	dialect.headers[SKH_HEADER_LAST_EVENT] = "Last-Event-Id";
 	dialect.headers[SKH_HEADER_CUSTOMER] = "Customer";
-	dialect.headers[SKH_HEADER_INSTANCE] = "Instance";
+	dialect.headers[SKH_HEADER_EXPECTED_INSTANCE] = "Instance";
 	dialect.headers[SKH_HEADER_PRIORITY] = "Priority";
 	return dialect;
 }
 
 struct Message {
-	skh_message_t message = {};
+	skh_http_message_t message = {};
 
 	Message(enum http_parser_type type, const std::string &text)
 	{
 		skh_error_t err = {};
 		size_t used = 0;
 
-		static const skh_message_ops_t ops = {};
+		static const skh_http_message_ops_t ops = {};
 
-		skh_message_reset(&message, type, &ops, nullptr);
-		EXPECT_TRUE(skh_message_feed(&message, skh_chunk_make(text.data(), text.size()),
-					     &used, &err));
+		skh_http_message_reset(&message, type, &ops, nullptr);
+		EXPECT_TRUE(skh_http_message_feed(
+			&message, skh_chunk_make(text.data(), text.size()), &used, &err));
 		EXPECT_TRUE(message.done);
 	}
 	~Message()
 	{
-		skh_message_free(&message);
+		skh_http_message_free(&message);
 	}
 };
 
@@ -46,7 +46,7 @@
 {
 	Message request(HTTP_REQUEST, text);
 	skh_buffer_t out = SKH_BUFFER_INIT;
-	skh_forward_t forward = {};
+	skh_forwarded_request_t forward = {};
 	const skh_dialect_t dialect = names();
 
 	forward.dialect = &dialect;
@@ -54,9 +54,9 @@
 	forward.server_id = "i-1";
 	forward.customer = customer;
 	forward.priority = 3;
-	forward.left_ms = 1500;
-	forward.last_event = last_event;
-	skh_forward_write(&forward, &out);
+	forward.remaining_ms = 1500;
+	forward.last_event_id = last_event;
+	skh_forward_write_request(&forward, &out);
 
 	std::string written(reinterpret_cast<const char *>(out.data), out.len);
 
@@ -118,7 +118,7 @@
 				      "Content-Length: 0\r\n\r\n");
 	GString *out = g_string_new(nullptr);
 
-	skh_forward_answer_headers(&answer.message, out);
+	skh_forward_write_response_headers(&answer.message, out);
 	EXPECT_STREQ(out->str, "Signature: s\r\n");
 	(void)g_string_free(out, TRUE);
 }
--- a/test/gateway_core_test.cc
+++ b/test/gateway_core_test.cc
@@ -1,15 +1,15 @@
 // The gateway's decisions, each with the load or fault that it answers.
 #include "clock.h"
-#include "culprits.h"
-#include "events.h"
-#include "groupgate.h"
-#include "message.h"
-#include "pick.h"
-#include "retryshare.h"
+#include "crash_suspects.h"
+#include "event_stream.h"
+#include "group_breaker.h"
+#include "http_message.h"
+#include "server_selection.h"
+#include "retry_share.h"
 #include "roster.h"
 #include "routing.h"
-#include "verdict.h"
-#include "waitline.h"
+#include "retry_policy.h"
+#include "request_queue.h"
 
 #include <gtest/gtest.h>
 
@@ -34,17 +34,17 @@
 	return std::string(reinterpret_cast<const char *>(buffer.data), buffer.len);
 }
 
-skh_verdict_view_t lost(skh_repeat_t repeat)
+skh_retry_policy_view_t lost(skh_retry_mode_t repeat)
 {
-	skh_verdict_view_t view = {};
+	skh_retry_policy_view_t view = {};
 
 	view.end = SKH_END_LOST;
-	view.repeat = repeat;
-	view.runs = 1;
+	view.retry_mode = repeat;
+	view.possible_runs = 1;
 	view.sends = 1;
 	view.max_attempts = 2;
-	view.may_repeat = true;
-	view.until_us = kS;
+	view.has_retry_budget = true;
+	view.deadline_us = kS;
 	return view;
 }
 
@@ -61,9 +61,9 @@
 	return made;
 }
 
-bool lists(const skh_record_t *record, const char *id)
+bool lists(const skh_roster_builder_t *record, const char *id)
 {
-	skh_roster_t *roster = skh_record_roster(record, 1);
+	skh_roster_t *roster = skh_roster_builder_snapshot(record, 1);
 	bool found = skh_roster_find(roster, id) != nullptr;
 
 	skh_roster_free(roster);
@@ -76,46 +76,46 @@
 
 TEST(Verdict, ARequestThatMayHaveRunIsNeverSentAgainNorCalledNotRun)
 {
-	skh_verdict_view_t view = lost(SKH_REPEAT_NEVER);
+	skh_retry_policy_view_t view = lost(SKH_RETRY_MODE_NEVER);
 
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_UNKNOWN);
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	view.max_attempts = 9;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_UNKNOWN);
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	// A later attempt that was not handed over does not undo an earlier run.
-	view = lost(SKH_REPEAT_FREELY);
+	view = lost(SKH_RETRY_MODE_ALLOWED);
 	view.end = SKH_END_UNREACHABLE;
-	view.sends = SKH_VERDICT_MAX_SENDS;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_UNKNOWN);
-	view.runs = 0;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_REFUSE);
+	view.sends = SKH_RETRY_POLICY_MAX_SENDS;
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
+	view.possible_runs = 0;
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_REJECT);
 }
 
 TEST(Verdict, AttemptsBudgetTimeAndSuspicionBoundRepetition)
 {
-	skh_verdict_view_t view = lost(SKH_REPEAT_FREELY);
+	skh_retry_policy_view_t view = lost(SKH_RETRY_MODE_ALLOWED);
 
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_AGAIN);
-	view.runs = 2;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_UNKNOWN);
-	view = lost(SKH_REPEAT_FREELY);
-	view.may_repeat = false;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_UNKNOWN);
-	view = lost(SKH_REPEAT_FREELY);
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_RETRY);
+	view.possible_runs = 2;
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
+	view = lost(SKH_RETRY_MODE_ALLOWED);
+	view.has_retry_budget = false;
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
+	view = lost(SKH_RETRY_MODE_ALLOWED);
 	view.is_suspect = true;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_UNKNOWN);
-	view = lost(SKH_REPEAT_FREELY);
-	view.now_us = view.until_us - kMs;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_UNKNOWN);
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
+	view = lost(SKH_RETRY_MODE_ALLOWED);
+	view.now_us = view.deadline_us - kMs;
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 }
 
 TEST(Verdict, AStreamGoesOnElsewhereOrEndsWithoutAnEndMark)
 {
-	skh_verdict_view_t view = lost(SKH_REPEAT_FROM_EVENT);
+	skh_retry_policy_view_t view = lost(SKH_RETRY_MODE_RESUME_STREAM);
 
-	view.end = SKH_END_CUT;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_AGAIN);
-	view.repeat = SKH_REPEAT_NEVER;
-	EXPECT_EQ(skh_verdict_of(&view), SKH_VERDICT_CUT);
+	view.end = SKH_END_STREAM_BROKEN;
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_RETRY);
+	view.retry_mode = SKH_RETRY_MODE_NEVER;
+	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_CLOSE_STREAM);
 }
 
 // Against the naive rule: a run is repeated only where repeating is allowed.
@@ -124,32 +124,32 @@
 	std::mt19937 random(7);
 
 	for (int i = 0; i < 20000; i++) {
-		skh_verdict_view_t view = {};
+		skh_retry_policy_view_t view = {};
 
 		view.end = static_cast<skh_attempt_end_t>(random() % 5);
-		view.repeat = static_cast<skh_repeat_t>(random() % 3);
-		view.runs = random() % 3;
+		view.retry_mode = static_cast<skh_retry_mode_t>(random() % 3);
+		view.possible_runs = random() % 3;
 		if (view.end >= SKH_END_ERROR)
-			view.runs = std::max(view.runs, 1U);
-		view.sends = std::max(view.runs, 1U) + random() % 4;
+			view.possible_runs = std::max(view.possible_runs, 1U);
+		view.sends = std::max(view.possible_runs, 1U) + random() % 4;
 		view.max_attempts = 1 + random() % 3;
-		view.may_repeat = random() % 2;
+		view.has_retry_budget = random() % 2;
 		view.is_suspect = random() % 2;
-		view.until_us = static_cast<int64_t>(random() % 2000) * kMs;
+		view.deadline_us = static_cast<int64_t>(random() % 2000) * kMs;
 		view.now_us = 500 * kMs;
-		skh_verdict_t verdict = skh_verdict_of(&view);
-		bool ran = view.runs > 0;
+		skh_retry_decision_t verdict = skh_retry_policy_decide(&view);
+		bool ran = view.possible_runs > 0;
 
-		if (verdict == SKH_VERDICT_AGAIN && ran) {
-			EXPECT_NE(view.repeat, SKH_REPEAT_NEVER);
+		if (verdict == SKH_RETRY_DECISION_RETRY && ran) {
+			EXPECT_NE(view.retry_mode, SKH_RETRY_MODE_NEVER);
 			if (view.end != SKH_END_UNREACHABLE && view.end != SKH_END_NOT_RUN) {
-				EXPECT_LT(view.runs, view.max_attempts);
+				EXPECT_LT(view.possible_runs, view.max_attempts);
 			}
 		}
-		if (verdict == SKH_VERDICT_REFUSE) {
+		if (verdict == SKH_RETRY_DECISION_REJECT) {
 			EXPECT_FALSE(ran);
 		}
-		if (verdict == SKH_VERDICT_PASS) {
+		if (verdict == SKH_RETRY_DECISION_FORWARD_RESPONSE) {
 			EXPECT_EQ(view.end, SKH_END_ERROR);
 		}
 	}
@@ -159,8 +159,8 @@
 
 TEST(RetryShare, AllGatewaysTogetherStayWithinTheBudgetInAnyWindow)
 {
-	const skh_retryshare_bounds_t bounds = { 0.2, 90, 10 * kS, 4 };
-	std::vector<skh_retryshare_t> shares(4);
+	const skh_retry_share_limits_t bounds = { 0.2, 90, 10 * kS, 4 };
+	std::vector<skh_retry_share_t> shares(4);
 	std::vector<int64_t> repeats;
 	std::vector<int64_t> requests;
 	std::mt19937 random(3);
@@ -169,11 +169,11 @@
 	for (int64_t now = 100 * kS; now < 160 * kS; now += 5 * kMs) {
 		for (auto &share : shares) {
 			if (random() % 20 == 0) {
-				skh_retryshare_request(&share, &bounds, now);
+				skh_retry_share_record_request(&share, &bounds, now);
 				requests.push_back(now);
 			}
-			if (skh_retryshare_has_room(&share, &bounds, now)) {
-				skh_retryshare_repeat(&share, &bounds, now);
+			if (skh_retry_share_has_room(&share, &bounds, now)) {
+				skh_retry_share_record_retry(&share, &bounds, now);
 				repeats.push_back(now);
 			}
 		}
@@ -196,8 +196,8 @@
 // everyone late until the backlog is gone.
 static int in_time_after_burst(bool naive)
 {
-	skh_waitline_t *line = skh_waitline_new();
-	std::vector<skh_waiter_t> waiters(1000);
+	skh_request_queue_t *line = skh_request_queue_new();
+	std::vector<skh_queued_request_t> waiters(1000);
 	size_t next = 0;
 	int in_time = 0;
 
@@ -205,23 +205,23 @@
 		bool arrives = now < 3 * kS || now % (20 * kMs) == 0;
 
 		if (arrives && next < waiters.size()) {
-			skh_waiter_t &waiter = waiters[next++];
+			skh_queued_request_t &waiter = waiters[next++];
 
 			waiter = { 1, now, now + 400 * kMs, now + 1800 * kMs, -1, false };
 			if (naive)
-				waiter.goal_us = now + 100 * kS; // order of arrival
-			skh_waitline_add(line, &waiter);
+				waiter.dispatch_objective_us = now + 100 * kS; // order of arrival
+			skh_request_queue_enqueue(line, &waiter);
 		}
-		while (skh_waiter_t *hopeless = skh_waitline_hopeless(line, now))
-			skh_waitline_remove(line, hopeless);
+		while (skh_queued_request_t *hopeless = skh_request_queue_find_expired(line, now))
+			skh_request_queue_remove(line, hopeless);
 		if (now % (20 * kMs) != 0)
 			continue;
-		if (skh_waiter_t *first = skh_waitline_next(line, now)) {
-			skh_waitline_remove(line, first);
-			in_time += now <= first->since_us + 400 * kMs;
+		if (skh_queued_request_t *first = skh_request_queue_peek(line, now)) {
+			skh_request_queue_remove(line, first);
+			in_time += now <= first->enqueued_us + 400 * kMs;
 		}
 	}
-	skh_waitline_free(line);
+	skh_request_queue_free(line);
 	return in_time;
 }
 
@@ -236,20 +236,20 @@
 
 TEST(WaitLine, AnUrgentClassGoesBeforeALessUrgentOne)
 {
-	skh_waitline_t *line = skh_waitline_new();
-	skh_waiter_t plain = { 2, 0, kS, 2 * kS, -1, false };
-	skh_waiter_t urgent = { 1, 5, 2 * kS, 3 * kS, -1, false };
-	skh_waiter_t newcomer = { 2, 6, 3 * kS, 4 * kS, -1, false };
+	skh_request_queue_t *line = skh_request_queue_new();
+	skh_queued_request_t plain = { 2, 0, kS, 2 * kS, -1, false };
+	skh_queued_request_t urgent = { 1, 5, 2 * kS, 3 * kS, -1, false };
+	skh_queued_request_t newcomer = { 2, 6, 3 * kS, 4 * kS, -1, false };
 
-	skh_waitline_add(line, &plain);
-	skh_waitline_add(line, &urgent);
-	EXPECT_EQ(skh_waitline_next(line, 10), &urgent);
-	EXPECT_EQ(skh_waitline_ahead(line, &newcomer, 10), 2U);
-	skh_waitline_remove(line, &urgent);
-	EXPECT_EQ(skh_waitline_next(line, 10), &plain);
-	EXPECT_EQ(skh_waitline_hopeless(line, 10), nullptr);
-	EXPECT_EQ(skh_waitline_hopeless(line, 2 * kS), &plain);
-	skh_waitline_free(line);
+	skh_request_queue_enqueue(line, &plain);
+	skh_request_queue_enqueue(line, &urgent);
+	EXPECT_EQ(skh_request_queue_peek(line, 10), &urgent);
+	EXPECT_EQ(skh_request_queue_count_ahead(line, &newcomer, 10), 2U);
+	skh_request_queue_remove(line, &urgent);
+	EXPECT_EQ(skh_request_queue_peek(line, 10), &plain);
+	EXPECT_EQ(skh_request_queue_find_expired(line, 10), nullptr);
+	EXPECT_EQ(skh_request_queue_find_expired(line, 2 * kS), &plain);
+	skh_request_queue_free(line);
 }
 
 // --- Placing ---
@@ -262,8 +262,8 @@
 	for (auto &candidate : list)
 		candidate.slots = 12;
 	for (int i = 0; i < 100; i++) {
-		skh_pick_view_t view = { list.data(), 12, true, 0, random(), kS };
-		int32_t chosen = skh_pick_server(&view);
+		skh_selection_view_t view = { list.data(), 12, true, 0, random(), kS };
+		int32_t chosen = skh_select_server(&view);
 
 		ASSERT_GE(chosen, 0);
 		list[chosen].running++;
@@ -285,12 +285,12 @@
 
 	for (auto &candidate : list)
 		candidate.slots = 12;
-	list[3].pace = 5.0;
-	list[7].pace = 1.5;
+	list[3].slowdown = 5.0;
+	list[7].slowdown = 1.5;
 	for (int i = 0; i < 80; i++) {
-		skh_pick_view_t view = { list.data(), 12, true, 0, random(), kS };
+		skh_selection_view_t view = { list.data(), 12, true, 0, random(), kS };
 
-		list[skh_pick_server(&view)].running++;
+		list[skh_select_server(&view)].running++;
 	}
 	EXPECT_EQ(list[3].running, 0U);
 	EXPECT_GT(list[7].running, 0U);
@@ -298,148 +298,150 @@
 	for (auto &candidate : list)
 		candidate.running = 12;
 	list[3].running = 0;
-	skh_pick_view_t view = { list.data(), 12, true, 0, 0, kS };
-	EXPECT_EQ(skh_pick_server(&view), 3);
+	skh_selection_view_t view = { list.data(), 12, true, 0, 0, kS };
+	EXPECT_EQ(skh_select_server(&view), 3);
 }
 
 TEST(Pick, FullLeavingAndDeadServersGetNothing)
 {
 	std::vector<skh_candidate_t> list(3);
-	skh_pick_view_t view = { list.data(), 3, false, 0, 0, kS };
+	skh_selection_view_t view = { list.data(), 3, false, 0, 0, kS };
 
 	for (auto &candidate : list)
 		candidate.slots = 2;
 	list[0].running = 2;
 	list[1].excluded = true;
-	list[2].full_till_us = 2 * kS;
-	EXPECT_EQ(skh_pick_server(&view), SKH_PICK_NONE);
-	EXPECT_TRUE(skh_pick_has_any(&view));
-	list[2].full_till_us = 0;
-	list[2].avoid_till_us = 2 * kS;
+	list[2].full_until_us = 2 * kS;
+	EXPECT_EQ(skh_select_server(&view), SKH_SELECTION_NONE);
+	EXPECT_TRUE(skh_selection_has_candidate(&view));
+	list[2].full_until_us = 0;
+	list[2].avoid_until_us = 2 * kS;
 	// Nothing else is left: it is tried all the same.
 	list[0].excluded = true;
-	EXPECT_EQ(skh_pick_server(&view), 2);
+	EXPECT_EQ(skh_select_server(&view), 2);
 	list[0].excluded = false;
 	list[0].running = 0;
-	EXPECT_EQ(skh_pick_server(&view), 0);
+	EXPECT_EQ(skh_select_server(&view), 0);
 }
 
 TEST(Pick, AServerThatFailsHalfOfItsRequestsIsUsedLess)
 {
 	std::vector<skh_candidate_t> list(3);
-	skh_pick_view_t view = { list.data(), 3, false, 0, 0, kS };
+	skh_selection_view_t view = { list.data(), 3, false, 0, 0, kS };
 
 	for (auto &candidate : list) {
 		candidate.slots = 6;
 		candidate.mean_ms = 60;
 	}
-	list[0].failing = 0.5;
-	for (view.draw = 0; view.draw < 9; view.draw++)
-		EXPECT_NE(skh_pick_server(&view), 0);
+	list[0].failure_ratio = 0.5;
+	for (view.random = 0; view.random < 9; view.random++)
+		EXPECT_NE(skh_select_server(&view), 0);
 	list[1].running = 6;
 	list[2].running = 6;
-	EXPECT_EQ(skh_pick_server(&view), 0);
+	EXPECT_EQ(skh_select_server(&view), 0);
 }
 
 // --- Backend servers ---
 
 TEST(Record, AnEntryThatVanishesHasLeftUnlessTheStoreWasAway)
 {
-	skh_record_t *record = skh_record_new();
+	skh_roster_builder_t *record = skh_roster_builder_new();
 
-	(void)skh_record_put(record, server("a"));
-	(void)skh_record_put(record, server("b"));
-	EXPECT_TRUE(skh_record_remove(record, "a", false, kS));
+	(void)skh_roster_builder_put(record, server("a"));
+	(void)skh_roster_builder_put(record, server("b"));
+	EXPECT_TRUE(skh_roster_builder_remove(record, "a", false, kS));
 	EXPECT_FALSE(lists(record, "a"));
-	EXPECT_FALSE(skh_record_remove(record, "b", true, kS));
+	EXPECT_FALSE(skh_roster_builder_remove(record, "b", true, kS));
 	EXPECT_TRUE(lists(record, "b"));
-	EXPECT_FALSE(skh_record_expire(record, kS + SKH_ROSTER_LAPSE_US - 1));
-	EXPECT_TRUE(skh_record_expire(record, kS + SKH_ROSTER_LAPSE_US));
+	EXPECT_FALSE(skh_roster_builder_expire(record, kS + SKH_ROSTER_GRACE_US - 1));
+	EXPECT_TRUE(skh_roster_builder_expire(record, kS + SKH_ROSTER_GRACE_US));
 	EXPECT_FALSE(lists(record, "b"));
-	skh_record_free(record);
+	skh_roster_builder_free(record);
 }
 
 TEST(Record, ALeavingServerDoesNotLapseAndABackOneStays)
 {
-	skh_record_t *record = skh_record_new();
+	skh_roster_builder_t *record = skh_roster_builder_new();
 	skh_server_t *leaving = server("a");
 
 	leaving->leaving = true;
-	(void)skh_record_put(record, leaving);
-	EXPECT_TRUE(skh_record_remove(record, "a", true, kS));
-	(void)skh_record_put(record, server("b"));
-	(void)skh_record_remove(record, "b", true, kS);
-	EXPECT_TRUE(skh_record_put(record, server("b")));
-	EXPECT_FALSE(skh_record_expire(record, 100 * kS));
+	(void)skh_roster_builder_put(record, leaving);
+	EXPECT_TRUE(skh_roster_builder_remove(record, "a", true, kS));
+	(void)skh_roster_builder_put(record, server("b"));
+	(void)skh_roster_builder_remove(record, "b", true, kS);
+	EXPECT_TRUE(skh_roster_builder_put(record, server("b")));
+	EXPECT_FALSE(skh_roster_builder_expire(record, 100 * kS));
 	EXPECT_TRUE(lists(record, "b"));
-	EXPECT_FALSE(skh_record_put(record, server("b"))) << "nothing new";
-	skh_record_free(record);
+	EXPECT_FALSE(skh_roster_builder_put(record, server("b"))) << "nothing new";
+	skh_roster_builder_free(record);
 }
 
 // --- Requests that crash servers ---
 
 TEST(Culprits, ALostConnectionAloneAccusesNobody)
 {
-	skh_culprits_t *culprits = skh_culprits_new();
+	skh_crash_suspects_t *culprits = skh_crash_suspects_new();
 
 	for (int i = 0; i < 10; i++)
-		skh_culprits_note(culprits, 1, "a", kS + i * kS);
-	EXPECT_FALSE(skh_culprits_is_held(culprits, 1, 11 * kS));
-	skh_culprits_free(culprits);
+		skh_crash_suspects_record_loss(culprits, 1, "a", kS + i * kS);
+	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(culprits, 1, 11 * kS));
+	skh_crash_suspects_free(culprits);
 }
 
 TEST(Culprits, ThreeCrashesBarARequestAndAnAnswerClearsIt)
 {
-	skh_culprits_t *culprits = skh_culprits_new();
+	skh_crash_suspects_t *culprits = skh_crash_suspects_new();
 	const char *servers[] = { "a", "b", "c" };
 
 	for (int i = 0; i < 3; i++) {
 		int64_t now = (10 + 10 * i) * kS;
 
-		EXPECT_FALSE(skh_culprits_is_barred(culprits, 1, now));
-		skh_culprits_note(culprits, 1, servers[i], now);
-		skh_culprits_note(culprits, 2, servers[i], now);
-		skh_culprits_crashed(culprits, servers[i], now + kS, nullptr, nullptr);
-		skh_culprits_clear(culprits, 2); // answered elsewhere
+		EXPECT_FALSE(skh_crash_suspects_is_rejected(culprits, 1, now));
+		skh_crash_suspects_record_loss(culprits, 1, servers[i], now);
+		skh_crash_suspects_record_loss(culprits, 2, servers[i], now);
+		skh_crash_suspects_record_crash(culprits, servers[i], now + kS, nullptr, nullptr);
+		skh_crash_suspects_clear(culprits, 2); // answered elsewhere
 	}
-	EXPECT_TRUE(skh_culprits_is_barred(culprits, 1, 40 * kS));
-	EXPECT_FALSE(skh_culprits_is_held(culprits, 2, 40 * kS));
-	EXPECT_FALSE(skh_culprits_is_barred(culprits, 1, 40 * kS + SKH_CULPRITS_HOLD_US));
-	skh_culprits_free(culprits);
+	EXPECT_TRUE(skh_crash_suspects_is_rejected(culprits, 1, 40 * kS));
+	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(culprits, 2, 40 * kS));
+	EXPECT_FALSE(skh_crash_suspects_is_rejected(culprits, 1,
+						    40 * kS + SKH_CRASH_SUSPECTS_EXPIRY_US));
+	skh_crash_suspects_free(culprits);
 }
 
 TEST(Culprits, OneCrashToldTwiceCountsOnce)
 {
-	skh_culprits_t *culprits = skh_culprits_new();
+	skh_crash_suspects_t *culprits = skh_crash_suspects_new();
 
 	for (int i = 0; i < 5; i++)
-		skh_culprits_hold(culprits, 1, 77, kS);
-	EXPECT_FALSE(skh_culprits_is_held(culprits, 1, kS));
-	skh_culprits_hold(culprits, 1, 78, kS);
-	EXPECT_TRUE(skh_culprits_is_held(culprits, 1, kS));
-	skh_culprits_free(culprits);
+		skh_crash_suspects_add_remote_crash(culprits, 1, 77, kS);
+	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(culprits, 1, kS));
+	skh_crash_suspects_add_remote_crash(culprits, 1, 78, kS);
+	EXPECT_TRUE(skh_crash_suspects_is_retry_blocked(culprits, 1, kS));
+	skh_crash_suspects_free(culprits);
 }
 
 // --- Streams ---
 
 TEST(Events, OnlyWholeEventsPassAndASecondServerGoesOnAfterThem)
 {
-	skh_events_t events;
+	skh_event_stream_t events;
 	skh_buffer_t out = SKH_BUFFER_INIT;
 
-	skh_events_init(&events);
-	EXPECT_TRUE(skh_events_feed(&events, chunk("id: 1\ndata: a\n\nid: 2\nda"), &out));
+	skh_event_stream_init(&events);
+	EXPECT_TRUE(skh_event_stream_feed(&events, chunk("id: 1\ndata: a\n\nid: 2\nda"), &out));
 	EXPECT_EQ(text_of(out), "id: 1\ndata: a\n\n");
-	EXPECT_EQ(events.last_id, 1);
-	EXPECT_FALSE(skh_events_is_whole(&events));
-	skh_events_restart(&events);
-	EXPECT_TRUE(skh_events_feed(&events, chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), &out));
+	EXPECT_EQ(events.last_event_id, 1);
+	EXPECT_FALSE(skh_event_stream_is_at_boundary(&events));
+	skh_event_stream_discard_pending(&events);
+	EXPECT_TRUE(skh_event_stream_feed(&events, chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"),
+					  &out));
 	EXPECT_EQ(text_of(out), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-	EXPECT_TRUE(skh_events_is_whole(&events));
+	EXPECT_TRUE(skh_event_stream_is_at_boundary(&events));
 	// A gap must not pass.
-	EXPECT_FALSE(skh_events_feed(&events, chunk("id: 4\ndata: d\n\n"), &out));
+	EXPECT_FALSE(skh_event_stream_feed(&events, chunk("id: 4\ndata: d\n\n"), &out));
 	skh_buffer_free(&out);
-	skh_events_clear(&events);
+	skh_event_stream_clear(&events);
 }
 
 TEST(Events, AnyCutGivesTheSameEvents)
@@ -447,15 +449,15 @@
 	const std::string stream = "id: 0\ndata: x\n\nid: 1\ndata: y\n\nid: 2\ndata: z\n\n";
 
 	for (size_t cut = 0; cut <= stream.size(); cut++) {
-		skh_events_t events;
+		skh_event_stream_t events;
 		skh_buffer_t out = SKH_BUFFER_INIT;
 
-		skh_events_init(&events);
-		EXPECT_TRUE(skh_events_feed(&events, chunk(stream.substr(0, cut)), &out));
-		EXPECT_TRUE(skh_events_feed(&events, chunk(stream.substr(cut)), &out));
+		skh_event_stream_init(&events);
+		EXPECT_TRUE(skh_event_stream_feed(&events, chunk(stream.substr(0, cut)), &out));
+		EXPECT_TRUE(skh_event_stream_feed(&events, chunk(stream.substr(cut)), &out));
 		EXPECT_EQ(text_of(out), stream);
 		skh_buffer_free(&out);
-		skh_events_clear(&events);
+		skh_event_stream_clear(&events);
 	}
 }
 
@@ -464,13 +466,13 @@
 namespace
 {
 
-bool read_request(const std::string &text, skh_message_t *message, skh_error_t *err)
+bool read_request(const std::string &text, skh_http_message_t *message, skh_error_t *err)
 {
-	static const skh_message_ops_t ops = {};
+	static const skh_http_message_ops_t ops = {};
 	size_t used = 0;
 
-	skh_message_reset(message, HTTP_REQUEST, &ops, nullptr);
-	return skh_message_feed(message, chunk(text), &used, err);
+	skh_http_message_reset(message, HTTP_REQUEST, &ops, nullptr);
+	return skh_http_message_feed(message, chunk(text), &used, err);
 }
 
 } // namespace
@@ -488,11 +490,11 @@
 	};
 
 	for (const char *text : bad) {
-		skh_message_t message = {};
+		skh_http_message_t message = {};
 		skh_error_t err = {};
 
 		EXPECT_FALSE(read_request(text, &message, &err)) << text;
-		skh_message_free(&message);
+		skh_http_message_free(&message);
 	}
 }
 
@@ -500,44 +502,45 @@
 {
 	const std::string two =
 		"POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n";
-	static const skh_message_ops_t ops = {};
-	skh_message_t message = {};
+	static const skh_http_message_ops_t ops = {};
+	skh_http_message_t message = {};
 	skh_error_t err = {};
 	size_t used = 0;
 
-	skh_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
-	ASSERT_TRUE(skh_message_feed(&message, chunk(two), &used, &err));
+	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
+	ASSERT_TRUE(skh_http_message_feed(&message, chunk(two), &used, &err));
 	EXPECT_TRUE(message.done);
 	EXPECT_EQ(two.substr(used), "GET /b HTTP/1.1\r\n\r\n");
 	EXPECT_EQ(text_of(message.body), "hi");
-	skh_message_free(&message);
+	skh_http_message_free(&message);
 }
 
 TEST(Message, LimitsOfHeadersAndBody)
 {
-	static const skh_message_ops_t ops = {};
-	skh_message_t message = {};
+	static const skh_http_message_ops_t ops = {};
+	skh_http_message_t message = {};
 	skh_error_t err = {};
 	size_t used = 0;
 
 	message.max_header_bytes = 64;
 	message.max_body_bytes = 4;
-	skh_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
-	EXPECT_FALSE(skh_message_feed(
+	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
+	EXPECT_FALSE(skh_http_message_feed(
 		&message, chunk("GET / HTTP/1.1\r\nA: " + std::string(100, 'x') + "\r\n\r\n"),
 		&used, &err));
 	EXPECT_EQ(err.kind, SKH_HEADERS_TOO_LARGE);
-	skh_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
-	EXPECT_FALSE(skh_message_feed(
+	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
+	EXPECT_FALSE(skh_http_message_feed(
 		&message, chunk("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\n"), &used, &err));
 	EXPECT_EQ(err.kind, SKH_TOO_LARGE);
-	skh_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
-	EXPECT_FALSE(skh_message_feed(&message,
+	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
+	EXPECT_FALSE(
+		skh_http_message_feed(&message,
 				      chunk("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 					    "5\r\nhello\r\n0\r\n\r\n"),
 				      &used, &err));
 	EXPECT_EQ(err.kind, SKH_TOO_LARGE);
-	skh_message_free(&message);
+	skh_http_message_free(&message);
 }
 
 // --- Routes ---
@@ -565,14 +568,15 @@
 	owner->customer = g_strdup("c");
 	(void)g_hash_table_replace(routing->keys, g_strdup("k1"), owner);
 	skh_routing_seal(routing);
-	EXPECT_STREQ(skh_routing_find(routing, "host.example:80", "/a/b/c?x=/y/")->name, "/a/b/");
-	EXPECT_STREQ(skh_routing_find(routing, "HOST.example", "/a/")->name, "/a/");
-	EXPECT_STREQ(skh_routing_find(routing, "host.example", "/ab/")->name, "/");
-	EXPECT_EQ(skh_routing_find(routing, "other", "/a/"), nullptr);
-	EXPECT_NE(skh_routing_owner(routing, "Bearer", "Bearer k1"), nullptr);
-	EXPECT_EQ(skh_routing_owner(routing, "Bearer", "Bearer k"), nullptr);
-	EXPECT_EQ(skh_routing_owner(routing, "Bearer", "Basic k1"), nullptr);
-	EXPECT_EQ(skh_routing_owner(routing, "Bearer", nullptr), nullptr);
+	EXPECT_STREQ(skh_routing_find_route(routing, "host.example:80", "/a/b/c?x=/y/")->name,
+		     "/a/b/");
+	EXPECT_STREQ(skh_routing_find_route(routing, "HOST.example", "/a/")->name, "/a/");
+	EXPECT_STREQ(skh_routing_find_route(routing, "host.example", "/ab/")->name, "/");
+	EXPECT_EQ(skh_routing_find_route(routing, "other", "/a/"), nullptr);
+	EXPECT_NE(skh_routing_find_key_owner(routing, "Bearer", "Bearer k1"), nullptr);
+	EXPECT_EQ(skh_routing_find_key_owner(routing, "Bearer", "Bearer k"), nullptr);
+	EXPECT_EQ(skh_routing_find_key_owner(routing, "Bearer", "Basic k1"), nullptr);
+	EXPECT_EQ(skh_routing_find_key_owner(routing, "Bearer", nullptr), nullptr);
 	skh_routing_free(routing);
 }
 
@@ -585,7 +589,7 @@
 	route.splits[0] = { 3, 90 };
 	route.splits[1] = { 4, 10 };
 	for (int i = 0; i < 1000; i++)
-		first += skh_routing_split(&route, i / 1000.0) == 3;
+		first += skh_routing_select_service(&route, i / 1000.0) == 3;
 	EXPECT_EQ(first, 900);
 }
 
@@ -594,70 +598,70 @@
 // A rank dies for 5 s; every rank refuses. Naive: each request tries four ranks.
 TEST(GroupGate, ABrokenGroupIsProbedAndNotFlooded)
 {
-	skh_groupgate_t gate = {};
+	skh_group_breaker_t gate = {};
 	int sent = 0;
 	int64_t opened = 0;
 
 	for (int64_t now = kS; now < 7 * kS; now += 20 * kMs) {
 		bool broken = now < 6 * kS;
 
-		if (!skh_groupgate_may_send(&gate, now))
+		if (!skh_group_breaker_can_send(&gate, now))
 			continue;
-		skh_groupgate_sent(&gate, now);
+		skh_group_breaker_record_send(&gate, now);
 		sent += broken;
 		if (broken) {
-			skh_groupgate_refused(&gate, now);
+			skh_group_breaker_record_rejection(&gate, now);
 		} else {
-			skh_groupgate_answered(&gate);
+			skh_group_breaker_record_answer(&gate);
 			opened = opened ? opened : now;
 		}
 	}
 	EXPECT_LE(sent, 40); // 250 arrivals, 1,000 attempts without the gate
 	EXPECT_LE(opened, 6 * kS + 200 * kMs);
-	EXPECT_FALSE(skh_groupgate_is_closed(&gate));
+	EXPECT_FALSE(skh_group_breaker_is_tripped(&gate));
 }
 
 // All instances lose power; the ranks are back after a second, and the group 0.6 s later.
 TEST(GroupGate, CallersWaitWhileTheGroupForms)
 {
-	skh_groupgate_t gate = {};
+	skh_group_breaker_t gate = {};
 
 	for (int64_t now = kS; now < 4 * kS; now += 150 * kMs)
-		skh_groupgate_refused(&gate, now);
-	EXPECT_TRUE(skh_groupgate_is_down(&gate, 4 * kS));
-	skh_groupgate_joined(&gate, 4 * kS);
-	EXPECT_FALSE(skh_groupgate_is_down(&gate, 4 * kS + 600 * kMs));
-	EXPECT_TRUE(skh_groupgate_is_closed(&gate));
-	EXPECT_TRUE(skh_groupgate_is_down(&gate, 6 * kS));
-	skh_groupgate_answered(&gate);
-	EXPECT_FALSE(skh_groupgate_is_down(&gate, 6 * kS));
+		skh_group_breaker_record_rejection(&gate, now);
+	EXPECT_TRUE(skh_group_breaker_is_down(&gate, 4 * kS));
+	skh_group_breaker_record_rank_start(&gate, 4 * kS);
+	EXPECT_FALSE(skh_group_breaker_is_down(&gate, 4 * kS + 600 * kMs));
+	EXPECT_TRUE(skh_group_breaker_is_tripped(&gate));
+	EXPECT_TRUE(skh_group_breaker_is_down(&gate, 6 * kS));
+	skh_group_breaker_record_answer(&gate);
+	EXPECT_FALSE(skh_group_breaker_is_down(&gate, 6 * kS));
 }
 
 // The first in the line must not be the probe each time: its tries would be used up.
 TEST(WaitLine, ProbesAreTakenInTurn)
 {
-	skh_waitline_t *line = skh_waitline_new();
-	skh_waiter_t first = {};
-	skh_waiter_t second = {};
+	skh_request_queue_t *line = skh_request_queue_new();
+	skh_queued_request_t first = {};
+	skh_queued_request_t second = {};
 
-	first.goal_us = 2 * kS;
-	second.goal_us = 3 * kS;
+	first.dispatch_objective_us = 2 * kS;
+	second.dispatch_objective_us = 3 * kS;
 	first.index = second.index = -1;
-	skh_waitline_add(line, &first);
-	skh_waitline_add(line, &second);
-	EXPECT_EQ(skh_waitline_probe(line, kS), &first);
-	first.probed = true;
-	EXPECT_EQ(skh_waitline_probe(line, kS), &second);
-	EXPECT_EQ(skh_waitline_next(line, kS), &first);
-	second.probed = true;
-	EXPECT_EQ(skh_waitline_probe(line, kS), &first);
-	skh_waitline_free(line);
+	skh_request_queue_enqueue(line, &first);
+	skh_request_queue_enqueue(line, &second);
+	EXPECT_EQ(skh_request_queue_peek_probe(line, kS), &first);
+	first.is_probe_rejected = true;
+	EXPECT_EQ(skh_request_queue_peek_probe(line, kS), &second);
+	EXPECT_EQ(skh_request_queue_peek(line, kS), &first);
+	second.is_probe_rejected = true;
+	EXPECT_EQ(skh_request_queue_peek_probe(line, kS), &first);
+	skh_request_queue_free(line);
 }
 
 // One rank freezes for 4 s and the others wait for it: 10 requests a second come in.
 TEST(GroupGate, ASilentGroupGetsNoMoreThanAFew)
 {
-	skh_groupgate_t gate = {};
+	skh_group_breaker_t gate = {};
 	int sent = 0;
 	int64_t opened = 0;
 
@@ -665,40 +669,40 @@
 		bool frozen = now >= 2 * kS && now < 6 * kS;
 
 		if (!frozen) {
-			skh_groupgate_answered(&gate);
+			skh_group_breaker_record_answer(&gate);
 			opened = now >= 6 * kS && opened == 0 ? now : opened;
 		}
-		if (now % (100 * kMs) != 0 || !skh_groupgate_may_send(&gate, now))
+		if (now % (100 * kMs) != 0 || !skh_group_breaker_can_send(&gate, now))
 			continue;
-		skh_groupgate_sent(&gate, now);
+		skh_group_breaker_record_send(&gate, now);
 		sent += frozen;
 	}
 	EXPECT_LE(sent, 8); // 40 without the gate
 	EXPECT_EQ(opened, 6 * kS);
-	EXPECT_TRUE(skh_groupgate_may_send(&gate, 7 * kS));
+	EXPECT_TRUE(skh_group_breaker_can_send(&gate, 7 * kS));
 }
 
 // A lone request whose prompt is long: the next ones may wait, but not for ever.
 TEST(GroupGate, SilenceIsProbed)
 {
-	skh_groupgate_t gate = {};
+	skh_group_breaker_t gate = {};
 
-	skh_groupgate_sent(&gate, kS);
-	EXPECT_TRUE(skh_groupgate_may_send(&gate, kS + 200 * kMs));
-	EXPECT_FALSE(skh_groupgate_may_send(&gate, kS + 600 * kMs));
-	EXPECT_TRUE(skh_groupgate_may_send(&gate, 2 * kS + 1 * kMs));
-	skh_groupgate_sent(&gate, 2 * kS + 1 * kMs);
-	EXPECT_FALSE(skh_groupgate_may_send(&gate, 2 * kS + 500 * kMs));
-	skh_groupgate_answered(&gate);
-	EXPECT_TRUE(skh_groupgate_may_send(&gate, 2 * kS + 500 * kMs));
+	skh_group_breaker_record_send(&gate, kS);
+	EXPECT_TRUE(skh_group_breaker_can_send(&gate, kS + 200 * kMs));
+	EXPECT_FALSE(skh_group_breaker_can_send(&gate, kS + 600 * kMs));
+	EXPECT_TRUE(skh_group_breaker_can_send(&gate, 2 * kS + 1 * kMs));
+	skh_group_breaker_record_send(&gate, 2 * kS + 1 * kMs);
+	EXPECT_FALSE(skh_group_breaker_can_send(&gate, 2 * kS + 500 * kMs));
+	skh_group_breaker_record_answer(&gate);
+	EXPECT_TRUE(skh_group_breaker_can_send(&gate, 2 * kS + 500 * kMs));
 }
 
 // A rank died and its group forms anew: that must be seen by probes, not in a second.
 TEST(GroupGate, ABrokenGroupIsNotSilent)
 {
-	skh_groupgate_t gate = {};
+	skh_group_breaker_t gate = {};
 
-	skh_groupgate_sent(&gate, kS);
-	skh_groupgate_failed(&gate);
-	EXPECT_TRUE(skh_groupgate_may_send(&gate, kS + 600 * kMs));
+	skh_group_breaker_record_send(&gate, kS);
+	skh_group_breaker_record_failure(&gate);
+	EXPECT_TRUE(skh_group_breaker_can_send(&gate, kS + 600 * kMs));
 }
