--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -8,7 +8,7 @@
 #include "clock.h"
 #include "fake_store.h"
 #include "gate.h"
-#include "relay.h"
+#include "request_fsm.h"
 #include "seeds.h"
 
 #include <gtest/gtest.h>
@@ -49,14 +49,14 @@
 	int content = 0; // the same for all sends of a key
 	bool stream = false;
 	size_t entry = 0;
-	skh_relay_t relay = {};
+	skh_request_fsm_t relay = {};
 	size_t sidecar = 0; // of the present attempt
 	std::set<uint64_t> attempts;
 	std::vector<int> tokens;
 	std::string kept;
 	bool told = false;
 	bool whole = false;
-	skh_run_t run = SKH_RUN_UNKNOWN;
+	skh_run_state_t run = SKH_RUN_UNKNOWN;
 };
 
 struct Attempt {
@@ -225,13 +225,13 @@
 		fresh.key = key;
 		fresh.content = content;
 		fresh.stream = stream;
-		skh_relay_init(&fresh.relay, stream, stream, now_us + kDeadlineUs);
+		skh_request_fsm_init(&fresh.relay, stream, stream, now_us + kDeadlineUs);
 		sends.push_back(fresh);
 		const int id = fresh.id;
 		after(kDeadlineUs, [this, id] {
-			act(id, skh_relay_timeout(&sends[static_cast<size_t>(id)].relay));
+			act(id, skh_request_fsm_on_deadline(&sends[static_cast<size_t>(id)].relay));
 		});
-		act(id, SKH_ACT_PLACE);
+		act(id, SKH_REQUEST_ACTION_DISPATCH);
 	}
 
 	Send &send_of(int id)
@@ -241,21 +241,21 @@
 
 	// Entries: the relay's actions.
 
-	void act(int id, skh_action_t action)
+	void act(int id, skh_request_action_t action)
 	{
 		Send &send = send_of(id);
 
 		if (send.told)
 			return;
-		if (action == SKH_ACT_PLACE)
+		if (action == SKH_REQUEST_ACTION_DISPATCH)
 			place(id);
-		else if (action == SKH_ACT_FINISH)
+		else if (action == SKH_REQUEST_ACTION_FINISH)
 			tell(send, true, SKH_RUN_RAN);
-		else if (action == SKH_ACT_FAIL)
-			tell(send, false, send.relay.error.run);
+		else if (action == SKH_REQUEST_ACTION_FAIL)
+			tell(send, false, send.relay.error.run_state);
 	}
 
-	void tell(Send &send, bool whole, skh_run_t run)
+	void tell(Send &send, bool whole, skh_run_state_t run)
 	{
 		send.told = true;
 		send.whole = whole;
@@ -273,7 +273,7 @@
 		Attempt attempt;
 
 		if (now_us >= send.relay.deadline_us) {
-			act(id, skh_relay_timeout(&send.relay));
+			act(id, skh_request_fsm_on_deadline(&send.relay));
 			return;
 		}
 		attempt.id = ++last_attempt;
@@ -288,7 +288,7 @@
 		send.attempts.insert(attempt.id);
 		send.sidecar = index;
 		send.kept.clear();
-		skh_relay_sent(&send.relay, attempt.id);
+		skh_request_fsm_on_sent(&send.relay, attempt.id);
 		attempt.incarnation = sidecar.incarnation;
 		hand_over(index, attempt);
 		after(2500 * kMs, [this, id, attempt] { ask(id, attempt); });
@@ -331,14 +331,15 @@
 		    send.relay.attempt == attempt && !send.told) {
 			const skh_error_t err = error_of(SKH_NO_BACKEND);
 
-			act(id, skh_relay_refused(&send.relay, attempt, &err));
+			act(id, skh_request_fsm_on_rejected(&send.relay, attempt, &err));
 			return;
 		}
-		act(id, skh_relay_lost(&send.relay, attempt,
-				       certain ? SKH_LOSS_REPLACED : SKH_LOSS_SILENT));
+		act(id, skh_request_fsm_on_lost(&send.relay, attempt,
+						certain ? SKH_SIDECAR_LOSS_REPLACED
+							: SKH_SIDECAR_LOSS_SILENT));
 	}
 
-	static skh_error_t error_of(skh_kind_t kind)
+	static skh_error_t error_of(skh_error_kind_t kind)
 	{
 		skh_error_t err;
 
@@ -375,23 +376,23 @@
 		frame.attempt = attempt.id;
 		frame.incarnation = attempt.incarnation;
 		frame.start_before_us = attempt.start_before_us;
-		skh_verdict_t verdict =
-			skh_gate_start(sidecar.gate.get(), &frame, clock_of(sidecar), &err);
+		skh_gate_decision_t verdict =
+			skh_gate_admit(sidecar.gate.get(), &frame, clock_of(sidecar), &err);
 		const bool again = sidecar.attempts.count(attempt.id) > 0;
-		if (planted == Planted::kForgetful && verdict != SKH_VERDICT_START &&
-		    verdict != SKH_VERDICT_QUEUE && !again && !attempt.stream) {
-			if (verdict == SKH_VERDICT_REFUSE)
+		if (planted == Planted::kForgetful && verdict != SKH_GATE_DECISION_START &&
+		    verdict != SKH_GATE_DECISION_QUEUE && !again && !attempt.stream) {
+			if (verdict == SKH_GATE_DECISION_REJECT)
 				tell_refused(attempt, err);
 			execute(index, attempt);
 			return;
 		}
-		if (verdict == SKH_VERDICT_REFUSE)
+		if (verdict == SKH_GATE_DECISION_REJECT)
 			tell_refused(attempt, err);
-		if (verdict == SKH_VERDICT_START || verdict == SKH_VERDICT_QUEUE)
+		if (verdict == SKH_GATE_DECISION_START || verdict == SKH_GATE_DECISION_QUEUE)
 			sidecar.attempts[attempt.id] = attempt;
-		if (verdict == SKH_VERDICT_START)
+		if (verdict == SKH_GATE_DECISION_START)
 			begin(index, attempt.id);
-		if (verdict == SKH_VERDICT_QUEUE)
+		if (verdict == SKH_GATE_DECISION_QUEUE)
 			at(now_us + 4 * kSecond, [this, index, meant_for = attempt.incarnation] {
 				when_awake(index, meant_for, [this, index] { expire(index); });
 			});
@@ -402,7 +403,7 @@
 		Sidecar &sidecar = sidecars[index];
 		uint64_t id;
 
-		while ((id = skh_gate_expire(sidecar.gate.get(), clock_of(sidecar))) != 0) {
+		while ((id = skh_gate_expire_next(sidecar.gate.get(), clock_of(sidecar))) != 0) {
 			tell_refused(sidecar.attempts.at(id), error_of(SKH_OVERLOADED));
 			sidecar.attempts.erase(id);
 		}
@@ -431,8 +432,8 @@
 		claim.owner = g_strdup(attempt.owner.c_str());
 		claim.body_hash = static_cast<uint64_t>(attempt.content);
 		claim.content_type = g_strdup("");
-		claim.has_answer = state == SKH_CLAIM_DONE;
-		skh_buffer_append_string(&claim.answer, answer.c_str());
+		claim.has_response = state == SKH_CLAIM_DONE;
+		skh_buffer_append_string(&claim.response, answer.c_str());
 		char *text = skh_claim_encode(&claim);
 		std::string copy = text;
 		g_free(text);
@@ -446,7 +447,7 @@
 
 		write.key = attempt.key.c_str();
 		write.value = text.c_str();
-		write.expected = expected;
+		write.expected_revision = expected;
 		skh_batch_run(&store.base, &write, 1);
 		write.key = nullptr;
 		write.value = nullptr;
@@ -465,7 +466,7 @@
 			when_awake(index, incarnation,
 				   [this, index, id, write] { claimed(index, id, write); });
 			if (sidecars[index].incarnation != incarnation)
-				g_free(write.found);
+				g_free(write.found_value);
 		});
 	}
 
@@ -477,9 +478,9 @@
 		if (write.state == SKH_WRITE_FAILED) {
 			refuse(index, id, SKH_STORE_UNAVAILABLE);
 		} else if (write.state == SKH_WRITE_CONFLICT) {
-			const std::string found = write.found ? write.found : "";
+			const std::string found = write.found_value ? write.found_value : "";
 
-			g_free(write.found);
+			g_free(write.found_value);
 			conflict(index, id, found, write.mod_revision);
 		} else {
 			attempt.claim_revision = write.mod_revision;
@@ -499,13 +500,13 @@
 		skh_error_t err = {};
 
 		ASSERT_TRUE(skh_claim_decode(text.c_str(), &found, &err));
-		switch (skh_claim_judge(&found, attempt.owner.c_str(),
-					static_cast<uint64_t>(attempt.content))) {
-		case SKH_CLAIM_IS_DONE:
-			tell_piece(attempt, skh_buffer_text(&found.answer), 0);
+		switch (skh_claim_decide(&found, attempt.owner.c_str(),
+					 static_cast<uint64_t>(attempt.content))) {
+		case SKH_CLAIM_DECISION_REPLAY:
+			tell_piece(attempt, skh_buffer_text(&found.response), 0);
 			end(index, id, SKH_OK);
 			break;
-		case SKH_CLAIM_IS_FREE:
+		case SKH_CLAIM_DECISION_REPLACE:
 			claim(index, id, mod_revision);
 			break;
 		default:
@@ -521,10 +522,10 @@
 			write_record(attempt, record_text(attempt, SKH_CLAIM_NOT_RUN, ""),
 				     attempt.claim_revision);
 
-		g_free(write.found);
+		g_free(write.found_value);
 	}
 
-	void refuse(size_t index, uint64_t id, skh_kind_t kind)
+	void refuse(size_t index, uint64_t id, skh_error_kind_t kind)
 	{
 		Sidecar &sidecar = sidecars[index];
 
@@ -537,9 +538,9 @@
 		Sidecar &sidecar = sidecars[index];
 		uint64_t next;
 
-		skh_gate_ended(sidecar.gate.get(), id, started);
+		skh_gate_finish(sidecar.gate.get(), id, started);
 		sidecar.attempts.erase(id);
-		while ((next = skh_gate_next(sidecar.gate.get(), clock_of(sidecar))) != 0)
+		while ((next = skh_gate_start_next(sidecar.gate.get(), clock_of(sidecar))) != 0)
 			begin(index, next);
 	}
 
@@ -578,7 +579,7 @@
 				write_record(attempt, record_text(attempt, SKH_CLAIM_DONE, answer),
 					     attempt.claim_revision);
 
-			g_free(write.found);
+			g_free(write.found_value);
 		}
 		end(index, attempt.id, SKH_OK);
 	}
@@ -612,13 +613,14 @@
 		when_awake(index, sidecars[index].incarnation, [this, index, attempt] {
 			Sidecar &sidecar = sidecars[index];
 
-			switch (skh_gate_ask(sidecar.gate.get(), attempt.id, attempt.incarnation,
-					     attempt.start_before_us, clock_of(sidecar))) {
-			case SKH_FATE_REFUSED:
+			switch (skh_gate_resolve(sidecar.gate.get(), attempt.id,
+						 attempt.incarnation, attempt.start_before_us,
+						 clock_of(sidecar))) {
+			case SKH_ATTEMPT_STATUS_REJECTED:
 				tell_refused(attempt, error_of(SKH_STALE));
 				break;
-			case SKH_FATE_ENDED:
-			case SKH_FATE_UNKNOWN:
+			case SKH_ATTEMPT_STATUS_ENDED:
+			case SKH_ATTEMPT_STATUS_UNKNOWN:
 				tell_end(attempt, 0, SKH_OUTCOME_UNKNOWN);
 				break;
 			default:
@@ -632,15 +634,15 @@
 	void tell_refused(const Attempt &attempt, const skh_error_t &err)
 	{
 		carry([this, attempt, err] {
-			act(attempt.send,
-			    skh_relay_refused(&send_of(attempt.send).relay, attempt.id, &err));
+			act(attempt.send, skh_request_fsm_on_rejected(&send_of(attempt.send).relay,
+								      attempt.id, &err));
 		});
 	}
 
 	void tell_started(const Attempt &attempt)
 	{
 		carry([this, attempt] {
-			(void)skh_relay_started(&send_of(attempt.send).relay, attempt.id);
+			(void)skh_request_fsm_on_started(&send_of(attempt.send).relay, attempt.id);
 		});
 	}
 
@@ -667,26 +669,28 @@
 				id = send.relay.attempt;
 				number = send.relay.next_seq;
 			}
-			const skh_action_t action = skh_relay_data(&send.relay, id, number, events);
-			if (action == SKH_ACT_FORWARD && send.stream)
+			const skh_request_action_t action =
+				skh_request_fsm_on_data(&send.relay, id, number, events);
+			if (action == SKH_REQUEST_ACTION_FORWARD && send.stream)
 				send.tokens.push_back(std::stoi(bytes));
-			else if (action == SKH_ACT_FORWARD)
+			else if (action == SKH_REQUEST_ACTION_FORWARD)
 				send.kept += bytes;
 			act(attempt.send, action);
 		});
 	}
 
-	void tell_end(const Attempt &attempt, uint64_t pieces, skh_kind_t kind)
+	void tell_end(const Attempt &attempt, uint64_t pieces, skh_error_kind_t kind)
 	{
 		carry([this, attempt, pieces, kind] {
 			const skh_error_t err = error_of(kind);
 
-			act(attempt.send, skh_relay_end(&send_of(attempt.send).relay, attempt.id,
-							pieces, kind == SKH_OK ? nullptr : &err));
+			act(attempt.send,
+			    skh_request_fsm_on_end(&send_of(attempt.send).relay, attempt.id, pieces,
+						   kind == SKH_OK ? nullptr : &err));
 		});
 	}
 
-	void end(size_t index, uint64_t id, skh_kind_t kind)
+	void end(size_t index, uint64_t id, skh_error_kind_t kind)
 	{
 		const Attempt attempt = sidecars[index].attempts.at(id);
 
--- a/test/map_test.cc
+++ b/test/map_test.cc
@@ -165,7 +165,7 @@
 
 		if (!coordinator.alive || coordinator.paused)
 			return;
-		if (!skh_mapswitch_order_for(coordinator.state.get(), rank, &message.order))
+		if (!skh_mapswitch_next_order(coordinator.state.get(), rank, &message.order))
 			return;
 		if (planted == Planted::kEarlyGo && message.order.step == SKH_STEP_SET &&
 		    chance(2) == 0)
@@ -199,9 +199,9 @@
 		if (message.to_rank)
 			arrive(message);
 		else
-			skh_mapswitch_reply(coordinators[message.coordinator].state.get(),
-					    message.rank, &message.order, message.outcome,
-					    message.in_place);
+			skh_mapswitch_record_reply(coordinators[message.coordinator].state.get(),
+						   message.rank, &message.order, message.outcome,
+						   message.in_place);
 	}
 
 	void arrive(const Message &message)
@@ -214,18 +214,18 @@
 			rank.version = order.version;
 		reply.to_rank = false;
 		reply.outcome = planted == Planted::kNoFence ? take_unfenced(message.rank, order)
-							     : skh_rank_order(&rank, &order);
-		if (planted == Planted::kNoHold && reply.outcome == SKH_ORDER_TO_ENGINE &&
+							     : skh_rank_handle_order(&rank, &order);
+		if (planted == Planted::kNoHold && reply.outcome == SKH_ORDER_FORWARD &&
 		    order.step == SKH_STEP_HOLD) {
-			skh_rank_engine_done(&rank, true);
+			skh_rank_complete_order(&rank, true);
 			reply.outcome = SKH_ORDER_DONE;
 		}
-		if (reply.outcome == SKH_ORDER_TO_ENGINE) {
+		if (reply.outcome == SKH_ORDER_FORWARD) {
 			engines[message.rank].has_order = true;
 			engines[message.rank].order = order;
 			return;
 		}
-		reply.in_place = skh_rank_is_in_place(&rank, order.version);
+		reply.in_place = skh_rank_is_running_version(&rank, order.version);
 		messages.push_back(reply);
 	}
 
@@ -234,16 +234,16 @@
 	{
 		const Engine &engine = engines[index];
 
-		if (ranks[index].busy)
+		if (ranks[index].order_pending)
 			return SKH_ORDER_BUSY;
 		if (order.step == SKH_STEP_PREPARE ||
 		    (order.step == SKH_STEP_HOLD && engine.held) ||
 		    (order.step == SKH_STEP_SET && engine.version == order.version) ||
 		    (order.step == SKH_STEP_GO && !engine.held))
 			return SKH_ORDER_DONE;
-		ranks[index].busy = true;
-		ranks[index].at_engine = order;
-		return SKH_ORDER_TO_ENGINE;
+		ranks[index].order_pending = true;
+		ranks[index].engine_order = order;
+		return SKH_ORDER_FORWARD;
 	}
 
 	void engine_acts(size_t index)
@@ -255,7 +255,7 @@
 			return;
 		engine.has_order = false;
 		if (faulty && chance(20) == 0) {
-			skh_rank_engine_done(&ranks[index], false);
+			skh_rank_complete_order(&ranks[index], false);
 			return;
 		}
 		if (engine.order.step == SKH_STEP_HOLD)
@@ -264,7 +264,7 @@
 			engine.version = engine.order.version;
 		else if (engine.order.step == SKH_STEP_GO)
 			engine.held = false;
-		skh_rank_engine_done(&ranks[index], true);
+		skh_rank_complete_order(&ranks[index], true);
 	}
 
 	void advance_step()
@@ -341,8 +341,8 @@
 		skh_mapswitch_new(2, 1, 7), skh_mapswitch_free);
 	skh_order_t order = {};
 
-	EXPECT_TRUE(skh_mapswitch_order_for(mapswitch.get(), 1, &order));
-	EXPECT_FALSE(skh_mapswitch_order_for(mapswitch.get(), 2, &order));
+	EXPECT_TRUE(skh_mapswitch_next_order(mapswitch.get(), 1, &order));
+	EXPECT_FALSE(skh_mapswitch_next_order(mapswitch.get(), 2, &order));
 }
 
 TEST(ExpertMap, TheCheckCatchesPlantedFaults)
--- a/test/mapchange_test.cc
+++ b/test/mapchange_test.cc
@@ -197,31 +197,31 @@
 
 	int prepare(Engine &engine, const skh_engine_order_t &order)
 	{
-		if (engine.armed != 0 || order.version <= engine.most_version)
+		if (engine.armed != 0 || order.map_version <= engine.most_version)
 			return 409;
-		engine.most_version = order.version;
-		engine.prepared = order.version;
+		engine.most_version = order.map_version;
+		engine.prepared = order.map_version;
 		engine.ready_at = now + between(0, 300) * kMs;
 		return 202;
 	}
 
 	int arm(Engine &engine, const skh_engine_order_t &order)
 	{
-		if (engine.armed == order.version && engine.armed_pass == order.pass)
+		if (engine.armed == order.map_version && engine.armed_pass == order.pass)
 			return 200;
-		if (engine.prepared != order.version || now < engine.ready_at ||
+		if (engine.prepared != order.map_version || now < engine.ready_at ||
 		    order.pass <= pass || engine.armed != 0)
 			return 409;
-		engine.armed = order.version;
+		engine.armed = order.map_version;
 		engine.armed_pass = order.pass;
 		return 202;
 	}
 
 	int disarm(Engine &engine, const skh_engine_order_t &order)
 	{
-		if (engine.map == order.version)
+		if (engine.map == order.map_version)
 			return 409;
-		if (engine.armed == order.version)
+		if (engine.armed == order.map_version)
 			engine.armed = 0;
 		return 202;
 	}
@@ -289,9 +289,9 @@
 		report.epoch = epoch;
 		report.pass = pass;
 		report.map_version = engine.map;
-		report.prepared = now >= engine.ready_at ? engine.prepared : 0;
-		report.armed = engine.armed;
-		report.held = engine.held;
+		report.prepared_version = now >= engine.ready_at ? engine.prepared : 0;
+		report.armed_version = engine.armed;
+		report.held_pass = engine.held;
 		return report;
 	}
 
@@ -348,7 +348,7 @@
 
 	static uint32_t giver_of(const Coordinator &coordinator, uint32_t rank, skh_engine_op_t op)
 	{
-		return op == SKH_ENGINE_HOLD ? coordinator.change.deputy : rank;
+		return op == SKH_ENGINE_HOLD ? coordinator.change.proxy_rank : rank;
 	}
 
 	// What a frozen instance was sent is read when it wakes up.
@@ -378,7 +378,7 @@
 	void answer(const Event &event)
 	{
 		Coordinator &coordinator = *coordinators[event.order.coordinator];
-		skh_order_answer_t answer = SKH_ORDER_CONFLICT;
+		skh_engine_order_result_t answer = SKH_ENGINE_ORDER_CONFLICT;
 
 		if (!coordinator.alive || !coordinator.changing ||
 		    coordinator.under_way[event.order.rank] != event.order.number)
@@ -389,12 +389,12 @@
 		}
 		coordinator.under_way[event.order.rank] = 0;
 		if (event.status == 200 || event.status == 202)
-			answer = SKH_ORDER_ACCEPTED;
+			answer = SKH_ENGINE_ORDER_ACCEPTED;
 		else if (event.status == 412)
-			answer = SKH_ORDER_OUTDATED;
+			answer = SKH_ENGINE_ORDER_FENCED;
 		else if (event.status == 0)
-			answer = SKH_ORDER_NO_ANSWER;
-		skh_mapchange_answer(&coordinator.change, event.order.rank, answer, now);
+			answer = SKH_ENGINE_ORDER_NO_ANSWER;
+		skh_mapchange_record_result(&coordinator.change, event.order.rank, answer, now);
 		send_orders(event.order.coordinator);
 	}
 
@@ -432,8 +432,8 @@
 		coordinator.reports[event.order.rank] = event.report;
 		coordinator.reported[event.order.rank] = true;
 		if (coordinator.changing)
-			skh_mapchange_report(&coordinator.change, event.order.rank, &event.report,
-					     now);
+			skh_mapchange_record_report(&coordinator.change, event.order.rank,
+						    &event.report, now);
 	}
 
 	// --- Coordinators ---
@@ -471,7 +471,7 @@
 		skh_engine_order_t order;
 
 		for (uint32_t rank = 0; rank < engines.size(); rank++) {
-			if (skh_mapchange_next(&coordinator.change, rank, now, &order))
+			if (skh_mapchange_next_order(&coordinator.change, rank, now, &order))
 				send(index, rank, order);
 		}
 	}
@@ -480,12 +480,12 @@
 	void ask_deputy(size_t index)
 	{
 		Coordinator &coordinator = *coordinators[index];
-		uint32_t deputy = coordinator.change.deputy;
+		uint32_t deputy = coordinator.change.proxy_rank;
 
-		if (!skh_mapchange_wants_contact(&coordinator.change) || is_frozen(deputy) ||
+		if (!skh_mapchange_is_proxy_probe_due(&coordinator.change) || is_frozen(deputy) ||
 		    (faulty && chance(0.1)))
 			return;
-		skh_mapchange_contact(&coordinator.change, now - 4 * kMs);
+		skh_mapchange_record_proxy_probe(&coordinator.change, now - 4 * kMs);
 		send_orders(index);
 	}
 
@@ -505,10 +505,10 @@
 		int64_t fence = coordinator.lease * 4096 + coordinator.number;
 		skh_mapchange_options_t options = {};
 
-		coordinator.number += SKH_MAPCHANGE_FENCES;
+		coordinator.number += SKH_MAPCHANGE_MAX_FENCES;
 		options.n_ranks = static_cast<uint32_t>(engines.size());
-		options.own = coordinator.own;
-		options.deputy =
+		options.own_rank = coordinator.own;
+		options.proxy_rank =
 			(coordinator.own + 1 + coordinator.number / 2 % (options.n_ranks - 1)) %
 			options.n_ranks;
 		options.epoch = coordinator.reports[coordinator.own].epoch;
@@ -519,19 +519,19 @@
 		for (auto &number : coordinator.under_way)
 			number = 0;
 		for (uint32_t rank = 0; rank < engines.size(); rank++)
-			skh_mapchange_report(&coordinator.change, rank, &coordinator.reports[rank],
-					     now);
+			skh_mapchange_record_report(&coordinator.change, rank,
+						    &coordinator.reports[rank], now);
 	}
 
 	void plant(Coordinator &coordinator)
 	{
 		skh_mapchange_t &change = coordinator.change;
 
-		if (planted == Planted::kGoBeforeArmed && change.phase == SKH_CHANGE_ARM &&
+		if (planted == Planted::kGoBeforeArmed && change.phase == SKH_MAPCHANGE_ARM &&
 		    change.ranks[0].armed)
-			change.phase = SKH_CHANGE_GO;
-		if (planted == Planted::kNoHold && change.phase == SKH_CHANGE_HOLD)
-			change.phase = SKH_CHANGE_ARM;
+			change.phase = SKH_MAPCHANGE_GO;
+		if (planted == Planted::kNoHold && change.phase == SKH_MAPCHANGE_HOLD)
+			change.phase = SKH_MAPCHANGE_ARM;
 	}
 
 	// A frozen coordinator that wakes up does not know it: it acts on once more.
@@ -556,10 +556,10 @@
 		plant(coordinator);
 		send_orders(index);
 		ask_deputy(index);
-		if (coordinator.change.phase == SKH_CHANGE_DONE) {
+		if (coordinator.change.phase == SKH_MAPCHANGE_DONE) {
 			coordinator.changing = false;
 			changes++;
-		} else if (coordinator.change.phase == SKH_CHANGE_FAILED) {
+		} else if (coordinator.change.phase == SKH_MAPCHANGE_FAILED) {
 			coordinator.changing = false;
 		}
 	}
--- a/test/route_test.cc
+++ b/test/peer_selection_test.cc
@@ -1,7 +1,7 @@
 // The choice of a sidecar, as a pure function of the view.
 #include "clock.h"
-#include "heat.h"
-#include "route.h"
+#include "prefix_share.h"
+#include "peer_selection.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -30,7 +30,7 @@
 
 	void sync()
 	{
-		const skh_members_t list = { members.data(), members.size() };
+		const skh_instances_t list = { members.data(), members.size() };
 
 		skh_peers_sync(peers.get(), &list, now_us);
 	}
@@ -44,7 +44,7 @@
 		status.service = service;
 		status.capacity = 8;
 		status.running = running;
-		return skh_peers_heard(peer(i), &status, 1, now_us);
+		return skh_peers_record_frame(peer(i), &status, 1, now_us);
 	}
 
 	skh_peer_t *peer(size_t i)
@@ -54,18 +54,18 @@
 
 	skh_peer_t *pick(uint64_t random, uint64_t prefix = 0)
 	{
-		skh_route_query_t query = {};
+		skh_peer_query_t query = {};
 		skh_error_t err = {};
 
 		query.service = "assistant";
 		query.failure_domain = "nairobi";
 		query.prefix_hash = prefix;
-		return skh_route_pick(peers.get(), &query, random, now_us, &err);
+		return skh_select_peer(peers.get(), &query, random, now_us, &err);
 	}
 
 	PeersPtr peers;
 	std::vector<std::string> ids;
-	std::vector<skh_member_t> members;
+	std::vector<skh_instance_t> members;
 	int64_t now_us = 1000;
 
       private:
@@ -96,14 +96,14 @@
 TEST(Route, NobodyLeftSaysWhenToComeBack)
 {
 	Fleet fleet(1);
-	skh_route_query_t query = {};
+	skh_peer_query_t query = {};
 	skh_error_t err = {};
 
 	query.service = "ledger";
 	query.failure_domain = "";
-	EXPECT_EQ(skh_route_pick(fleet.peers.get(), &query, 1, fleet.now_us, &err), nullptr);
+	EXPECT_EQ(skh_select_peer(fleet.peers.get(), &query, 1, fleet.now_us, &err), nullptr);
 	EXPECT_EQ(err.kind, SKH_NO_BACKEND);
-	EXPECT_EQ(err.run, SKH_RUN_NOT_RUN);
+	EXPECT_EQ(err.run_state, SKH_RUN_NOT_RUN);
 	EXPECT_GT(err.retry_at_us, fleet.now_us);
 }
 
@@ -112,8 +112,8 @@
 	Fleet fleet(3);
 
 	for (size_t i = 0; i < 3; i++) {
-		skh_peers_take(fleet.peer(i), fleet.now_us);
-		skh_peers_give_back(fleet.peer(i), false, fleet.now_us);
+		skh_peers_begin_request(fleet.peer(i), fleet.now_us);
+		skh_peers_end_request(fleet.peer(i), false, fleet.now_us);
 	}
 	EXPECT_NE(fleet.pick(5), nullptr);
 }
@@ -122,8 +122,8 @@
 {
 	Fleet fleet(3);
 
-	skh_peers_take(fleet.peer(0), fleet.now_us);
-	skh_peers_give_back(fleet.peer(0), false, fleet.now_us);
+	skh_peers_begin_request(fleet.peer(0), fleet.now_us);
+	skh_peers_end_request(fleet.peer(0), false, fleet.now_us);
 	for (uint64_t r = 0; r < 64; r++)
 		EXPECT_NE(fleet.pick(r * 0x9e3779b97f4a7c15U), fleet.peer(0));
 	fleet.now_us += 10 * SKH_US_PER_S;
@@ -141,7 +141,7 @@
 	for (uint64_t r = 0; r < 32; r++)
 		EXPECT_EQ(fleet.pick(r * 77, 12345), home);
 	for (int i = 0; i < 8; i++)
-		skh_peers_take(home, fleet.now_us);
+		skh_peers_begin_request(home, fleet.now_us);
 	EXPECT_NE(fleet.pick(1, 12345), home);
 }
 
@@ -176,29 +176,30 @@
 	Fleet fleet(1);
 	skh_peer_t *peer = fleet.peer(0);
 
-	skh_peers_take(peer, fleet.now_us);
+	skh_peers_begin_request(peer, fleet.now_us);
 	fleet.say(0, SKH_PHASE_READY, 1, 5);
-	EXPECT_EQ(5u, skh_peers_work(peer));
-	skh_peers_take(peer, fleet.now_us);
-	EXPECT_EQ(6u, skh_peers_work(peer));
-	skh_peers_give_back(peer, true, fleet.now_us);
-	skh_peers_give_back(peer, true, fleet.now_us);
-	EXPECT_EQ(4u, skh_peers_work(peer));
+	EXPECT_EQ(5u, skh_peers_estimate_load(peer));
+	skh_peers_begin_request(peer, fleet.now_us);
+	EXPECT_EQ(6u, skh_peers_estimate_load(peer));
+	skh_peers_end_request(peer, true, fleet.now_us);
+	skh_peers_end_request(peer, true, fleet.now_us);
+	EXPECT_EQ(4u, skh_peers_estimate_load(peer));
 }
 
 TEST(Route, AHotPrefixUsesSeveralHomes)
 {
-	skh_heat_t *heat = skh_heat_new();
+	skh_prefix_share_t *heat = skh_prefix_share_new();
 	double hot = 0.0;
 	double cold = 0.0;
 
 	for (int i = 0; i < 200; i++)
-		hot = skh_heat_note(heat, i % 2 ? 0x100000000ULL : 0x1000000000ULL * i, 1000 + i);
-	cold = skh_heat_note(heat, 0xabcd00000000ULL, 2000);
+		hot = skh_prefix_share_record(heat, i % 2 ? 0x100000000ULL : 0x1000000000ULL * i,
+					      1000 + i);
+	cold = skh_prefix_share_record(heat, 0xabcd00000000ULL, 2000);
 	EXPECT_GT(hot, 0.3);
 	EXPECT_EQ(0.0, cold);
-	EXPECT_LT(skh_heat_note(heat, 0x100000000ULL, 200 * SKH_US_PER_S), 0.1);
-	skh_heat_free(heat);
+	EXPECT_LT(skh_prefix_share_record(heat, 0x100000000ULL, 200 * SKH_US_PER_S), 0.1);
+	skh_prefix_share_free(heat);
 }
 
 TEST(Route, AReplacedProcessIsNoticed)
@@ -215,7 +216,7 @@
 	skh_peer_t *peer = fleet.peer(0);
 
 	EXPECT_FALSE(skh_peers_is_lost(peer, fleet.now_us + 60 * SKH_US_PER_S));
-	skh_peers_take(peer, fleet.now_us);
+	skh_peers_begin_request(peer, fleet.now_us);
 	EXPECT_FALSE(skh_peers_is_lost(peer, fleet.now_us + 1 * SKH_US_PER_S));
 	EXPECT_TRUE(skh_peers_is_lost(peer, fleet.now_us + 3 * SKH_US_PER_S));
 }
@@ -224,11 +225,11 @@
 {
 	Fleet fleet(2);
 
-	skh_peers_take(fleet.peer(0), fleet.now_us);
+	skh_peers_begin_request(fleet.peer(0), fleet.now_us);
 	fleet.members.erase(fleet.members.begin());
 	fleet.sync();
 	EXPECT_EQ(skh_peers_count(fleet.peers.get()), 2U);
-	skh_peers_give_back(skh_peers_find(fleet.peers.get(), "s0"), true, fleet.now_us);
+	skh_peers_end_request(skh_peers_find(fleet.peers.get(), "s0"), true, fleet.now_us);
 	fleet.sync();
 	EXPECT_EQ(skh_peers_count(fleet.peers.get()), 1U);
 }
@@ -245,10 +246,10 @@
 		fleet.say(i, static_cast<skh_phase_t>(*rc::gen::inRange(0, 3)), 1,
 			  *rc::gen::inRange(0, 16));
 		peer->reachable = *rc::gen::inRange(0, 4) != 0;
-		peer->list_says_leaving = *rc::gen::inRange(0, 4) == 0;
+		peer->listed_leaving = *rc::gen::inRange(0, 4) == 0;
 		peer->avoid_until_us = *rc::gen::inRange(0, 2) * 5000;
-		allowed += peer->reachable && peer->phase == SKH_PHASE_READY &&
-			   !peer->list_says_leaving;
+		allowed +=
+			peer->reachable && peer->phase == SKH_PHASE_READY && !peer->listed_leaving;
 	}
 	skh_peer_t *picked =
 		fleet.pick(*rc::gen::arbitrary<uint64_t>(), *rc::gen::inRange(0, 2) * 77U);
@@ -256,7 +257,7 @@
 	if (picked) {
 		RC_ASSERT(picked->reachable);
 		RC_ASSERT(picked->phase == SKH_PHASE_READY);
-		RC_ASSERT(!picked->list_says_leaving);
+		RC_ASSERT(!picked->listed_leaving);
 	}
 }
 
--- a/test/ranksilence_test.cc
+++ b/test/rank_liveness_test.cc
@@ -1,5 +1,5 @@
 // An instance freezes while its group goes on: events of twelve ranks in virtual time.
-#include "ranksilence.h"
+#include "rank_liveness.h"
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
 	static constexpr size_t kRanks = 12;
 
 	std::mt19937 random;
-	std::array<skh_ranksilence_view_t, kRanks> ranks = {};
+	std::array<skh_rank_liveness_view_t, kRanks> ranks = {};
 	int64_t now = 0;
 	int64_t next_pass = 0;
 	int64_t pass_from = 50;
@@ -46,20 +46,21 @@
 						  kMs;
 			for (size_t i = 0; i < kRanks; i++) {
 				if (i != frozen && streaming > 0)
-					ranks[i].heard_us = now;
+					ranks[i].last_received_us = now;
 			}
 		}
 		for (size_t i = 0; i < kRanks; i++) {
-			skh_ranksilence_view_t view = ranks[i];
+			skh_rank_liveness_view_t view = ranks[i];
 
 			view.now_us = now;
-			view.group_heard_us = 0;
+			view.group_last_received_us = 0;
 			for (size_t k = 0; k < kRanks; k++) {
 				if (k != i)
-					view.group_heard_us =
-						std::max(view.group_heard_us, ranks[k].heard_us);
+					view.group_last_received_us =
+						std::max(view.group_last_received_us,
+							 ranks[k].last_received_us);
 			}
-			if (skh_ranksilence_is_lost(&view))
+			if (skh_rank_liveness_is_unreachable(&view))
 				lost.push_back(i);
 		}
 		return lost;
--- a/test/balance_test.cc
+++ b/test/rebalance_test.cc
@@ -1,5 +1,5 @@
 // Expert balance: plans keep every expert standing, pay for themselves, settle.
-#include "balance.h"
+#include "rebalance.h"
 #include "forecast.h"
 
 #include <gtest/gtest.h>
@@ -25,21 +25,21 @@
 	double load_cost = 0.0002;
 	uint32_t max_loads = 64;
 
-	skh_balance_view_t view() const
+	skh_rebalance_input_t view() const
 	{
-		skh_balance_view_t view = {};
+		skh_rebalance_input_t view = {};
 
 		view.n_ranks = ranks;
 		view.n_slots = slots;
 		view.n_experts = experts;
 		view.placement = placement.data();
-		view.forecast = forecast.data();
+		view.forecast_shares = forecast.data();
 		view.speed = speed.data();
-		view.domain = domain.data();
+		view.failure_domain = domain.data();
 		view.skew_weight = 0.8;
 		view.cost_weight = 0.2;
-		view.load_cost = load_cost;
-		view.max_loads = max_loads;
+		view.copy_cost = load_cost;
+		view.max_copies = max_loads;
 		return view;
 	}
 
@@ -130,22 +130,22 @@
 }
 
 // Runs the plan stage by stage; false when an expert that stood is missing meanwhile.
-bool run_plan(Group &group, const skh_balance_plan_t &plan)
+bool run_plan(Group &group, const skh_rebalance_plan_t &plan)
 {
 	for (uint32_t stage = 0; stage < plan.n_stages; stage++) {
 		Group during = group;
 		std::set<uint32_t> before = standing(group);
 
-		for (uint32_t i = 0; i < plan.n_moves; i++) {
-			if (plan.moves[i].stage == stage)
-				during.cell(plan.moves[i].rank, plan.moves[i].slot) = UINT32_MAX;
+		for (uint32_t i = 0; i < plan.n_copies; i++) {
+			if (plan.copies[i].stage == stage)
+				during.cell(plan.copies[i].rank, plan.copies[i].slot) = UINT32_MAX;
 		}
 		std::set<uint32_t> meanwhile = standing(during);
 		meanwhile.erase(UINT32_MAX);
 		if (meanwhile != before)
 			return false;
-		for (uint32_t i = 0; i < plan.n_moves; i++) {
-			const skh_move_t &move = plan.moves[i];
+		for (uint32_t i = 0; i < plan.n_copies; i++) {
+			const skh_expert_copy_t &move = plan.copies[i];
 
 			if (move.stage == stage)
 				group.cell(move.rank, move.slot) = move.expert;
@@ -172,10 +172,10 @@
 {
 	Group group = any_group();
 	const Group before = group;
-	skh_balance_plan_t plan;
-	const skh_balance_view_t view = group.view();
+	skh_rebalance_plan_t plan;
+	const skh_rebalance_input_t view = group.view();
 
-	RC_ASSERT(skh_balance_decide(&view, &plan));
+	RC_ASSERT(skh_rebalance_compute_plan(&view, &plan));
 	RC_ASSERT(std::fabs(plan.skew_before - naive_skew(group)) < 1e-9);
 	RC_ASSERT(run_plan(group, plan));
 	RC_ASSERT(std::fabs(plan.skew_after - naive_skew(group)) < 1e-9);
@@ -189,13 +189,13 @@
 TEST(Balance, ASlotThatIsLoadedTwiceKeepsTheLaterExpert)
 {
 	Group group = dealt(4, 3, 8);
-	skh_balance_plan_t plan;
+	skh_rebalance_plan_t plan;
 
 	group.forecast = { 221, 492, 569, 373, 454, 80, 398, 358 };
 	group.speed = { 1.0, 1.0, 0.8, 0.8 };
-	const skh_balance_view_t view = group.view();
+	const skh_rebalance_input_t view = group.view();
 
-	ASSERT_TRUE(skh_balance_decide(&view, &plan));
+	ASSERT_TRUE(skh_rebalance_compute_plan(&view, &plan));
 	ASSERT_TRUE(run_plan(group, plan));
 	EXPECT_NEAR(plan.skew_after, naive_skew(group), 1e-9);
 }
@@ -203,16 +203,16 @@
 RC_GTEST_PROP(Balance, ASettledPlacementIsLeftAlone, ())
 {
 	Group group = any_group();
-	skh_balance_plan_t plan;
-	skh_balance_plan_t again;
-	skh_balance_view_t view = group.view();
+	skh_rebalance_plan_t plan;
+	skh_rebalance_plan_t again;
+	skh_rebalance_input_t view = group.view();
 
-	RC_ASSERT(skh_balance_decide(&view, &plan));
-	RC_PRE(plan.n_moves + 8 < group.max_loads);
+	RC_ASSERT(skh_rebalance_compute_plan(&view, &plan));
+	RC_PRE(plan.n_copies + 8 < group.max_loads);
 	RC_ASSERT(run_plan(group, plan));
 	view = group.view();
-	RC_ASSERT(skh_balance_decide(&view, &again));
-	RC_ASSERT(again.n_moves == 0u);
+	RC_ASSERT(skh_rebalance_compute_plan(&view, &again));
+	RC_ASSERT(again.n_copies == 0u);
 }
 
 RC_GTEST_PROP(Balance, ALostRanksExpertsComeBackOrItSaysSo, ())
@@ -220,43 +220,43 @@
 	Group group = any_group();
 	const uint32_t lost = *rc::gen::inRange<uint32_t>(0, group.ranks);
 	const bool has_room = (group.ranks - 1) * group.slots >= group.experts;
-	skh_balance_plan_t plan;
+	skh_rebalance_plan_t plan;
 
 	group.speed[lost] = 0.0;
-	const skh_balance_view_t view = group.view();
-	const bool complete = skh_balance_decide(&view, &plan);
+	const skh_rebalance_input_t view = group.view();
+	const bool complete = skh_rebalance_compute_plan(&view, &plan);
 	RC_ASSERT(complete == has_room);
 	RC_ASSERT(run_plan(group, plan));
 	if (complete)
 		RC_ASSERT(standing(group).size() == group.experts);
-	for (uint32_t i = 0; i < plan.n_moves; i++)
-		RC_ASSERT(plan.moves[i].rank != lost);
+	for (uint32_t i = 0; i < plan.n_copies; i++)
+		RC_ASSERT(plan.copies[i].rank != lost);
 }
 
 TEST(Balance, WhatCostsMoreThanItBringsIsNotDone)
 {
 	Group group = dealt(4, 3, 10);
-	skh_balance_plan_t plan;
+	skh_rebalance_plan_t plan;
 
 	group.forecast[0] = 3.0;
 	group.load_cost = 1e6;
-	const skh_balance_view_t view = group.view();
-	ASSERT_TRUE(skh_balance_decide(&view, &plan));
-	EXPECT_EQ(0u, plan.n_moves);
+	const skh_rebalance_input_t view = group.view();
+	ASSERT_TRUE(skh_rebalance_compute_plan(&view, &plan));
+	EXPECT_EQ(0u, plan.n_copies);
 }
 
 TEST(Balance, TheWeightStoresRateIsKept)
 {
 	Group group = dealt(8, 4, 28);
-	skh_balance_plan_t plan;
+	skh_rebalance_plan_t plan;
 
 	for (uint32_t i = 0; i < group.experts; i++)
 		group.forecast[i] = 1.0 + (i * 37 % 11);
 	group.max_loads = 3;
-	const skh_balance_view_t view = group.view();
-	ASSERT_TRUE(skh_balance_decide(&view, &plan));
-	EXPECT_GT(plan.n_moves, 0u);
-	EXPECT_LE(plan.n_moves, 3u);
+	const skh_rebalance_input_t view = group.view();
+	ASSERT_TRUE(skh_rebalance_compute_plan(&view, &plan));
+	EXPECT_GT(plan.n_copies, 0u);
+	EXPECT_LE(plan.n_copies, 3u);
 }
 
 TEST(Forecast, FollowsADriftAndBridgesGaps)
@@ -265,7 +265,7 @@
 	double first = 100.0;
 
 	for (int i = 0; i < 20; i++) {
-		const double counts[2] = { i % 5 == 4 ? SKH_FORECAST_GAP : first, 100.0 };
+		const double counts[2] = { i % 5 == 4 ? SKH_FORECAST_UNKNOWN_COUNT : first, 100.0 };
 
 		skh_forecast_observe(forecast, counts);
 		first *= 1.05;
@@ -280,7 +280,7 @@
 TEST(Forecast, IsNotReadyUntilEveryExpertWasReported)
 {
 	skh_forecast_t *forecast = skh_forecast_new(2);
-	const double half[2] = { 10.0, SKH_FORECAST_GAP };
+	const double half[2] = { 10.0, SKH_FORECAST_UNKNOWN_COUNT };
 	const double whole[2] = { 10.0, 30.0 };
 
 	skh_forecast_observe(forecast, half);
--- a/test/budget_test.cc
+++ b/test/retry_budget_test.cc
@@ -1,5 +1,5 @@
 // Retry budgets: lost work does not multiply the load.
-#include "budget.h"
+#include "retry_budget.h"
 
 #include "clock.h"
 
@@ -12,11 +12,11 @@
 namespace
 {
 
-using BudgetPtr = std::unique_ptr<skh_budget_t, decltype(&skh_budget_free)>;
+using BudgetPtr = std::unique_ptr<skh_retry_budget_t, decltype(&skh_retry_budget_free)>;
 
 BudgetPtr new_budget()
 {
-	return BudgetPtr(skh_budget_new(), skh_budget_free);
+	return BudgetPtr(skh_retry_budget_new(), skh_retry_budget_free);
 }
 
 // A third of the servers takes work and loses it, for as long as it is asked.
@@ -31,14 +31,14 @@
 
 	for (int i = 0; i < kOffered; i++) {
 		now_us += kGap_us;
-		skh_budget_note(budget.get(), "a", now_us);
+		skh_retry_budget_record_request(budget.get(), "a", now_us);
 		sent++;
 		while (random() % 3 == 0) {
-			if (with_budget && !skh_budget_take(budget.get(), "a", now_us))
+			if (with_budget && !skh_retry_budget_acquire(budget.get(), "a", now_us))
 				break;
 			sent++;
 		}
-		skh_budget_done(budget.get(), "a");
+		skh_retry_budget_record_end(budget.get(), "a");
 	}
 	return static_cast<double>(sent) / kOffered;
 }
@@ -55,14 +55,14 @@
 	int taken = 0;
 
 	for (int i = 0; i < 400; i++)
-		skh_budget_note(budget.get(), "b", 1);
-	while (skh_budget_take(budget.get(), "a", 1))
+		skh_retry_budget_record_request(budget.get(), "b", 1);
+	while (skh_retry_budget_acquire(budget.get(), "a", 1))
 		taken++;
 	EXPECT_GT(taken, 0);
 	for (int i = 0; i < 400; i++)
-		skh_budget_note(budget.get(), "b", 1);
-	EXPECT_FALSE(skh_budget_take(budget.get(), "a", 1));
-	EXPECT_TRUE(skh_budget_take(budget.get(), "b", 1));
+		skh_retry_budget_record_request(budget.get(), "b", 1);
+	EXPECT_FALSE(skh_retry_budget_acquire(budget.get(), "a", 1));
+	EXPECT_TRUE(skh_retry_budget_acquire(budget.get(), "b", 1));
 }
 
 TEST(Budget, ALostServerAmongManyIsMadeGoodAtOnce)
@@ -71,8 +71,8 @@
 	int taken = 0;
 
 	for (int i = 0; i < 1000; i++)
-		skh_budget_note(budget.get(), "a", 1);
-	while (skh_budget_take(budget.get(), "a", 1))
+		skh_retry_budget_record_request(budget.get(), "a", 1);
+	while (skh_retry_budget_acquire(budget.get(), "a", 1))
 		taken++;
 	/* One server of a dozen. */
 	EXPECT_GE(taken, 1000 / 12);
@@ -82,10 +82,10 @@
 {
 	BudgetPtr budget = new_budget();
 
-	while (skh_budget_take(budget.get(), "a", 1))
+	while (skh_retry_budget_acquire(budget.get(), "a", 1))
 		continue;
-	EXPECT_FALSE(skh_budget_take(budget.get(), "a", 1 * SKH_US_PER_S));
-	EXPECT_TRUE(skh_budget_take(budget.get(), "a", 20 * SKH_US_PER_S));
+	EXPECT_FALSE(skh_retry_budget_acquire(budget.get(), "a", 1 * SKH_US_PER_S));
+	EXPECT_TRUE(skh_retry_budget_acquire(budget.get(), "a", 20 * SKH_US_PER_S));
 }
 
 } // namespace
--- a/test/suspect_test.cc
+++ b/test/suspect_test.cc
@@ -28,55 +28,55 @@
 {
 	SuspectsPtr table = new_suspects();
 
-	EXPECT_EQ(SKH_STANDING_CLEAR, skh_suspects_standing(table.get(), 1, 0));
-	EXPECT_TRUE(skh_suspects_accuse(table.get(), 1, 100, 0));
-	EXPECT_EQ(SKH_STANDING_SUSPECT, skh_suspects_standing(table.get(), 1, 1));
-	EXPECT_FALSE(skh_suspects_accuse(table.get(), 1, 100, 1));
-	EXPECT_EQ(SKH_STANDING_SUSPECT, skh_suspects_standing(table.get(), 1, 2));
-	EXPECT_TRUE(skh_suspects_accuse(table.get(), 1, 101, kLater_us));
-	EXPECT_EQ(SKH_STANDING_QUARANTINED, skh_suspects_standing(table.get(), 1, kLater_us));
-	EXPECT_EQ(SKH_STANDING_CLEAR, skh_suspects_standing(table.get(), 2, kLater_us));
+	EXPECT_EQ(SKH_SUSPECT_STATE_CLEAR, skh_suspects_get_state(table.get(), 1, 0));
+	EXPECT_TRUE(skh_suspects_record_crash(table.get(), 1, 100, 0));
+	EXPECT_EQ(SKH_SUSPECT_STATE_SUSPECT, skh_suspects_get_state(table.get(), 1, 1));
+	EXPECT_FALSE(skh_suspects_record_crash(table.get(), 1, 100, 1));
+	EXPECT_EQ(SKH_SUSPECT_STATE_SUSPECT, skh_suspects_get_state(table.get(), 1, 2));
+	EXPECT_TRUE(skh_suspects_record_crash(table.get(), 1, 101, kLater_us));
+	EXPECT_EQ(SKH_SUSPECT_STATE_QUARANTINED, skh_suspects_get_state(table.get(), 1, kLater_us));
+	EXPECT_EQ(SKH_SUSPECT_STATE_CLEAR, skh_suspects_get_state(table.get(), 2, kLater_us));
 }
 
 TEST(Suspect, AWholeAnswerOrTimeClears)
 {
 	SuspectsPtr table = new_suspects();
-	uint64_t crashes[SKH_SUSPECT_CRASHES];
-	const int64_t over_us = SKH_SUSPECT_HOLD_S * SKH_US_PER_S;
+	uint64_t crashes[SKH_SUSPECT_QUARANTINE_CRASHES];
+	const int64_t over_us = SKH_SUSPECT_EXPIRY_S * SKH_US_PER_S;
 
-	ASSERT_TRUE(skh_suspects_accuse(table.get(), 1, 100, 0));
+	ASSERT_TRUE(skh_suspects_record_crash(table.get(), 1, 100, 0));
 	ASSERT_EQ(1u, skh_suspects_clear(table.get(), 1, crashes));
 	EXPECT_EQ(100u, crashes[0]);
-	EXPECT_EQ(SKH_STANDING_CLEAR, skh_suspects_standing(table.get(), 1, 1));
-	ASSERT_TRUE(skh_suspects_accuse(table.get(), 2, 100, 0));
-	EXPECT_EQ(SKH_STANDING_SUSPECT, skh_suspects_standing(table.get(), 2, over_us - 1));
-	EXPECT_EQ(SKH_STANDING_CLEAR, skh_suspects_standing(table.get(), 2, over_us));
+	EXPECT_EQ(SKH_SUSPECT_STATE_CLEAR, skh_suspects_get_state(table.get(), 1, 1));
+	ASSERT_TRUE(skh_suspects_record_crash(table.get(), 2, 100, 0));
+	EXPECT_EQ(SKH_SUSPECT_STATE_SUSPECT, skh_suspects_get_state(table.get(), 2, over_us - 1));
+	EXPECT_EQ(SKH_SUSPECT_STATE_CLEAR, skh_suspects_get_state(table.get(), 2, over_us));
 }
 
 TEST(Suspect, ServersLostTogetherAccuseNobodyFurther)
 {
 	SuspectsPtr table = new_suspects();
 
-	EXPECT_TRUE(skh_suspects_accuse(table.get(), 1, 100, 0));
-	EXPECT_TRUE(skh_suspects_accuse(table.get(), 2, 101, 1));
-	EXPECT_TRUE(skh_suspects_accuse(table.get(), 3, 102, 2));
-	EXPECT_FALSE(skh_suspects_accuse(table.get(), 4, 103, 3));
-	EXPECT_EQ(SKH_STANDING_CLEAR, skh_suspects_standing(table.get(), 4, 4));
-	EXPECT_TRUE(skh_suspects_accuse(table.get(), 4, 104, kLater_us));
+	EXPECT_TRUE(skh_suspects_record_crash(table.get(), 1, 100, 0));
+	EXPECT_TRUE(skh_suspects_record_crash(table.get(), 2, 101, 1));
+	EXPECT_TRUE(skh_suspects_record_crash(table.get(), 3, 102, 2));
+	EXPECT_FALSE(skh_suspects_record_crash(table.get(), 4, 103, 3));
+	EXPECT_EQ(SKH_SUSPECT_STATE_CLEAR, skh_suspects_get_state(table.get(), 4, 4));
+	EXPECT_TRUE(skh_suspects_record_crash(table.get(), 4, 104, kLater_us));
 }
 
 TEST(Suspect, WhatOthersClearedIsClearedHereAndOwnNewsStays)
 {
 	SuspectsPtr table = new_suspects();
 
-	skh_suspects_begin_load(table.get());
-	skh_suspects_load(table.get(), 1, 100, 0);
-	skh_suspects_end_load(table.get());
-	ASSERT_TRUE(skh_suspects_accuse(table.get(), 2, 101, 0));
-	skh_suspects_begin_load(table.get());
-	skh_suspects_end_load(table.get());
-	EXPECT_EQ(SKH_STANDING_CLEAR, skh_suspects_standing(table.get(), 1, 1));
-	EXPECT_EQ(SKH_STANDING_SUSPECT, skh_suspects_standing(table.get(), 2, 1));
+	skh_suspects_begin_snapshot(table.get());
+	skh_suspects_add_snapshot_crash(table.get(), 1, 100, 0);
+	skh_suspects_end_snapshot(table.get());
+	ASSERT_TRUE(skh_suspects_record_crash(table.get(), 2, 101, 0));
+	skh_suspects_begin_snapshot(table.get());
+	skh_suspects_end_snapshot(table.get());
+	EXPECT_EQ(SKH_SUSPECT_STATE_CLEAR, skh_suspects_get_state(table.get(), 1, 1));
+	EXPECT_EQ(SKH_SUSPECT_STATE_SUSPECT, skh_suspects_get_state(table.get(), 2, 1));
 }
 
 // The naive version: every crash of every request, counted anew each time.
@@ -90,24 +90,25 @@
 			       rc::gen::inRange<uint64_t>(1, 9)));
 
 	for (const auto &[what, request, crash] : steps) {
-		uint64_t cleared[SKH_SUSPECT_CRASHES];
+		uint64_t cleared[SKH_SUSPECT_QUARANTINE_CRASHES];
 
 		now_us += kLater_us;
 		if (what == 0) {
 			skh_suspects_clear(table.get(), request, cleared);
 			held.erase(request);
 		} else {
-			skh_suspects_accuse(table.get(), request, crash, now_us);
-			if (held[request].size() < SKH_SUSPECT_CRASHES)
+			skh_suspects_record_crash(table.get(), request, crash, now_us);
+			if (held[request].size() < SKH_SUSPECT_QUARANTINE_CRASHES)
 				held[request].emplace(crash, now_us);
 		}
 		for (uint64_t other = 1; other < 5; other++) {
 			const size_t n = held[other].size();
-			const skh_standing_t expected = n == 0	 ? SKH_STANDING_CLEAR
-							: n == 1 ? SKH_STANDING_SUSPECT
-								 : SKH_STANDING_QUARANTINED;
+			const skh_suspect_state_t expected =
+				n == 0	 ? SKH_SUSPECT_STATE_CLEAR
+				: n == 1 ? SKH_SUSPECT_STATE_SUSPECT
+					 : SKH_SUSPECT_STATE_QUARANTINED;
 
-			RC_ASSERT(skh_suspects_standing(table.get(), other, now_us) == expected);
+			RC_ASSERT(skh_suspects_get_state(table.get(), other, now_us) == expected);
 		}
 	}
 }
@@ -142,26 +143,27 @@
 
 		if (what <= 1) {
 			const Skh__Start start = start_of(next, what == 1);
-			const skh_verdict_t verdict = skh_gate_start(gate.get(), &start, 1, &err);
+			const skh_gate_decision_t verdict =
+				skh_gate_admit(gate.get(), &start, 1, &err);
 
-			RC_ASSERT(verdict != SKH_VERDICT_REFUSE || waiting.size() >= 64);
-			if (verdict == SKH_VERDICT_START)
+			RC_ASSERT(verdict != SKH_GATE_DECISION_REJECT || waiting.size() >= 64);
+			if (verdict == SKH_GATE_DECISION_START)
 				running[next] = what == 1;
-			if (verdict == SKH_VERDICT_QUEUE)
+			if (verdict == SKH_GATE_DECISION_QUEUE)
 				waiting[next] = what == 1;
 			next++;
 		} else if (!running.empty()) {
 			const auto [first, suspect] = *running.begin();
 
 			if (what == 2 && suspect) {
-				skh_gate_survived(gate.get(), first);
+				skh_gate_clear_suspect(gate.get(), first);
 				survived.insert(first);
 			} else {
-				skh_gate_ended(gate.get(), first, true);
+				skh_gate_finish(gate.get(), first, true);
 				running.erase(first);
 			}
 		}
-		while ((id = skh_gate_next(gate.get(), 1)) != 0) {
+		while ((id = skh_gate_start_next(gate.get(), 1)) != 0) {
 			running[id] = waiting.at(id);
 			waiting.erase(id);
 		}
--- a/test/upstream_test.cc
+++ b/test/upstream_test.cc
@@ -19,7 +19,7 @@
 	std::string body;
 };
 
-bool on_head(void *, const skh_message_t *)
+bool on_head(void *, const skh_http_message_t *)
 {
 	return true;
 }
@@ -30,12 +30,12 @@
 						  bytes.len);
 }
 
-void on_end(void *context, const skh_message_t *)
+void on_end(void *context, const skh_http_message_t *)
 {
 	static_cast<Seen *>(context)->ended = true;
 }
 
-void on_lost(void *context, skh_lost_t, bool)
+void on_lost(void *context, skh_upstream_error_t, bool)
 {
 	static_cast<Seen *>(context)->lost = true;
 }
@@ -65,13 +65,13 @@
 		(void)uv_timer_init(&loop, &guard);
 		guard.data = this;
 		(void)uv_timer_start(&guard, on_guard, kHungUs / SKH_US_PER_MS, 0);
-		pool = skh_pool_new(&loop, "127.0.0.1", ntohs(address.sin_port), &options);
+		pool = skh_upstream_pool_new(&loop, "127.0.0.1", ntohs(address.sin_port), &options);
 	}
 
 	~Pair()
 	{
 		uv_close(reinterpret_cast<uv_handle_t *>(&guard), nullptr);
-		skh_pool_free(pool);
+		skh_upstream_pool_free(pool);
 		(void)uv_run(&loop, UV_RUN_NOWAIT);
 		close(peer);
 		close(listener);
@@ -82,11 +82,11 @@
 	void send(Seen *seen, const char *id)
 	{
 		static const char request[] = "GET / HTTP/1.1\r\n\r\n";
-		skh_send_t what = {};
+		skh_upstream_request_t what = {};
 
 		what.bytes = skh_chunk_from_string(request);
 		what.attempt_id = id;
-		(void)skh_pool_send(pool, &what, &ops, seen);
+		(void)skh_upstream_pool_send(pool, &what, &ops, seen);
 		if (peer < 0)
 			peer = accept(listener, nullptr, nullptr);
 		receive();
@@ -152,8 +152,8 @@
 	uv_loop_t loop = {};
 	uv_timer_t guard = {};
 	bool hung = false;
-	skh_pool_options_t options = {};
-	skh_pool_t *pool = nullptr;
+	skh_upstream_pool_options_t options = {};
+	skh_upstream_pool_t *pool = nullptr;
 	int listener = -1;
 	int peer = -1;
 };
--- a/test/wire_test.cc
+++ b/test/wire_test.cc
@@ -20,7 +20,7 @@
 	return bytes;
 }
 
-bool unpacks(const std::vector<uint8_t> &bytes, skh_kind_t *kind = nullptr)
+bool unpacks(const std::vector<uint8_t> &bytes, skh_error_kind_t *kind = nullptr)
 {
 	skh_error_t err = {};
 	Skh__Frame *frame = skh_wire_unpack(skh_chunk_make(bytes.data(), bytes.size()), &err);
@@ -68,7 +68,7 @@
 TEST(Wire, AnotherVersionIsRefused)
 {
 	StartFrame out;
-	skh_kind_t kind;
+	skh_error_kind_t kind;
 
 	out.frame.version = SKH_WIRE_VERSION + 1;
 	EXPECT_FALSE(unpacks(pack(out.frame), &kind));
@@ -114,7 +114,7 @@
 	zero.start.attempt = 0;
 	EXPECT_FALSE(unpacks(pack(zero.frame)));
 	StartFrame reserved;
-	reserved.start.attempt = SKH_WIRE_RESERVED_ATTEMPT | 1;
+	reserved.start.attempt = SKH_WIRE_LOCAL_TRANSFER_BIT | 1;
 	EXPECT_FALSE(unpacks(pack(reserved.frame)));
 }
 
