--- a/fuzz/fuzz_fleet.c
+++ b/fuzz/fuzz_fleet.c
@@ -27,6 +27,6 @@
 	(void)dialect->read_report(text, &report, &err);
 	if (dialect->read_counts(text, &counts, &err))
 		g_free(counts.counts);
-	(void)dialect->read_lists(text, SETS, PLACES, map, &version, &err);
+	(void)dialect->read_map(text, SETS, PLACES, map, &version, &err);
 	return 0;
 }
