--- a/src/routing.c
+++ b/src/routing.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static void free_owner(gpointer data)
+static void free_key_owner(gpointer data)
 {
 	skh_key_owner_t *owner = data;
 
@@ -10,7 +10,7 @@
 	g_free(owner);
 }
 
-static void free_list(gpointer data)
+static void free_route_list(gpointer data)
 {
 	(void)g_ptr_array_free(data, TRUE);
 }
@@ -21,8 +21,8 @@
 
 	routing->services = g_array_new(FALSE, TRUE, sizeof(skh_service_info_t));
 	routing->routes = g_array_new(FALSE, TRUE, sizeof(skh_route_t));
-	routing->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_owner);
-	routing->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_list);
+	routing->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_key_owner);
+	routing->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_route_list);
 	return routing;
 }
 
@@ -57,7 +57,7 @@
 	g_free(routing);
 }
 
-static gint by_prefix_length(gconstpointer left, gconstpointer right)
+static gint compare_prefix_length_desc(gconstpointer left, gconstpointer right)
 {
 	const skh_route_t *const *a = left;
 	const skh_route_t *const *b = right;
@@ -68,22 +68,22 @@
 void skh_routing_seal(skh_routing_t *routing)
 {
 	GHashTableIter iter;
-	gpointer list;
+	gpointer routes;
 
 	for (guint i = 0; i < routing->routes->len; i++) {
 		skh_route_t *route = &g_array_index(routing->routes, skh_route_t, i);
 		g_autofree char *host = g_ascii_strdown(route->host, -1);
 
-		list = g_hash_table_lookup(routing->hosts, host);
-		if (!list) {
-			list = g_ptr_array_new();
-			g_hash_table_insert(routing->hosts, g_steal_pointer(&host), list);
+		routes = g_hash_table_lookup(routing->hosts, host);
+		if (!routes) {
+			routes = g_ptr_array_new();
+			g_hash_table_insert(routing->hosts, g_steal_pointer(&host), routes);
 		}
-		g_ptr_array_add(list, route);
+		g_ptr_array_add(routes, route);
 	}
 	g_hash_table_iter_init(&iter, routing->hosts);
-	while (g_hash_table_iter_next(&iter, NULL, &list))
-		g_ptr_array_sort(list, by_prefix_length);
+	while (g_hash_table_iter_next(&iter, NULL, &routes))
+		g_ptr_array_sort(routes, compare_prefix_length_desc);
 }
 
 int32_t skh_routing_find_service(const skh_routing_t *routing, const char *name)
@@ -100,41 +100,41 @@
 	return &g_array_index(routing->services, skh_service_info_t, index);
 }
 
-static bool path_begins_with(const char *target, const char *prefix)
+static bool has_path_prefix(const char *target, const char *prefix)
 {
 	size_t path_len = strcspn(target, "?#");
-	size_t len = strlen(prefix);
+	size_t prefix_len = strlen(prefix);
 
-	return path_len >= len && strncmp(target, prefix, len) == 0;
+	return path_len >= prefix_len && strncmp(target, prefix, prefix_len) == 0;
 }
 
 const skh_route_t *skh_routing_find_route(const skh_routing_t *routing, const char *host,
 					  const char *target)
 {
-	g_autofree char *name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
-	const GPtrArray *list = g_hash_table_lookup(routing->hosts, name);
+	g_autofree char *host_name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
+	const GPtrArray *routes = g_hash_table_lookup(routing->hosts, host_name);
 
-	for (guint i = 0; list && i < list->len; i++) {
-		const skh_route_t *route = g_ptr_array_index(list, i);
+	for (guint i = 0; routes && i < routes->len; i++) {
+		const skh_route_t *route = g_ptr_array_index(routes, i);
 
-		if (path_begins_with(target, route->prefix))
+		if (has_path_prefix(target, route->prefix))
 			return route;
 	}
 	return NULL;
 }
 
-uint32_t skh_routing_select_service(const skh_route_t *route, double draw)
+uint32_t skh_routing_select_service(const skh_route_t *route, double random_fraction)
 {
-	uint32_t total = 0;
-	double left;
+	uint32_t total_weight = 0;
+	double remaining;
 
 	for (uint32_t i = 0; i < route->n_splits; i++)
-		total += route->splits[i].weight;
-	left = draw * (double)total;
+		total_weight += route->splits[i].weight;
+	remaining = random_fraction * (double)total_weight;
 	for (uint32_t i = 0; i < route->n_splits; i++) {
-		if (left < (double)route->splits[i].weight)
+		if (remaining < (double)route->splits[i].weight)
 			return route->splits[i].service;
-		left -= (double)route->splits[i].weight;
+		remaining -= (double)route->splits[i].weight;
 	}
 	return route->splits[0].service;
 }
@@ -142,12 +142,12 @@
 const skh_key_owner_t *skh_routing_find_key_owner(const skh_routing_t *routing, const char *scheme,
 						  const char *authorization)
 {
-	size_t len = strlen(scheme);
+	size_t offset = strlen(scheme);
 
-	if (!authorization || g_ascii_strncasecmp(authorization, scheme, len) != 0 ||
-	    authorization[len] != ' ')
+	if (!authorization || g_ascii_strncasecmp(authorization, scheme, offset) != 0 ||
+	    authorization[offset] != ' ')
 		return NULL;
-	while (authorization[len] == ' ')
-		len++;
-	return g_hash_table_lookup(routing->keys, authorization + len);
+	while (authorization[offset] == ' ')
+		offset++;
+	return g_hash_table_lookup(routing->keys, authorization + offset);
 }
--- a/src/routing.h
+++ b/src/routing.h
@@ -4,10 +4,11 @@
 /**
  * DOC: Routing table
  *
- * What a gateway needs of the operators' configuration: which requests go to
- * which service, what may be repeated, how long a caller may be kept waiting,
- * and whose keys are valid. Filled once by a reader of the configuration's
- * format, then sealed and immutable.
+ * The part of the operators' configuration that a gateway needs to route
+ * requests: routes, services with their engine parameters, retry rules,
+ * timeouts, limits and API keys. A configuration parser fills a table once and
+ * calls skh_routing_seal(); a sealed table is immutable and any thread may read
+ * it. The suffix of a name gives its unit.
  */
 
 #include <glib.h>
@@ -20,20 +21,24 @@
 
 #define SKH_ROUTING_MAX_SPLITS 8
 
-/** enum skh_retry_mode - whether a request may run more than once */
+/** enum skh_retry_mode - whether a request that may have run can be sent again */
 typedef enum skh_retry_mode {
 	SKH_RETRY_MODE_NEVER,
 	SKH_RETRY_MODE_ALLOWED,
-	SKH_RETRY_MODE_RESUME_STREAM /* a stream that goes on after the last event delivered */
+	SKH_RETRY_MODE_RESUME_STREAM /* a stream that resumes after the last event delivered */
 } skh_retry_mode_t;
 
-/** struct skh_traffic_split - a share of a route's requests; @service is an index */
+/**
+ * struct skh_traffic_split - one weighted target of a route
+ * @service: index into skh_routing_t.services
+ * @weight: share of the requests, relative to the sum of the route's weights
+ */
 typedef struct skh_traffic_split {
 	uint32_t service;
 	uint32_t weight;
 } skh_traffic_split_t;
 
-/** struct skh_route - requests of one host whose path begins with @prefix */
+/** struct skh_route - rules for the requests to @host whose path begins with @prefix */
 typedef struct skh_route {
 	char *name;
 	char *host;
@@ -41,31 +46,31 @@
 	skh_retry_mode_t retry_mode;
 	bool is_streaming;
 	bool needs_key;
-	int64_t timeout_us;	  /* longest time a caller is kept waiting */
-	int64_t objective_us;	  /* latency objective; of a stream up to its first event */
-	int64_t gap_objective_us; /* longest pause between two events */
+	int64_t timeout_us;	  /* from the receipt of a request to its deadline */
+	int64_t objective_us;	  /* latency objective; for a stream, until its first event */
+	int64_t gap_objective_us; /* objective for the time between two stream events */
 	uint32_t max_attempts;
-	uint32_t priority; /* 0 is served first */
+	uint32_t priority; /* 0 is the highest */
 	uint32_t n_splits;
 	skh_traffic_split_t splits[SKH_ROUTING_MAX_SPLITS];
 } skh_route_t;
 
-/** struct skh_engine_spec - how the engines of a model service work */
+/** struct skh_engine_spec - size and cost parameters of a model service's engines */
 typedef struct skh_engine_spec {
-	uint32_t slots;		  /* requests that a rank works on at a time */
-	uint32_t expert_sets;	  /* of layers, each with experts of its own */
-	uint32_t experts_per_set; /* in each set */
-	uint32_t expert_slots;	  /* experts that a rank holds of a set, at the most */
-	uint32_t spare_slots;	  /* experts of a set that one switch may bring to a rank */
-	double expert_share;	  /* part of a step that experts take */
-	double expert_mb;
-	double link_mbps;
-	double step_ms;		    /* of a step without requests */
-	double step_ms_per_request; /* and for each request that writes */
-	uint32_t steps_per_pass;    /* all ranks of a group begin a pass together */
+	uint32_t slots;		    /* requests that a rank runs concurrently */
+	uint32_t expert_sets;	    /* groups of layers, each with its own experts */
+	uint32_t experts_per_set;   /* number of experts in each set */
+	uint32_t expert_slots;	    /* slots for experts of one set at a rank */
+	uint32_t spare_slots;	    /* max new experts of one set copied to a rank per map switch */
+	double expert_share;	    /* fraction of a step's duration spent in experts */
+	double expert_mb;	    /* size of one expert's weights, in megabytes */
+	double link_mbps;	    /* bandwidth for copying experts to a rank, in Mbit/s */
+	double step_ms;		    /* duration of a step without requests */
+	double step_ms_per_request; /* added duration of a step per generating request */
+	uint32_t steps_per_pass;    /* steps in a pass; all ranks of a group begin it together */
 } skh_engine_spec_t;
 
-/** struct skh_service_info - one service of backend servers */
+/** struct skh_service_info - one service provided by a set of backend servers */
 typedef struct skh_service_info {
 	char *name;
 	char *health_path;
@@ -74,56 +79,81 @@
 	skh_engine_spec_t engine;
 } skh_service_info_t;
 
-/** struct skh_key_owner - the customer that holds a key */
+/** struct skh_key_owner - the customer that an API key belongs to */
 typedef struct skh_key_owner {
 	char *customer;
 	bool has_priority;
 	uint32_t priority;
 } skh_key_owner_t;
 
-/** struct skh_caller_limits - what a caller may send, and how slowly */
+/** struct skh_caller_limits - size limits and timeouts for requests from callers */
 typedef struct skh_caller_limits {
 	size_t max_header_bytes;
 	size_t max_body_bytes;
-	int64_t header_timeout_us;
-	int64_t idle_timeout_us;
+	int64_t header_timeout_us; /* 0 for the default */
+	int64_t idle_timeout_us;   /* 0 for the default */
 } skh_caller_limits_t;
 
+/** struct skh_routing - the routing table; owns its arrays, tables and texts */
 typedef struct skh_routing {
-	int64_t version;  /* the operators' number */
-	int64_t revision; /* the store's */
+	int64_t version;  /* version that the operators assigned to the configuration */
+	int64_t revision; /* revision of the key-value service */
 	skh_caller_limits_t limits;
 	GArray *services;  /* skh_service_info_t */
 	GArray *routes;	   /* skh_route_t */
-	GHashTable *keys;  /* key -> skh_key_owner_t; NULL where no key is asked for */
-	GHashTable *hosts; /* host -> GPtrArray of skh_route_t, longest prefix first */
+	GHashTable *keys;  /* key -> skh_key_owner_t; NULL when no key is required */
+	GHashTable *hosts; /* lower-case host -> GPtrArray of skh_route_t *, longest prefix first */
 } skh_routing_t;
 
+/** skh_routing_new() - allocate an empty table; free it with skh_routing_free() */
 skh_routing_t *skh_routing_new(void);
+
+/** skh_routing_free() - free @routing and everything it owns; NULL is ignored */
 void skh_routing_free(skh_routing_t *routing);
 
-/** skh_routing_clear() - free what @routing owns, not @routing itself */
+/** skh_routing_clear() - free everything @routing owns, but not @routing itself */
 void skh_routing_clear(skh_routing_t *routing);
 
-/** skh_routing_seal() - index the routes; nothing is added afterwards */
+/**
+ * skh_routing_seal() - index the routes by host
+ *
+ * Call it once, after the last route is added: the index points into @routing->routes, which
+ * moves when it grows.
+ */
 void skh_routing_seal(skh_routing_t *routing);
 
-/** skh_routing_find_service() - index of the service called @name, or -1 */
+/**
+ * skh_routing_find_service() - look up a service by name
+ * Return: index of the service, or -1 when there is none called @name.
+ */
 int32_t skh_routing_find_service(const skh_routing_t *routing, const char *name);
+
+/** skh_routing_get_service() - the service at @index, which must be valid; owned by @routing */
 const skh_service_info_t *skh_routing_get_service(const skh_routing_t *routing, uint32_t index);
 
 /**
- * skh_routing_find_route() - the route of a request
- * @host: the Host header; a port and the case do not matter
- * @target: path and query
+ * skh_routing_find_route() - find the route with the longest matching path prefix
+ * @host: Host header; the port and the letter case are ignored
+ * @target: request target; only the path before '?' or '#' is matched
+ * Return: the route, owned by @routing, or NULL when none matches.
  */
 const skh_route_t *skh_routing_find_route(const skh_routing_t *routing, const char *host,
 					  const char *target);
 
-/** skh_routing_select_service() - the service that @draw, 0 to 1, falls on */
-uint32_t skh_routing_select_service(const skh_route_t *route, double draw);
+/**
+ * skh_routing_select_service() - select a service in proportion to the split weights
+ * @random_fraction: random number in [0, 1)
+ * Return: index of the service.
+ */
+uint32_t skh_routing_select_service(const skh_route_t *route, double random_fraction);
 
-/** skh_routing_find_key_owner() - holder of the key in "@scheme KEY", or NULL */
+/**
+ * skh_routing_find_key_owner() - look up the customer of an API key
+ * @routing: table whose keys are not NULL
+ * @scheme: authentication scheme, compared without letter case
+ * @authorization: Authorization header "SCHEME KEY"; NULL when absent
+ * Return: the owner, owned by @routing, or NULL when the scheme differs or the key is unknown.
+ */
 const skh_key_owner_t *skh_routing_find_key_owner(const skh_routing_t *routing, const char *scheme,
 						  const char *authorization);
 
