--- a/src/decisions.c
+++ b/src/decisions.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define KEPT 1024
+#define RING_ENTRIES 1024
 
 typedef struct decision {
 	char request_id[40];
@@ -11,13 +11,13 @@
 	char service[64];
 	char servers[512];
 	skh_error_kind_t kind;
-	skh_run_state_t run;
-	char text[SKH_ERROR_TEXT_BYTES];
+	skh_run_state_t run_state;
+	char error_text[SKH_ERROR_TEXT_BYTES];
 } decision_t;
 
 static GMutex lock;
-static decision_t ring[KEPT];
-static uint64_t n_noted;
+static decision_t ring[RING_ENTRIES];
+static uint64_t n_recorded;
 
 void skh_decisions_record(const char *request_id, const char *customer, const char *service,
 			  const char *const *servers, size_t n_servers, const skh_error_t *err)
@@ -25,7 +25,7 @@
 	decision_t *decision;
 
 	g_mutex_lock(&lock);
-	decision = &ring[n_noted++ % KEPT];
+	decision = &ring[n_recorded++ % RING_ENTRIES];
 	(void)g_strlcpy(decision->request_id, request_id, sizeof(decision->request_id));
 	(void)g_strlcpy(decision->customer, customer, sizeof(decision->customer));
 	(void)g_strlcpy(decision->service, service, sizeof(decision->service));
@@ -35,18 +35,18 @@
 		(void)g_strlcat(decision->servers, servers[i], sizeof(decision->servers));
 	}
 	decision->kind = err->kind;
-	decision->run = err->kind == SKH_OK ? SKH_RUN_RAN : err->run_state;
-	(void)g_strlcpy(decision->text, err->kind == SKH_OK ? "" : err->text,
-			sizeof(decision->text));
+	decision->run_state = err->kind == SKH_OK ? SKH_RUN_RAN : err->run_state;
+	(void)g_strlcpy(decision->error_text, err->kind == SKH_OK ? "" : err->text,
+			sizeof(decision->error_text));
 	g_mutex_unlock(&lock);
 }
 
-static json_t *describe(const decision_t *decision)
+static json_t *decision_to_json(const decision_t *decision)
 {
 	return json_pack("{s:s, s:s, s:s, s:s, s:s, s:s, s:s}", "request", decision->request_id,
 			 "customer", decision->customer, "service", decision->service, "servers",
 			 decision->servers, "kind", skh_error_kind_name(decision->kind), "run",
-			 skh_run_state_name(decision->run), "reason", decision->text);
+			 skh_run_state_name(decision->run_state), "reason", decision->error_text);
 }
 
 json_t *skh_decisions_find(const char *request_id)
@@ -54,9 +54,9 @@
 	json_t *found = NULL;
 
 	g_mutex_lock(&lock);
-	for (size_t i = 0; i < KEPT && !found; i++) {
+	for (size_t i = 0; i < RING_ENTRIES && !found; i++) {
 		if (*request_id && strcmp(ring[i].request_id, request_id) == 0)
-			found = describe(&ring[i]);
+			found = decision_to_json(&ring[i]);
 	}
 	g_mutex_unlock(&lock);
 	return found;
--- a/src/decisions.h
+++ b/src/decisions.h
@@ -4,8 +4,9 @@
 /**
  * DOC: Decisions
  *
- * Why the latest requests of this process were placed or refused, for the
- * operator who asks. A ring of fixed size; nothing of it lasts.
+ * The outcomes of the latest 1024 requests of this process, which an operator
+ * can query by request id. They are kept in memory only, in one ring guarded by
+ * a mutex; any thread may call these functions.
  */
 
 #include "error.h"
@@ -17,14 +18,23 @@
 #endif
 
 /**
- * skh_decisions_record() - what became of a request
- * @servers: ids that were tried, in their order; their texts are copied
- * @err: why it failed; SKH_OK when its answer was whole
+ * skh_decisions_record() - record the outcome of a request; replaces the oldest one
+ * @request_id: id of the request
+ * @customer: name of the customer; "" when unknown
+ * @service: name of the service; "" when unknown
+ * @servers: ids of the servers that were tried, in order; NULL when @n_servers is 0
+ * @n_servers: length of @servers
+ * @err: cause of the failure; its kind is SKH_OK when the response was complete
+ *
+ * All texts are copied; long ones are truncated.
  */
 void skh_decisions_record(const char *request_id, const char *customer, const char *service,
 			  const char *const *servers, size_t n_servers, const skh_error_t *err);
 
-/** skh_decisions_find() - new JSON object about @request_id, or NULL when it is not known */
+/**
+ * skh_decisions_find() - look up the outcome of a request
+ * Return: new JSON object, or NULL when @request_id is empty or not recorded.
+ */
 json_t *skh_decisions_find(const char *request_id);
 
 #ifdef __cplusplus
