--- a/src/decisions.h
+++ b/src/decisions.h
@@ -4,9 +4,9 @@
 /**
  * DOC: Decisions
  *
- * The outcomes of the latest 1024 requests of this process, which an operator
- * can query by request id. They are kept in memory only, in one ring guarded by
- * a mutex; any thread may call these functions.
+ * The outcomes of the latest requests of this process, which an operator can
+ * query by request id. One ring of fixed size in memory, guarded by a mutex; any
+ * thread may call the functions, and nothing is kept across a restart.
  */
 
 #include "error.h"
--- a/src/suspect.c
+++ b/src/suspect.c
@@ -4,32 +4,32 @@
 
 #include <glib.h>
 
-/* More backend servers than this lost within the window are the platform's fault. */
-#define WINDOW_US	  (2 * SKH_US_PER_S)
-#define CRASHES_IN_WINDOW 3
-#define MAX_REQUESTS	  65536
+/* More distinct crashes than this within the window are caused by the platform, not a request. */
+#define MAX_CRASHES_IN_WINDOW 3
+#define CRASH_WINDOW_US	      (2 * SKH_US_PER_S)
+#define MAX_RECORDS	      65536
 
 typedef struct crash {
 	uint64_t id;
-	int64_t until_us;
-	bool shared; /* seen in the shared records */
-	bool named;  /* by the load that is under way */
+	int64_t expires_us;
+	bool is_shared;	  /* has been in a snapshot of the shared records */
+	bool in_snapshot; /* is in the snapshot that is being read */
 } crash_t;
 
 typedef struct record {
-	uint64_t request;
+	uint64_t content_hash;
 	crash_t crashes[SKH_SUSPECT_QUARANTINE_CRASHES];
-	size_t n;
+	size_t n_crashes;
 } record_t;
 
-typedef struct recent {
-	uint64_t crash;
-	int64_t at_us;
-} recent_t;
+typedef struct recent_crash {
+	uint64_t id;
+	int64_t detected_us;
+} recent_crash_t;
 
 struct skh_suspects {
-	GHashTable *records; /* request -> record_t */
-	GQueue recent;	     /* recent_t, oldest first: distinct crashes of the window */
+	GHashTable *records; /* content hash -> record_t */
+	GQueue recent;	     /* recent_crash_t, oldest first: distinct crashes in the window */
 };
 
 skh_suspects_t *skh_suspects_new(void)
@@ -48,18 +48,18 @@
 	g_free(suspects);
 }
 
-static size_t count_valid(const record_t *record, int64_t now_us)
+static size_t count_unexpired(const record_t *record, int64_t now_us)
 {
 	size_t n = 0;
 
-	for (size_t i = 0; i < record->n; i++)
-		n += record->crashes[i].until_us > now_us;
+	for (size_t i = 0; i < record->n_crashes; i++)
+		n += record->crashes[i].expires_us > now_us;
 	return n;
 }
 
-static skh_suspect_state_t standing_of(const record_t *record, int64_t now_us)
+static skh_suspect_state_t get_record_state(const record_t *record, int64_t now_us)
 {
-	size_t n = count_valid(record, now_us);
+	size_t n = count_unexpired(record, now_us);
 
 	if (n == 0)
 		return SKH_SUSPECT_STATE_CLEAR;
@@ -67,117 +67,119 @@
 						  : SKH_SUSPECT_STATE_QUARANTINED;
 }
 
-skh_suspect_state_t skh_suspects_get_state(const skh_suspects_t *suspects, uint64_t request,
+skh_suspect_state_t skh_suspects_get_state(const skh_suspects_t *suspects, uint64_t content_hash,
 					   int64_t now_us)
 {
-	const record_t *record = g_hash_table_lookup(suspects->records, &request);
+	const record_t *record = g_hash_table_lookup(suspects->records, &content_hash);
 
-	return record ? standing_of(record, now_us) : SKH_SUSPECT_STATE_CLEAR;
+	return record ? get_record_state(record, now_us) : SKH_SUSPECT_STATE_CLEAR;
 }
 
-static void forget_old_crashes(skh_suspects_t *suspects, int64_t now_us)
+static void evict_old_crashes(skh_suspects_t *suspects, int64_t now_us)
 {
-	recent_t *oldest;
+	recent_crash_t *oldest;
 
 	while ((oldest = g_queue_peek_head(&suspects->recent)) != NULL &&
-	       oldest->at_us + WINDOW_US <= now_us)
+	       oldest->detected_us + CRASH_WINDOW_US <= now_us)
 		g_free(g_queue_pop_head(&suspects->recent));
 }
 
-static bool is_recent(const skh_suspects_t *suspects, uint64_t crash)
+static bool is_crash_in_window(const skh_suspects_t *suspects, uint64_t crash_id)
 {
 	for (const GList *item = suspects->recent.head; item; item = item->next) {
-		if (((const recent_t *)item->data)->crash == crash)
+		if (((const recent_crash_t *)item->data)->id == crash_id)
 			return true;
 	}
 	return false;
 }
 
-static bool is_platform_fault(skh_suspects_t *suspects, uint64_t crash, int64_t now_us)
+/* Adds the crash to the window; returns true when the window then holds too many crashes. */
+static bool detect_platform_fault(skh_suspects_t *suspects, uint64_t crash_id, int64_t now_us)
 {
-	recent_t *recent;
+	recent_crash_t *recent;
 
-	forget_old_crashes(suspects, now_us);
-	if (!is_recent(suspects, crash)) {
-		recent = g_new0(recent_t, 1);
-		recent->crash = crash;
-		recent->at_us = now_us;
+	evict_old_crashes(suspects, now_us);
+	if (!is_crash_in_window(suspects, crash_id)) {
+		recent = g_new0(recent_crash_t, 1);
+		recent->id = crash_id;
+		recent->detected_us = now_us;
 		g_queue_push_tail(&suspects->recent, recent);
 	}
-	return g_queue_get_length(&suspects->recent) > CRASHES_IN_WINDOW;
+	return g_queue_get_length(&suspects->recent) > MAX_CRASHES_IN_WINDOW;
 }
 
-static gboolean is_over(gpointer key, gpointer value, gpointer now_us)
+static gboolean is_expired(gpointer key, gpointer value, gpointer now_us)
 {
 	(void)key;
-	return count_valid(value, *(const int64_t *)now_us) == 0;
+	return count_unexpired(value, *(const int64_t *)now_us) == 0;
 }
 
-static record_t *record_of(skh_suspects_t *suspects, uint64_t request, int64_t now_us)
+static record_t *get_or_create_record(skh_suspects_t *suspects, uint64_t content_hash,
+				      int64_t now_us)
 {
-	record_t *record = g_hash_table_lookup(suspects->records, &request);
+	record_t *record = g_hash_table_lookup(suspects->records, &content_hash);
 
 	if (record)
 		return record;
-	if (g_hash_table_size(suspects->records) >= MAX_REQUESTS)
-		g_hash_table_foreach_remove(suspects->records, is_over, &now_us);
-	if (g_hash_table_size(suspects->records) >= MAX_REQUESTS)
+	if (g_hash_table_size(suspects->records) >= MAX_RECORDS)
+		g_hash_table_foreach_remove(suspects->records, is_expired, &now_us);
+	if (g_hash_table_size(suspects->records) >= MAX_RECORDS)
 		return NULL;
 	record = g_new0(record_t, 1);
-	record->request = request;
-	g_hash_table_insert(suspects->records, &record->request, record);
+	record->content_hash = content_hash;
+	g_hash_table_insert(suspects->records, &record->content_hash, record);
 	return record;
 }
 
 static void remove_crash(record_t *record, size_t index)
 {
-	record->crashes[index] = record->crashes[--record->n];
+	record->crashes[index] = record->crashes[--record->n_crashes];
 }
 
-/* Returns the crash as held against @request, or NULL when there is no room for it. */
-static crash_t *hold(skh_suspects_t *suspects, uint64_t request, uint64_t crash, int64_t now_us,
-		     bool *is_new)
+/* Returns the crash in the request's record, or NULL when the record or the table is full. */
+static crash_t *add_crash(skh_suspects_t *suspects, uint64_t content_hash, uint64_t crash_id,
+			  int64_t now_us, bool *is_new)
 {
-	record_t *record = record_of(suspects, request, now_us);
-	crash_t *held;
+	record_t *record = get_or_create_record(suspects, content_hash, now_us);
+	crash_t *crash;
 
 	*is_new = false;
 	if (!record)
 		return NULL;
-	for (size_t i = record->n; i-- > 0;) {
-		if (record->crashes[i].id == crash)
+	for (size_t i = record->n_crashes; i-- > 0;) {
+		if (record->crashes[i].id == crash_id)
 			return &record->crashes[i];
-		if (record->crashes[i].until_us <= now_us)
+		if (record->crashes[i].expires_us <= now_us)
 			remove_crash(record, i);
 	}
-	if (record->n == SKH_SUSPECT_QUARANTINE_CRASHES)
+	if (record->n_crashes == SKH_SUSPECT_QUARANTINE_CRASHES)
 		return NULL;
-	held = &record->crashes[record->n++];
-	*held = (crash_t){ crash, now_us + SKH_SUSPECT_EXPIRY_S * SKH_US_PER_S, false, false };
+	crash = &record->crashes[record->n_crashes++];
+	*crash = (crash_t){ crash_id, now_us + SKH_SUSPECT_EXPIRY_S * SKH_US_PER_S, false, false };
 	*is_new = true;
-	return held;
+	return crash;
 }
 
-bool skh_suspects_record_crash(skh_suspects_t *suspects, uint64_t request, uint64_t crash,
+bool skh_suspects_record_crash(skh_suspects_t *suspects, uint64_t content_hash, uint64_t crash_id,
 			       int64_t now_us)
 {
 	bool is_new;
 
-	if (is_platform_fault(suspects, crash, now_us))
+	if (detect_platform_fault(suspects, crash_id, now_us))
 		return false;
-	(void)hold(suspects, request, crash, now_us, &is_new);
+	(void)add_crash(suspects, content_hash, crash_id, now_us, &is_new);
 	return is_new;
 }
 
-size_t skh_suspects_clear(skh_suspects_t *suspects, uint64_t request,
-			  uint64_t crashes[SKH_SUSPECT_QUARANTINE_CRASHES])
+size_t skh_suspects_clear(skh_suspects_t *suspects, uint64_t content_hash,
+			  uint64_t crash_ids[SKH_SUSPECT_QUARANTINE_CRASHES])
 {
-	const record_t *record = g_hash_table_lookup(suspects->records, &request);
-	size_t n = record ? record->n : 0;
+	const record_t *record = g_hash_table_lookup(suspects->records, &content_hash);
+	size_t n = record ? record->n_crashes : 0;
 
 	for (size_t i = 0; i < n; i++)
-		crashes[i] = record->crashes[i].id;
-	g_hash_table_remove(suspects->records, &request);
+		crash_ids[i] = record->crashes[i].id;
+	g_hash_table_remove(suspects->records, &content_hash);
 	return n;
 }
 
@@ -190,21 +192,21 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		record_t *record = value;
 
-		for (size_t i = 0; i < record->n; i++)
-			record->crashes[i].named = false;
+		for (size_t i = 0; i < record->n_crashes; i++)
+			record->crashes[i].in_snapshot = false;
 	}
 }
 
-void skh_suspects_add_snapshot_crash(skh_suspects_t *suspects, uint64_t request, uint64_t crash,
-				     int64_t now_us)
+void skh_suspects_add_snapshot_crash(skh_suspects_t *suspects, uint64_t content_hash,
+				     uint64_t crash_id, int64_t now_us)
 {
 	bool is_new;
-	crash_t *held = hold(suspects, request, crash, now_us, &is_new);
+	crash_t *crash = add_crash(suspects, content_hash, crash_id, now_us, &is_new);
 
-	if (!held)
+	if (!crash)
 		return;
-	held->shared = true;
-	held->named = true;
+	crash->is_shared = true;
+	crash->in_snapshot = true;
 }
 
 void skh_suspects_end_snapshot(skh_suspects_t *suspects)
@@ -216,11 +218,11 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		record_t *record = value;
 
-		for (size_t i = record->n; i-- > 0;) {
-			if (record->crashes[i].shared && !record->crashes[i].named)
+		for (size_t i = record->n_crashes; i-- > 0;) {
+			if (record->crashes[i].is_shared && !record->crashes[i].in_snapshot)
 				remove_crash(record, i);
 		}
-		if (record->n == 0)
+		if (record->n_crashes == 0)
 			g_hash_table_iter_remove(&iter);
 	}
 }
@@ -234,9 +236,9 @@
 	g_hash_table_iter_init(&iter, suspects->records);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const record_t *record = value;
-		skh_suspect_state_t standing = standing_of(record, now_us);
+		skh_suspect_state_t state = get_record_state(record, now_us);
 
-		if (standing != SKH_SUSPECT_STATE_CLEAR)
-			fn(context, record->request, standing);
+		if (state != SKH_SUSPECT_STATE_CLEAR)
+			fn(context, record->content_hash, state);
 	}
 }
--- a/src/suspect.h
+++ b/src/suspect.h
@@ -2,15 +2,17 @@
 #define SKH_SUSPECT_H
 
 /**
- * DOC: Suspects
+ * DOC: Crash suspects
  *
- * Requests that were running when a backend server crashed, recognised by a
- * hash of their content, so that one sent again under a new id is known. Pure
- * state; the owner serialises calls.
+ * Counts, per request content, the backend server crashes that happened while
+ * the request was running. A request is identified by a hash of its content, so
+ * that a retry by the caller under a new request id is recognised. Pure state;
+ * the owner serialises calls.
  *
  * One crash makes a request a suspect: it still runs, but a backend server runs
- * one suspect at a time. A second crash puts it in quarantine: it is refused.
- * A whole answer clears it, and so does time.
+ * at most one suspect at a time. A second crash quarantines the request: it is
+ * rejected. A complete response clears a request, and each crash expires after
+ * SKH_SUSPECT_EXPIRY_S.
  */
 
 #include <stdbool.h>
@@ -21,56 +23,64 @@
 extern "C" {
 #endif
 
-/** SKH_SUSPECT_QUARANTINE_CRASHES - crashes that put a request in quarantine */
+/** SKH_SUSPECT_QUARANTINE_CRASHES - distinct crashes after which a request is quarantined */
 #define SKH_SUSPECT_QUARANTINE_CRASHES 2
-/** SKH_SUSPECT_EXPIRY_S - how long a crash is held against a request */
+/** SKH_SUSPECT_EXPIRY_S - seconds for which a crash counts against a request */
 #define SKH_SUSPECT_EXPIRY_S 3600
 
+/** enum skh_suspect_state - how a request is treated */
 typedef enum skh_suspect_state {
-	SKH_SUSPECT_STATE_CLEAR,
-	SKH_SUSPECT_STATE_SUSPECT,
-	SKH_SUSPECT_STATE_QUARANTINED
+	SKH_SUSPECT_STATE_CLEAR,      /* no crash counts: it runs */
+	SKH_SUSPECT_STATE_SUSPECT,    /* it runs, one suspect at a time per backend server */
+	SKH_SUSPECT_STATE_QUARANTINED /* it is rejected */
 } skh_suspect_state_t;
 
 typedef struct skh_suspects skh_suspects_t;
 
+/** skh_suspects_new() - allocate an empty table; free it with skh_suspects_free() */
 skh_suspects_t *skh_suspects_new(void);
 void skh_suspects_free(skh_suspects_t *suspects);
 
-/** skh_suspects_get_state() - how the request with content hash @request is to be treated */
-skh_suspect_state_t skh_suspects_get_state(const skh_suspects_t *suspects, uint64_t request,
+/** skh_suspects_get_state() - state of the request with @content_hash at @now_us */
+skh_suspect_state_t skh_suspects_get_state(const skh_suspects_t *suspects, uint64_t content_hash,
 					   int64_t now_us);
 
 /**
- * skh_suspects_record_crash() - @request was running when @crash happened
+ * skh_suspects_record_crash() - record that a backend server crashed while a request was running
+ * @content_hash: hash of the request's content
+ * @crash_id: id of the crash, the same for all requests that were running there
  *
- * When many backend servers are lost at once the cause is the platform, and no
- * request is accused.
- * Return: true when this is new and has to be made known.
+ * When many backend servers crash at once the cause is the platform rather than a request, and
+ * further crashes are not recorded.
+ * Return: true when the crash is newly recorded and has to be shared with other entries.
  */
-bool skh_suspects_record_crash(skh_suspects_t *suspects, uint64_t request, uint64_t crash,
+bool skh_suspects_record_crash(skh_suspects_t *suspects, uint64_t content_hash, uint64_t crash_id,
 			       int64_t now_us);
 
 /**
- * skh_suspects_clear() - @request was answered whole, or an operator clears it
- * @crashes: receives the crashes that were held against it
- * Return: their number.
+ * skh_suspects_clear() - remove a request, after a complete response or by an operator
+ * @crash_ids: receives the crashes that were recorded against the request
+ * Return: number of ids written to @crash_ids.
  */
-size_t skh_suspects_clear(skh_suspects_t *suspects, uint64_t request,
-			  uint64_t crashes[SKH_SUSPECT_QUARANTINE_CRASHES]);
+size_t skh_suspects_clear(skh_suspects_t *suspects, uint64_t content_hash,
+			  uint64_t crash_ids[SKH_SUSPECT_QUARANTINE_CRASHES]);
 
 /**
- * skh_suspects_begin_snapshot() - the shared records follow, all of them
+ * skh_suspects_begin_snapshot() - begin to replace the shared records by a complete snapshot
  *
- * Those not named before skh_suspects_end_snapshot() were removed by others; records
- * of this process that were never shared stay.
+ * skh_suspects_end_snapshot() removes the shared crashes that are not in the snapshot, as other
+ * entries have removed them. Crashes that only this process has recorded stay.
  */
 void skh_suspects_begin_snapshot(skh_suspects_t *suspects);
-void skh_suspects_add_snapshot_crash(skh_suspects_t *suspects, uint64_t request, uint64_t crash,
-				     int64_t now_us);
+
+/** skh_suspects_add_snapshot_crash() - add one shared crash of the snapshot */
+void skh_suspects_add_snapshot_crash(skh_suspects_t *suspects, uint64_t content_hash,
+				     uint64_t crash_id, int64_t now_us);
+
+/** skh_suspects_end_snapshot() - remove the shared crashes that are not in the snapshot */
 void skh_suspects_end_snapshot(skh_suspects_t *suspects);
 
-typedef void (*skh_suspect_fn)(void *context, uint64_t request, skh_suspect_state_t standing);
+typedef void (*skh_suspect_fn)(void *context, uint64_t content_hash, skh_suspect_state_t state);
 
 /** skh_suspects_for_each() - call @fn for each request that is not clear */
 void skh_suspects_for_each(const skh_suspects_t *suspects, int64_t now_us, skh_suspect_fn fn,
