--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -11,45 +11,45 @@
 #include <stdio.h>
 #include <string.h>
 
-#define PART	       "quarantine"
-#define FOLDER	       "suspects/"
-#define BATCH	       64
-#define MAX_PENDING    4096
-#define RETRY_US       (1 * SKH_US_PER_S)
-#define LEASE_PERIOD_S 600
-
-/* One write that the key-value service has not confirmed yet. */
-typedef struct change {
+#define PART		   "quarantine"
+#define KEY_FOLDER	   "suspects/"
+#define MAX_BATCH_WRITES   64
+#define MAX_PENDING_WRITES 4096
+#define RETRY_DELAY_US	   (1 * SKH_US_PER_S) /* plus up to as much jitter */
+#define LEASE_PERIOD_S	   600
+
+/* A write that the key-value service has not confirmed yet. */
+typedef struct pending_write {
 	char *key;
-	bool remove;
-} change_t;
+	bool is_delete;
+} pending_write_t;
 
 struct skh_quarantine {
 	skh_store_t *store;
 	char *prefix;
 	skh_mirror_t *mirror;
-	pthread_t thread;
+	pthread_t writer_thread;
 	GMutex lock;
 	GCond wake;
-	bool stop;
+	bool stop_requested;
 	skh_suspects_t *suspects;
-	GQueue pending;		  /* change_t, oldest first */
+	GQueue pending;		  /* pending_write_t, oldest first */
 	skh_period_lease_t lease; /* writer thread only */
 };
 
-static void free_change(gpointer item)
+static void free_pending_write(gpointer item)
 {
-	change_t *change = item;
+	pending_write_t *write = item;
 
-	g_free(change->key);
-	g_free(change);
+	g_free(write->key);
+	g_free(write);
 }
 
-static bool on_records(void *context, GHashTable *pairs)
+static bool on_shared_records(void *context, GHashTable *pairs)
 {
 	skh_quarantine_t *quarantine = context;
 	int64_t now_us = skh_clock_now_us();
-	size_t skip = strlen(quarantine->prefix);
+	size_t prefix_len = strlen(quarantine->prefix);
 	GHashTableIter iter;
 	gpointer key;
 
@@ -57,89 +57,91 @@
 	skh_suspects_begin_snapshot(quarantine->suspects);
 	g_hash_table_iter_init(&iter, pairs);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
-		uint64_t request;
-		uint64_t crash;
+		uint64_t content_hash;
+		uint64_t crash_id;
 
-		if (sscanf((const char *)key + skip, "%16" SCNx64 "/%16" SCNx64, &request,
-			   &crash) == 2)
-			skh_suspects_add_snapshot_crash(quarantine->suspects, request, crash,
-							now_us);
+		if (sscanf((const char *)key + prefix_len, "%16" SCNx64 "/%16" SCNx64,
+			   &content_hash, &crash_id) == 2)
+			skh_suspects_add_snapshot_crash(quarantine->suspects, content_hash,
+							crash_id, now_us);
 	}
 	skh_suspects_end_snapshot(quarantine->suspects);
 	g_mutex_unlock(&quarantine->lock);
 	return true;
 }
 
-/* Takes the oldest changes of differing keys; a second change of a key waits. */
-static size_t take_batch(skh_quarantine_t *quarantine, change_t **batch)
+/* Dequeues the oldest writes up to the first repeated key: a transaction has each key once. */
+static size_t dequeue_batch(skh_quarantine_t *quarantine, pending_write_t **batch)
 {
 	g_autoptr(GHashTable) keys = g_hash_table_new(g_str_hash, g_str_equal);
-	change_t *oldest;
+	pending_write_t *oldest;
 	size_t n = 0;
 
-	while (n < BATCH && (oldest = g_queue_peek_head(&quarantine->pending)) != NULL &&
+	while (n < MAX_BATCH_WRITES && (oldest = g_queue_peek_head(&quarantine->pending)) != NULL &&
 	       g_hash_table_add(keys, oldest->key))
 		batch[n++] = g_queue_pop_head(&quarantine->pending);
 	return n;
 }
 
-static bool write_batch(skh_quarantine_t *quarantine, change_t *const *batch, size_t n)
+static bool write_batch(skh_quarantine_t *quarantine, pending_write_t *const *batch, size_t n)
 {
-	skh_txn_op_t ops[BATCH];
+	skh_txn_op_t ops[MAX_BATCH_WRITES];
 	skh_txn_t txn = { .ops = ops, .n_ops = n };
 	skh_txn_result_t result;
 	skh_error_t err;
-	bool written = skh_period_lease_ensure(&quarantine->lease, quarantine->store,
-					       skh_clock_now_us(), &err);
+	bool is_written = skh_period_lease_ensure(&quarantine->lease, quarantine->store,
+						  skh_clock_now_us(), &err);
 
 	for (size_t i = 0; i < n; i++)
-		ops[i] = (skh_txn_op_t){ batch[i]->remove ? SKH_TXN_OP_DELETE : SKH_TXN_OP_PUT,
+		ops[i] = (skh_txn_op_t){ batch[i]->is_delete ? SKH_TXN_OP_DELETE : SKH_TXN_OP_PUT,
 					 batch[i]->key, "", quarantine->lease.id };
-	written = written && quarantine->store->ops->txn(quarantine->store, &txn, &result, &err);
-	if (written)
+	is_written =
+		is_written && quarantine->store->ops->txn(quarantine->store, &txn, &result, &err);
+	if (is_written)
 		skh_kv_pairs_clear(&result.pairs);
 	else
-		skh_log(SKH_LOG_WARNING, PART, "Suspects can't be made known.", "reason=%s",
-			err.text);
-	return written;
+		skh_log(SKH_LOG_WARNING, PART,
+			"Crash suspects could not be written to the key-value service; retrying.",
+			"reason=%s", err.text);
+	return is_written;
 }
 
-/* Puts back what was not written, in its order, and waits. */
-static void put_back(skh_quarantine_t *quarantine, change_t **batch, size_t n)
+/* Puts an unwritten batch back at the head of the queue, in order, and waits for the retry. */
+static void requeue_and_wait(skh_quarantine_t *quarantine, pending_write_t **batch, size_t n)
 {
-	int64_t until_us =
-		skh_clock_now_us() + RETRY_US + (int64_t)(skh_random_u64() % (uint64_t)RETRY_US);
+	int64_t deadline_us = skh_clock_now_us() + RETRY_DELAY_US +
+			      (int64_t)(skh_random_u64() % (uint64_t)RETRY_DELAY_US);
 
 	g_mutex_lock(&quarantine->lock);
 	while (n > 0)
 		g_queue_push_head(&quarantine->pending, batch[--n]);
-	while (!quarantine->stop &&
-	       g_cond_wait_until(&quarantine->wake, &quarantine->lock, until_us))
+	while (!quarantine->stop_requested &&
+	       g_cond_wait_until(&quarantine->wake, &quarantine->lock, deadline_us))
 		continue;
 	g_mutex_unlock(&quarantine->lock);
 }
 
-static void *run(void *argument)
+static void *run_writer(void *argument)
 {
 	skh_quarantine_t *quarantine = argument;
-	change_t *batch[BATCH];
+	pending_write_t *batch[MAX_BATCH_WRITES];
 
 	for (;;) {
 		bool stop;
 		size_t n;
 
 		g_mutex_lock(&quarantine->lock);
-		while (g_queue_is_empty(&quarantine->pending) && !quarantine->stop)
+		while (g_queue_is_empty(&quarantine->pending) && !quarantine->stop_requested)
 			g_cond_wait(&quarantine->wake, &quarantine->lock);
-		stop = quarantine->stop;
-		n = take_batch(quarantine, batch);
+		stop = quarantine->stop_requested;
+		n = dequeue_batch(quarantine, batch);
 		g_mutex_unlock(&quarantine->lock);
 		if (n > 0 && !write_batch(quarantine, batch, n))
-			put_back(quarantine, batch, n);
+			requeue_and_wait(quarantine, batch, n);
 		else
 			for (size_t i = 0; i < n; i++)
-				free_change(batch[i]);
-		/* What is unwritten at a stop is lost with the process, as at a crash. */
+				free_pending_write(batch[i]);
+		/* Writes that are still pending are lost at a stop, as in a crash of the process. */
 		if (stop)
 			return NULL;
 	}
@@ -150,27 +152,28 @@
 	skh_quarantine_t *quarantine = g_new0(skh_quarantine_t, 1);
 
 	quarantine->store = store;
-	quarantine->prefix = g_strconcat(store_prefix, FOLDER, NULL);
+	quarantine->prefix = g_strconcat(store_prefix, KEY_FOLDER, NULL);
 	quarantine->suspects = skh_suspects_new();
 	quarantine->lease.period_s = LEASE_PERIOD_S;
 	quarantine->lease.min_ttl_s = SKH_SUSPECT_EXPIRY_S;
 	g_mutex_init(&quarantine->lock);
 	g_cond_init(&quarantine->wake);
 	g_queue_init(&quarantine->pending);
-	quarantine->mirror = skh_mirror_start(store, quarantine->prefix, on_records, quarantine);
-	(void)pthread_create(&quarantine->thread, NULL, run, quarantine);
+	quarantine->mirror =
+		skh_mirror_start(store, quarantine->prefix, on_shared_records, quarantine);
+	(void)pthread_create(&quarantine->writer_thread, NULL, run_writer, quarantine);
 	return quarantine;
 }
 
 void skh_quarantine_stop(skh_quarantine_t *quarantine)
 {
 	g_mutex_lock(&quarantine->lock);
-	quarantine->stop = true;
+	quarantine->stop_requested = true;
 	g_cond_signal(&quarantine->wake);
 	g_mutex_unlock(&quarantine->lock);
-	(void)pthread_join(quarantine->thread, NULL);
+	(void)pthread_join(quarantine->writer_thread, NULL);
 	skh_mirror_stop(quarantine->mirror);
-	g_queue_clear_full(&quarantine->pending, free_change);
+	g_queue_clear_full(&quarantine->pending, free_pending_write);
 	skh_suspects_free(quarantine->suspects);
 	g_cond_clear(&quarantine->wake);
 	g_mutex_clear(&quarantine->lock);
@@ -178,70 +181,72 @@
 	g_free(quarantine);
 }
 
-skh_suspect_state_t skh_quarantine_get_state(skh_quarantine_t *quarantine, uint64_t request)
+skh_suspect_state_t skh_quarantine_get_state(skh_quarantine_t *quarantine, uint64_t content_hash)
 {
-	skh_suspect_state_t standing;
+	skh_suspect_state_t state;
 
 	g_mutex_lock(&quarantine->lock);
-	standing = skh_suspects_get_state(quarantine->suspects, request, skh_clock_now_us());
+	state = skh_suspects_get_state(quarantine->suspects, content_hash, skh_clock_now_us());
 	g_mutex_unlock(&quarantine->lock);
-	return standing;
+	return state;
 }
 
-/* The caller holds the lock. */
-static void push_change(skh_quarantine_t *quarantine, uint64_t request, uint64_t crash, bool remove)
+/* The caller holds the lock. A full queue drops the write. */
+static void enqueue_write(skh_quarantine_t *quarantine, uint64_t content_hash, uint64_t crash_id,
+			  bool is_delete)
 {
-	change_t *change;
+	pending_write_t *write;
 
-	if (g_queue_get_length(&quarantine->pending) >= MAX_PENDING)
+	if (g_queue_get_length(&quarantine->pending) >= MAX_PENDING_WRITES)
 		return;
-	change = g_new0(change_t, 1);
-	change->key =
-		g_strdup_printf("%s%016" PRIx64 "/%016" PRIx64, quarantine->prefix, request, crash);
-	change->remove = remove;
-	g_queue_push_tail(&quarantine->pending, change);
+	write = g_new0(pending_write_t, 1);
+	write->key = g_strdup_printf("%s%016" PRIx64 "/%016" PRIx64, quarantine->prefix,
+				     content_hash, crash_id);
+	write->is_delete = is_delete;
+	g_queue_push_tail(&quarantine->pending, write);
 	g_cond_signal(&quarantine->wake);
 }
 
-void skh_quarantine_record_crash(skh_quarantine_t *quarantine, uint64_t request, uint64_t crash)
+void skh_quarantine_record_crash(skh_quarantine_t *quarantine, uint64_t content_hash,
+				 uint64_t crash_id)
 {
 	bool is_new;
 
 	g_mutex_lock(&quarantine->lock);
-	is_new =
-		skh_suspects_record_crash(quarantine->suspects, request, crash, skh_clock_now_us());
+	is_new = skh_suspects_record_crash(quarantine->suspects, content_hash, crash_id,
+					   skh_clock_now_us());
 	if (is_new)
-		push_change(quarantine, request, crash, false);
+		enqueue_write(quarantine, content_hash, crash_id, false);
 	g_mutex_unlock(&quarantine->lock);
 	if (!is_new)
 		return;
 	skh_metrics_add(SKH_COUNT_ACCUSED, 1);
-	skh_log(SKH_LOG_WARNING, PART, "A request ran when its backend server crashed.",
-		"content=%016" PRIx64 " crash=%016" PRIx64, request, crash);
+	skh_log(SKH_LOG_WARNING, PART,
+		"Backend server crashed while running a request; crash recorded.",
+		"content=%016" PRIx64 " crash=%016" PRIx64, content_hash, crash_id);
 }
 
-bool skh_quarantine_clear(skh_quarantine_t *quarantine, uint64_t request)
+bool skh_quarantine_clear(skh_quarantine_t *quarantine, uint64_t content_hash)
 {
-	uint64_t crashes[SKH_SUSPECT_QUARANTINE_CRASHES];
+	uint64_t crash_ids[SKH_SUSPECT_QUARANTINE_CRASHES];
 	size_t n;
 
 	g_mutex_lock(&quarantine->lock);
-	n = skh_suspects_clear(quarantine->suspects, request, crashes);
+	n = skh_suspects_clear(quarantine->suspects, content_hash, crash_ids);
 	for (size_t i = 0; i < n; i++)
-		push_change(quarantine, request, crashes[i], true);
+		enqueue_write(quarantine, content_hash, crash_ids[i], true);
 	g_mutex_unlock(&quarantine->lock);
 	return n > 0;
 }
 
-static void list_one(void *context, uint64_t request, skh_suspect_state_t standing)
+static void append_suspect(void *context, uint64_t content_hash, skh_suspect_state_t state)
 {
 	char content[20];
 
-	(void)g_snprintf(content, sizeof(content), "%016" PRIx64, request);
+	(void)g_snprintf(content, sizeof(content), "%016" PRIx64, content_hash);
 	json_array_append_new(
-		context,
-		json_pack("{s:s, s:s}", "content", content, "standing",
-			  standing == SKH_SUSPECT_STATE_SUSPECT ? "suspect" : "quarantined"));
+		context, json_pack("{s:s, s:s}", "content", content, "standing",
+				   state == SKH_SUSPECT_STATE_SUSPECT ? "suspect" : "quarantined"));
 }
 
 json_t *skh_quarantine_list(skh_quarantine_t *quarantine)
@@ -249,7 +254,7 @@
 	json_t *list = json_array();
 
 	g_mutex_lock(&quarantine->lock);
-	skh_suspects_for_each(quarantine->suspects, skh_clock_now_us(), list_one, list);
+	skh_suspects_for_each(quarantine->suspects, skh_clock_now_us(), append_suspect, list);
 	g_mutex_unlock(&quarantine->lock);
 	return list;
 }
