--- a/test/retry_budget_test.cc
+++ b/test/retry_budget_test.cc
@@ -1,4 +1,4 @@
-// Retry budgets: lost work does not multiply the load.
+// Retry budgets: retries of lost requests do not multiply the load.
 #include "retry_budget.h"
 
 #include "clock.h"
@@ -19,66 +19,67 @@
 	return BudgetPtr(skh_retry_budget_new(), skh_retry_budget_free);
 }
 
-// A third of the servers takes work and loses it, for as long as it is asked.
-double sent_for_each_offered(bool with_budget)
+// A third of the servers loses every request; a lost request is retried at once.
+double sends_per_request(bool with_budget)
 {
-	constexpr int kOffered = 20000;
-	constexpr int64_t kGap_us = 160 * SKH_US_PER_MS; /* 2,500 a second at 400 entries */
+	constexpr int kRequests = 20000;
+	/* 2,500 requests per second over 400 entries. */
+	constexpr int64_t kInterval_us = 160 * SKH_US_PER_MS;
 	BudgetPtr budget = new_budget();
 	std::mt19937 random(7);
 	int64_t now_us = 1;
-	int sent = 0;
+	int n_sends = 0;
 
-	for (int i = 0; i < kOffered; i++) {
-		now_us += kGap_us;
+	for (int i = 0; i < kRequests; i++) {
+		now_us += kInterval_us;
 		skh_retry_budget_record_request(budget.get(), "a", now_us);
-		sent++;
+		n_sends++;
 		while (random() % 3 == 0) {
 			if (with_budget && !skh_retry_budget_acquire(budget.get(), "a", now_us))
 				break;
-			sent++;
+			n_sends++;
 		}
 		skh_retry_budget_record_end(budget.get(), "a");
 	}
-	return static_cast<double>(sent) / kOffered;
+	return static_cast<double>(n_sends) / kRequests;
 }
 
-TEST(Budget, AThirdOfTheServersGoneAddsATenthAtMost)
+TEST(RetryBudget, LossOfAThirdOfTheServersAddsAtMostATenth)
 {
-	EXPECT_GT(sent_for_each_offered(false), 1.4);
-	EXPECT_LE(sent_for_each_offered(true), 1.1);
+	EXPECT_GT(sends_per_request(false), 1.4);
+	EXPECT_LE(sends_per_request(true), 1.1);
 }
 
-TEST(Budget, OneCustomersLossesLeaveTheOthersTheirs)
+TEST(RetryBudget, OneCustomersLossesDoNotUseUpAnothersBudget)
 {
 	BudgetPtr budget = new_budget();
-	int taken = 0;
+	int n_acquired = 0;
 
 	for (int i = 0; i < 400; i++)
 		skh_retry_budget_record_request(budget.get(), "b", 1);
 	while (skh_retry_budget_acquire(budget.get(), "a", 1))
-		taken++;
-	EXPECT_GT(taken, 0);
+		n_acquired++;
+	EXPECT_GT(n_acquired, 0);
 	for (int i = 0; i < 400; i++)
 		skh_retry_budget_record_request(budget.get(), "b", 1);
 	EXPECT_FALSE(skh_retry_budget_acquire(budget.get(), "a", 1));
 	EXPECT_TRUE(skh_retry_budget_acquire(budget.get(), "b", 1));
 }
 
-TEST(Budget, ALostServerAmongManyIsMadeGoodAtOnce)
+TEST(RetryBudget, LossOfOneServerAmongManyIsRetriedAtOnce)
 {
 	BudgetPtr budget = new_budget();
-	int taken = 0;
+	int n_acquired = 0;
 
 	for (int i = 0; i < 1000; i++)
 		skh_retry_budget_record_request(budget.get(), "a", 1);
 	while (skh_retry_budget_acquire(budget.get(), "a", 1))
-		taken++;
-	/* One server of a dozen. */
-	EXPECT_GE(taken, 1000 / 12);
+		n_acquired++;
+	/* The requests of one server out of twelve. */
+	EXPECT_GE(n_acquired, 1000 / 12);
 }
 
-TEST(Budget, AQuietCustomersWorkGoesOnInTheEnd)
+TEST(RetryBudget, BudgetOfAnIdleCustomerRefills)
 {
 	BudgetPtr budget = new_budget();
 
