--- a/test/peer_selection_test.cc
+++ b/test/peer_selection_test.cc
@@ -1,4 +1,4 @@
-// The choice of a sidecar, as a pure function of the view.
+// Selection of a sidecar as a pure function of the view that an entry has of its peers.
 #include "clock.h"
 #include "prefix_share.h"
 #include "peer_selection.h"
@@ -25,7 +25,7 @@
 		}
 		sync();
 		for (size_t i = 0; i < n; i++)
-			say(i, SKH_PHASE_READY, 1);
+			report(i, SKH_PHASE_READY, 1);
 	}
 
 	void sync()
@@ -35,7 +35,7 @@
 		skh_peers_sync(peers.get(), &list, now_us);
 	}
 
-	bool say(size_t i, skh_phase_t phase, uint64_t incarnation, uint32_t running = 0)
+	bool report(size_t i, skh_phase_t phase, uint64_t incarnation, uint32_t running = 0)
 	{
 		Skh__Status status = SKH__STATUS__INIT;
 
@@ -52,7 +52,7 @@
 		return skh_peers_find(peers.get(), ids[i].c_str());
 	}
 
-	skh_peer_t *pick(uint64_t random, uint64_t prefix = 0)
+	skh_peer_t *select_peer(uint64_t random, uint64_t prefix = 0)
 	{
 		skh_peer_query_t query = {};
 		skh_error_t err = {};
@@ -79,21 +79,21 @@
 	char *domains[3] = { nairobi, mombasa, kisumu };
 };
 
-TEST(Route, ALeavingPeerGetsNothingWhoeverSaysSo)
+TEST(PeerSelection, LeavingPeerIsNotSelectedByStatusOrList)
 {
 	Fleet fleet(2);
 
-	fleet.say(0, SKH_PHASE_LEAVING, 1);
+	fleet.report(0, SKH_PHASE_LEAVING, 1);
 	for (uint64_t r = 0; r < 64; r++)
-		EXPECT_EQ(fleet.pick(r * 0x9e3779b97f4a7c15U), fleet.peer(1));
-	fleet.say(0, SKH_PHASE_READY, 1);
+		EXPECT_EQ(fleet.select_peer(r * 0x9e3779b97f4a7c15U), fleet.peer(1));
+	fleet.report(0, SKH_PHASE_READY, 1);
 	fleet.members[1].leaving = true;
 	fleet.sync();
 	for (uint64_t r = 0; r < 64; r++)
-		EXPECT_EQ(fleet.pick(r * 0x9e3779b97f4a7c15U), fleet.peer(0));
+		EXPECT_EQ(fleet.select_peer(r * 0x9e3779b97f4a7c15U), fleet.peer(0));
 }
 
-TEST(Route, NobodyLeftSaysWhenToComeBack)
+TEST(PeerSelection, NoBackendErrorHasARetryTime)
 {
 	Fleet fleet(1);
 	skh_peer_query_t query = {};
@@ -107,7 +107,7 @@
 	EXPECT_GT(err.retry_at_us, fleet.now_us);
 }
 
-TEST(Route, EjectingOutliersNeverEmptiesThePool)
+TEST(PeerSelection, EjectingOutliersNeverEmptiesThePool)
 {
 	Fleet fleet(3);
 
@@ -115,69 +115,69 @@
 		skh_peers_begin_request(fleet.peer(i), fleet.now_us);
 		skh_peers_end_request(fleet.peer(i), false, fleet.now_us);
 	}
-	EXPECT_NE(fleet.pick(5), nullptr);
+	EXPECT_NE(fleet.select_peer(5), nullptr);
 }
 
-TEST(Route, AnOutlierIsAvoidedWhileOthersAreLeft)
+TEST(PeerSelection, OutlierIsAvoidedWhileOtherPeersAreLeft)
 {
 	Fleet fleet(3);
 
 	skh_peers_begin_request(fleet.peer(0), fleet.now_us);
 	skh_peers_end_request(fleet.peer(0), false, fleet.now_us);
 	for (uint64_t r = 0; r < 64; r++)
-		EXPECT_NE(fleet.pick(r * 0x9e3779b97f4a7c15U), fleet.peer(0));
+		EXPECT_NE(fleet.select_peer(r * 0x9e3779b97f4a7c15U), fleet.peer(0));
 	fleet.now_us += 10 * SKH_US_PER_S;
 	bool used = false;
 	for (uint64_t r = 0; r < 64; r++)
-		used = used || fleet.pick(r * 0x9e3779b97f4a7c15U) == fleet.peer(0);
+		used = used || fleet.select_peer(r * 0x9e3779b97f4a7c15U) == fleet.peer(0);
 	EXPECT_TRUE(used);
 }
 
-TEST(Route, APrefixStaysAtHomeUntilItsHomeIsTooFull)
+TEST(PeerSelection, PrefixKeepsItsPreferredPeerUntilThatPeerIsFull)
 {
 	Fleet fleet(6);
-	skh_peer_t *home = fleet.pick(1, 12345);
+	skh_peer_t *preferred = fleet.select_peer(1, 12345);
 
 	for (uint64_t r = 0; r < 32; r++)
-		EXPECT_EQ(fleet.pick(r * 77, 12345), home);
+		EXPECT_EQ(fleet.select_peer(r * 77, 12345), preferred);
 	for (int i = 0; i < 8; i++)
-		skh_peers_begin_request(home, fleet.now_us);
-	EXPECT_NE(fleet.pick(1, 12345), home);
+		skh_peers_begin_request(preferred, fleet.now_us);
+	EXPECT_NE(fleet.select_peer(1, 12345), preferred);
 }
 
-TEST(Route, EveryEntryAgreesOnTheOrderOfHomes)
+TEST(PeerSelection, EntriesAgreeOnTheOrderOfPreferredPeers)
 {
 	Fleet one(8);
 	Fleet other(8);
-	skh_peer_t *home = one.pick(1, 777);
+	skh_peer_t *preferred = one.select_peer(1, 777);
 
-	EXPECT_STREQ(home->id, other.pick(99, 777)->id);
-	one.say(static_cast<size_t>(atoi(home->id + 1)), SKH_PHASE_READY, 1, 8);
-	other.say(static_cast<size_t>(atoi(home->id + 1)), SKH_PHASE_READY, 1, 8);
-	EXPECT_STRNE(home->id, one.pick(1, 777)->id);
-	EXPECT_STREQ(one.pick(1, 777)->id, other.pick(99, 777)->id);
+	EXPECT_STREQ(preferred->id, other.select_peer(99, 777)->id);
+	one.report(static_cast<size_t>(atoi(preferred->id + 1)), SKH_PHASE_READY, 1, 8);
+	other.report(static_cast<size_t>(atoi(preferred->id + 1)), SKH_PHASE_READY, 1, 8);
+	EXPECT_STRNE(preferred->id, one.select_peer(1, 777)->id);
+	EXPECT_STREQ(one.select_peer(1, 777)->id, other.select_peer(99, 777)->id);
 }
 
-TEST(Route, AServerThatWasFullAWhileAgoIsAskedAgain)
+TEST(PeerSelection, PeerIsSelectedAgainWhenItsFullReportIsOld)
 {
 	Fleet fleet(8);
-	skh_peer_t *home = fleet.pick(1, 777);
-	const size_t index = static_cast<size_t>(atoi(home->id + 1));
+	skh_peer_t *preferred = fleet.select_peer(1, 777);
+	const size_t index = static_cast<size_t>(atoi(preferred->id + 1));
 
 	for (size_t i = 0; i < 8; i++)
-		fleet.say(i, SKH_PHASE_READY, 1, 8);
-	EXPECT_NE(fleet.peer(index), fleet.pick(1, 777));
+		fleet.report(i, SKH_PHASE_READY, 1, 8);
+	EXPECT_NE(fleet.peer(index), fleet.select_peer(1, 777));
 	fleet.now_us += 200 * SKH_US_PER_MS;
-	EXPECT_EQ(fleet.peer(index), fleet.pick(1, 777));
+	EXPECT_EQ(fleet.peer(index), fleet.select_peer(1, 777));
 }
 
-TEST(Route, WorkSentSinceTheReportCounts)
+TEST(PeerSelection, LoadEstimateIncludesRequestsSentSinceTheReport)
 {
 	Fleet fleet(1);
 	skh_peer_t *peer = fleet.peer(0);
 
 	skh_peers_begin_request(peer, fleet.now_us);
-	fleet.say(0, SKH_PHASE_READY, 1, 5);
+	fleet.report(0, SKH_PHASE_READY, 1, 5);
 	EXPECT_EQ(5u, skh_peers_estimate_load(peer));
 	skh_peers_begin_request(peer, fleet.now_us);
 	EXPECT_EQ(6u, skh_peers_estimate_load(peer));
@@ -186,31 +186,31 @@
 	EXPECT_EQ(4u, skh_peers_estimate_load(peer));
 }
 
-TEST(Route, AHotPrefixUsesSeveralHomes)
+TEST(PeerSelection, PrefixShareFollowsRecentRequests)
 {
-	skh_prefix_share_t *heat = skh_prefix_share_new();
+	skh_prefix_share_t *prefix_share = skh_prefix_share_new();
 	double hot = 0.0;
 	double cold = 0.0;
 
 	for (int i = 0; i < 200; i++)
-		hot = skh_prefix_share_record(heat, i % 2 ? 0x100000000ULL : 0x1000000000ULL * i,
-					      1000 + i);
-	cold = skh_prefix_share_record(heat, 0xabcd00000000ULL, 2000);
+		hot = skh_prefix_share_record(
+			prefix_share, i % 2 ? 0x100000000ULL : 0x1000000000ULL * i, 1000 + i);
+	cold = skh_prefix_share_record(prefix_share, 0xabcd00000000ULL, 2000);
 	EXPECT_GT(hot, 0.3);
 	EXPECT_EQ(0.0, cold);
-	EXPECT_LT(skh_prefix_share_record(heat, 0x100000000ULL, 200 * SKH_US_PER_S), 0.1);
-	skh_prefix_share_free(heat);
+	EXPECT_LT(skh_prefix_share_record(prefix_share, 0x100000000ULL, 200 * SKH_US_PER_S), 0.1);
+	skh_prefix_share_free(prefix_share);
 }
 
-TEST(Route, AReplacedProcessIsNoticed)
+TEST(PeerSelection, ReplacedProcessIsDetected)
 {
 	Fleet fleet(1);
 
-	EXPECT_FALSE(fleet.say(0, SKH_PHASE_READY, 1));
-	EXPECT_TRUE(fleet.say(0, SKH_PHASE_READY, 2));
+	EXPECT_FALSE(fleet.report(0, SKH_PHASE_READY, 1));
+	EXPECT_TRUE(fleet.report(0, SKH_PHASE_READY, 2));
 }
 
-TEST(Route, SilenceWithWorkInFlightIsALoss)
+TEST(PeerSelection, SilentPeerWithWorkInFlightIsLost)
 {
 	Fleet fleet(1);
 	skh_peer_t *peer = fleet.peer(0);
@@ -221,7 +221,7 @@
 	EXPECT_TRUE(skh_peers_is_lost(peer, fleet.now_us + 3 * SKH_US_PER_S));
 }
 
-TEST(Route, AnUnlistedPeerIsKeptWhileItHasWork)
+TEST(PeerSelection, AnUnlistedPeerIsKeptWhileItHasWork)
 {
 	Fleet fleet(2);
 
@@ -234,30 +234,30 @@
 	EXPECT_EQ(skh_peers_count(fleet.peers.get()), 1U);
 }
 
-RC_GTEST_PROP(Route, PicksOnlyWhatTheNaiveRuleAllows, ())
+RC_GTEST_PROP(PeerSelection, SelectsOnlyEligiblePeers, ())
 {
 	const size_t n = *rc::gen::inRange(1, 12);
 	Fleet fleet(n);
-	size_t allowed = 0;
+	size_t n_eligible = 0;
 
 	for (size_t i = 0; i < n; i++) {
 		skh_peer_t *peer = fleet.peer(i);
 
-		fleet.say(i, static_cast<skh_phase_t>(*rc::gen::inRange(0, 3)), 1,
-			  *rc::gen::inRange(0, 16));
+		fleet.report(i, static_cast<skh_phase_t>(*rc::gen::inRange(0, 3)), 1,
+			     *rc::gen::inRange(0, 16));
 		peer->reachable = *rc::gen::inRange(0, 4) != 0;
 		peer->listed_leaving = *rc::gen::inRange(0, 4) == 0;
 		peer->avoid_until_us = *rc::gen::inRange(0, 2) * 5000;
-		allowed +=
+		n_eligible +=
 			peer->reachable && peer->phase == SKH_PHASE_READY && !peer->listed_leaving;
 	}
-	skh_peer_t *picked =
-		fleet.pick(*rc::gen::arbitrary<uint64_t>(), *rc::gen::inRange(0, 2) * 77U);
-	RC_ASSERT((picked != nullptr) == (allowed > 0));
-	if (picked) {
-		RC_ASSERT(picked->reachable);
-		RC_ASSERT(picked->phase == SKH_PHASE_READY);
-		RC_ASSERT(!picked->listed_leaving);
+	skh_peer_t *selected =
+		fleet.select_peer(*rc::gen::arbitrary<uint64_t>(), *rc::gen::inRange(0, 2) * 77U);
+	RC_ASSERT((selected != nullptr) == (n_eligible > 0));
+	if (selected) {
+		RC_ASSERT(selected->reachable);
+		RC_ASSERT(selected->phase == SKH_PHASE_READY);
+		RC_ASSERT(!selected->listed_leaving);
 	}
 }
 
