--- a/test/claim_backlog_test.cc
+++ b/test/claim_backlog_test.cc
@@ -1,4 +1,5 @@
-// Claims left open by an outage are closed later, and only one's own.
+// Claims that an outage of the key-value service left open are closed later; a record of another
+// owner is never overwritten.
 #include "claim_backlog.h"
 
 #include "clock.h"
@@ -17,20 +18,20 @@
 
 using BacklogPtr = std::unique_ptr<skh_claim_backlog_t, decltype(&skh_claim_backlog_free)>;
 
-std::string record(const char *owner, skh_claim_state_t state)
+std::string encode_claim(const char *owner, skh_claim_state_t state)
 {
 	skh_claim_t claim = {};
 
 	claim.state = state;
 	claim.owner = g_strdup(owner);
-	char *text = skh_claim_encode(&claim);
-	std::string copy = text;
-	g_free(text);
+	char *encoded = skh_claim_encode(&claim);
+	std::string result = encoded;
+	g_free(encoded);
 	skh_claim_clear(&claim);
-	return copy;
+	return result;
 }
 
-class Backlog : public testing::Test
+class ClaimBacklog : public testing::Test
 {
       protected:
 	void add(const char *owner, int64_t expected)
@@ -47,7 +48,7 @@
 	skh_claim_backlog_write_t write = {};
 };
 
-TEST_F(Backlog, WaitsThenWritesOnceAtATime)
+TEST_F(ClaimBacklog, RetriesAfterADelayWithOneWriteInFlight)
 {
 	add("me", 7);
 	EXPECT_FALSE(skh_claim_backlog_next_due(backlog.get(), 1, &write));
@@ -63,31 +64,33 @@
 	EXPECT_EQ(0u, skh_claim_backlog_count(backlog.get()));
 }
 
-TEST_F(Backlog, ClosesItsOwnRecordOnly)
+TEST_F(ClaimBacklog, OverwritesOnlyARecordOfTheSameOwner)
 {
 	add("me", 0);
 	ASSERT_TRUE(skh_claim_backlog_next_due(backlog.get(), kLater_us, &write));
 	skh_claim_backlog_resolve_conflict(backlog.get(), write.id,
-					   record("me", SKH_CLAIM_CLAIMED).c_str(), 9, kLater_us);
+					   encode_claim("me", SKH_CLAIM_CLAIMED).c_str(), 9,
+					   kLater_us);
 	ASSERT_TRUE(skh_claim_backlog_next_due(backlog.get(), kLater_us, &write));
 	EXPECT_EQ(9, write.expected_revision);
-	skh_claim_backlog_resolve_conflict(
-		backlog.get(), write.id, record("other", SKH_CLAIM_CLAIMED).c_str(), 11, kLater_us);
+	skh_claim_backlog_resolve_conflict(backlog.get(), write.id,
+					   encode_claim("other", SKH_CLAIM_CLAIMED).c_str(), 11,
+					   kLater_us);
 	EXPECT_EQ(0u, skh_claim_backlog_count(backlog.get()));
 }
 
-TEST_F(Backlog, LeavesAClosedRecordAlone)
+TEST_F(ClaimBacklog, DropsTheWriteWhenTheClaimIsClosed)
 {
 	for (skh_claim_state_t state : { SKH_CLAIM_DONE, SKH_CLAIM_NOT_RUN }) {
 		add("me", 0);
 		ASSERT_TRUE(skh_claim_backlog_next_due(backlog.get(), kLater_us, &write));
 		skh_claim_backlog_resolve_conflict(backlog.get(), write.id,
-						   record("me", state).c_str(), 9, kLater_us);
+						   encode_claim("me", state).c_str(), 9, kLater_us);
 		EXPECT_EQ(0u, skh_claim_backlog_count(backlog.get()));
 	}
 }
 
-TEST_F(Backlog, GivesUpWhenTheKeyIsNoLongerAccepted)
+TEST_F(ClaimBacklog, DropsTheWriteWhenTheKeyIsTooOld)
 {
 	add("me", 0);
 	EXPECT_FALSE(skh_claim_backlog_next_due(
