--- a/test/gateway_core_test.cc
+++ b/test/gateway_core_test.cc
@@ -1,4 +1,4 @@
-// The gateway's decisions, each with the load or fault that it answers.
+// The gateway's decision modules, each under the load or fault that it handles.
 #include "clock.h"
 #include "crash_suspects.h"
 #include "event_stream.h"
@@ -21,25 +21,26 @@
 namespace
 {
 
+// In microseconds.
 constexpr int64_t kMs = 1000;
 constexpr int64_t kS = 1000 * kMs;
 
-skh_chunk_t chunk(const std::string &text)
+skh_chunk_t make_chunk(const std::string &text)
 {
 	return skh_chunk_make(text.data(), text.size());
 }
 
-std::string text_of(const skh_buffer_t &buffer)
+std::string to_string(const skh_buffer_t &buffer)
 {
 	return std::string(reinterpret_cast<const char *>(buffer.data), buffer.len);
 }
 
-skh_retry_policy_view_t lost(skh_retry_mode_t repeat)
+skh_retry_policy_view_t make_lost_view(skh_retry_mode_t retry_mode)
 {
 	skh_retry_policy_view_t view = {};
 
 	view.end = SKH_END_LOST;
-	view.retry_mode = repeat;
+	view.retry_mode = retry_mode;
 	view.possible_runs = 1;
 	view.sends = 1;
 	view.max_attempts = 2;
@@ -48,22 +49,22 @@
 	return view;
 }
 
-skh_server_t *server(const char *id)
+skh_server_t *make_server(const char *id)
 {
-	skh_server_t *made = g_new0(skh_server_t, 1);
+	skh_server_t *server = g_new0(skh_server_t, 1);
 
-	made->id = g_strdup(id);
-	made->service = g_strdup("s");
-	made->host = g_strdup("10.0.0.1");
-	made->failure_domain = g_strdup("a");
-	made->port = 80;
-	made->slots = 4;
-	return made;
+	server->id = g_strdup(id);
+	server->service = g_strdup("s");
+	server->host = g_strdup("10.0.0.1");
+	server->failure_domain = g_strdup("a");
+	server->port = 80;
+	server->slots = 4;
+	return server;
 }
 
-bool lists(const skh_roster_builder_t *record, const char *id)
+bool is_listed(const skh_roster_builder_t *builder, const char *id)
 {
-	skh_roster_t *roster = skh_roster_builder_snapshot(record, 1);
+	skh_roster_t *roster = skh_roster_builder_snapshot(builder, 1);
 	bool found = skh_roster_find(roster, id) != nullptr;
 
 	skh_roster_free(roster);
@@ -72,17 +73,17 @@
 
 } // namespace
 
-// --- What follows a failed attempt ---
+// --- Retry policy ---
 
-TEST(Verdict, ARequestThatMayHaveRunIsNeverSentAgainNorCalledNotRun)
+TEST(RetryPolicy, ARequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun)
 {
-	skh_retry_policy_view_t view = lost(SKH_RETRY_MODE_NEVER);
+	skh_retry_policy_view_t view = make_lost_view(SKH_RETRY_MODE_NEVER);
 
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	view.max_attempts = 9;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
-	// A later attempt that was not handed over does not undo an earlier run.
-	view = lost(SKH_RETRY_MODE_ALLOWED);
+	// A later attempt that was not sent does not undo an earlier run.
+	view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 	view.end = SKH_END_UNREACHABLE;
 	view.sends = SKH_RETRY_POLICY_MAX_SENDS;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
@@ -90,27 +91,27 @@
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_REJECT);
 }
 
-TEST(Verdict, AttemptsBudgetTimeAndSuspicionBoundRepetition)
+TEST(RetryPolicy, RetriesAreLimitedByAttemptsBudgetTimeAndSuspicion)
 {
-	skh_retry_policy_view_t view = lost(SKH_RETRY_MODE_ALLOWED);
+	skh_retry_policy_view_t view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_RETRY);
 	view.possible_runs = 2;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
-	view = lost(SKH_RETRY_MODE_ALLOWED);
+	view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 	view.has_retry_budget = false;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
-	view = lost(SKH_RETRY_MODE_ALLOWED);
+	view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 	view.is_suspect = true;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
-	view = lost(SKH_RETRY_MODE_ALLOWED);
+	view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 	view.now_us = view.deadline_us - kMs;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 }
 
-TEST(Verdict, AStreamGoesOnElsewhereOrEndsWithoutAnEndMark)
+TEST(RetryPolicy, ABrokenStreamIsResumedElsewhereOrClosedWithoutAnEndMark)
 {
-	skh_retry_policy_view_t view = lost(SKH_RETRY_MODE_RESUME_STREAM);
+	skh_retry_policy_view_t view = make_lost_view(SKH_RETRY_MODE_RESUME_STREAM);
 
 	view.end = SKH_END_STREAM_BROKEN;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_RETRY);
@@ -118,8 +119,8 @@
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_CLOSE_STREAM);
 }
 
-// Against the naive rule: a run is repeated only where repeating is allowed.
-TEST(Verdict, DiffersFromTheNaiveOnlyTowardsCaution)
+// Reference rule: a request that may have run is retried only if its retry mode allows that.
+TEST(RetryPolicy, NeverRetriesMoreThanTheReferenceRuleAllows)
 {
 	std::mt19937 random(7);
 
@@ -137,44 +138,44 @@
 		view.is_suspect = random() % 2;
 		view.deadline_us = static_cast<int64_t>(random() % 2000) * kMs;
 		view.now_us = 500 * kMs;
-		skh_retry_decision_t verdict = skh_retry_policy_decide(&view);
+		skh_retry_decision_t decision = skh_retry_policy_decide(&view);
 		bool ran = view.possible_runs > 0;
 
-		if (verdict == SKH_RETRY_DECISION_RETRY && ran) {
+		if (decision == SKH_RETRY_DECISION_RETRY && ran) {
 			EXPECT_NE(view.retry_mode, SKH_RETRY_MODE_NEVER);
 			if (view.end != SKH_END_UNREACHABLE && view.end != SKH_END_NOT_RUN) {
 				EXPECT_LT(view.possible_runs, view.max_attempts);
 			}
 		}
-		if (verdict == SKH_RETRY_DECISION_REJECT) {
+		if (decision == SKH_RETRY_DECISION_REJECT) {
 			EXPECT_FALSE(ran);
 		}
-		if (verdict == SKH_RETRY_DECISION_FORWARD_RESPONSE) {
+		if (decision == SKH_RETRY_DECISION_FORWARD_RESPONSE) {
 			EXPECT_EQ(view.end, SKH_END_ERROR);
 		}
 	}
 }
 
-// --- Retry budget ---
+// --- Retry share ---
 
 TEST(RetryShare, AllGatewaysTogetherStayWithinTheBudgetInAnyWindow)
 {
-	const skh_retry_share_limits_t bounds = { 0.2, 90, 10 * kS, 4 };
+	const skh_retry_share_limits_t limits = { 0.2, 90, 10 * kS, 4 };
 	std::vector<skh_retry_share_t> shares(4);
-	std::vector<int64_t> repeats;
+	std::vector<int64_t> retries;
 	std::vector<int64_t> requests;
 	std::mt19937 random(3);
 
-	// Every request is lost and every gateway repeats whatever it may.
+	// Every request is lost and every gateway retries as often as its share allows.
 	for (int64_t now = 100 * kS; now < 160 * kS; now += 5 * kMs) {
 		for (auto &share : shares) {
 			if (random() % 20 == 0) {
-				skh_retry_share_record_request(&share, &bounds, now);
+				skh_retry_share_record_request(&share, &limits, now);
 				requests.push_back(now);
 			}
-			if (skh_retry_share_has_room(&share, &bounds, now)) {
-				skh_retry_share_record_retry(&share, &bounds, now);
-				repeats.push_back(now);
+			if (skh_retry_share_has_room(&share, &limits, now)) {
+				skh_retry_share_record_retry(&share, &limits, now);
+				retries.push_back(now);
 			}
 		}
 	}
@@ -185,76 +186,77 @@
 			});
 		};
 
-		EXPECT_LE(in_window(repeats), 0.2 * in_window(requests) + 90);
+		EXPECT_LE(in_window(retries), 0.2 * in_window(requests) + 90);
 	}
-	EXPECT_GT(repeats.size(), 50U);
+	EXPECT_GT(retries.size(), 50U);
 }
 
-// --- Waiting ---
+// --- Request queue ---
 
-// A burst of twice the capacity for 3 s, then calm: first come, first served makes
-// everyone late until the backlog is gone.
-static int in_time_after_burst(bool naive)
+// A burst of twice the capacity for 3 s, then arrivals at the capacity. In order of arrival every
+// request misses its objective until the backlog is gone.
+static int count_in_time_after_burst(bool is_fifo)
 {
-	skh_request_queue_t *line = skh_request_queue_new();
-	std::vector<skh_queued_request_t> waiters(1000);
+	skh_request_queue_t *queue = skh_request_queue_new();
+	std::vector<skh_queued_request_t> requests(1000);
 	size_t next = 0;
 	int in_time = 0;
 
 	for (int64_t now = 0; now < 10 * kS; now += 10 * kMs) {
 		bool arrives = now < 3 * kS || now % (20 * kMs) == 0;
 
-		if (arrives && next < waiters.size()) {
-			skh_queued_request_t &waiter = waiters[next++];
+		if (arrives && next < requests.size()) {
+			skh_queued_request_t &request = requests[next++];
 
-			waiter = { 1, now, now + 400 * kMs, now + 1800 * kMs, -1, false };
-			if (naive)
-				waiter.dispatch_objective_us = now + 100 * kS; // order of arrival
-			skh_request_queue_enqueue(line, &waiter);
+			request = { 1, now, now + 400 * kMs, now + 1800 * kMs, -1, false };
+			// No objective passes within the run: requests are served in order of arrival.
+			if (is_fifo)
+				request.dispatch_objective_us = now + 100 * kS;
+			skh_request_queue_enqueue(queue, &request);
 		}
-		while (skh_queued_request_t *hopeless = skh_request_queue_find_expired(line, now))
-			skh_request_queue_remove(line, hopeless);
+		while (skh_queued_request_t *expired = skh_request_queue_find_expired(queue, now))
+			skh_request_queue_remove(queue, expired);
 		if (now % (20 * kMs) != 0)
 			continue;
-		if (skh_queued_request_t *first = skh_request_queue_peek(line, now)) {
-			skh_request_queue_remove(line, first);
+		if (skh_queued_request_t *first = skh_request_queue_peek(queue, now)) {
+			skh_request_queue_remove(queue, first);
 			in_time += now <= first->enqueued_us + 400 * kMs;
 		}
 	}
-	skh_request_queue_free(line);
+	skh_request_queue_free(queue);
 	return in_time;
 }
 
-TEST(WaitLine, AfterABurstThoseWhoCanBeInTimeGoFirst)
+TEST(RequestQueue, AfterABurstRequestsThatCanMeetTheirObjectiveGoFirst)
 {
-	int ours = in_time_after_burst(false);
-	int naive = in_time_after_burst(true);
+	int by_objective = count_in_time_after_burst(false);
+	int fifo = count_in_time_after_burst(true);
 
-	EXPECT_GT(ours, 2 * naive);
-	EXPECT_GT(ours, 400); // of 500 that can be served at all
+	EXPECT_GT(by_objective, 2 * fifo);
+	EXPECT_GT(by_objective, 400); // of 500 that can be served at all
 }
 
-TEST(WaitLine, AnUrgentClassGoesBeforeALessUrgentOne)
+TEST(RequestQueue, AHigherPriorityIsServedFirst)
 {
-	skh_request_queue_t *line = skh_request_queue_new();
-	skh_queued_request_t plain = { 2, 0, kS, 2 * kS, -1, false };
-	skh_queued_request_t urgent = { 1, 5, 2 * kS, 3 * kS, -1, false };
-	skh_queued_request_t newcomer = { 2, 6, 3 * kS, 4 * kS, -1, false };
+	skh_request_queue_t *queue = skh_request_queue_new();
+	skh_queued_request_t low = { 2, 0, kS, 2 * kS, -1, false };
+	skh_queued_request_t high = { 1, 5, 2 * kS, 3 * kS, -1, false };
+	skh_queued_request_t arriving = { 2, 6, 3 * kS, 4 * kS, -1, false };
 
-	skh_request_queue_enqueue(line, &plain);
-	skh_request_queue_enqueue(line, &urgent);
-	EXPECT_EQ(skh_request_queue_peek(line, 10), &urgent);
-	EXPECT_EQ(skh_request_queue_count_ahead(line, &newcomer, 10), 2U);
-	skh_request_queue_remove(line, &urgent);
-	EXPECT_EQ(skh_request_queue_peek(line, 10), &plain);
-	EXPECT_EQ(skh_request_queue_find_expired(line, 10), nullptr);
-	EXPECT_EQ(skh_request_queue_find_expired(line, 2 * kS), &plain);
-	skh_request_queue_free(line);
+	skh_request_queue_enqueue(queue, &low);
+	skh_request_queue_enqueue(queue, &high);
+	EXPECT_EQ(skh_request_queue_peek(queue, 10), &high);
+	EXPECT_EQ(skh_request_queue_count_ahead(queue, &arriving, 10), 2U);
+	skh_request_queue_remove(queue, &high);
+	EXPECT_EQ(skh_request_queue_peek(queue, 10), &low);
+	EXPECT_EQ(skh_request_queue_find_expired(queue, 10), nullptr);
+	EXPECT_EQ(skh_request_queue_find_expired(queue, 2 * kS), &low);
+	skh_request_queue_free(queue);
 }
 
-// --- Placing ---
+// --- Server selection ---
 
-TEST(Pick, RanksOfALockStepGroupAreLevelled)
+TEST(ServerSelection, RequestsAreBalancedOverTheRanksOfALockStepGroup)
 {
 	std::vector<skh_candidate_t> list(12);
 	std::mt19937 random(5);
@@ -263,10 +265,10 @@
 		candidate.slots = 12;
 	for (int i = 0; i < 100; i++) {
 		skh_selection_view_t view = { list.data(), 12, true, 0, random(), kS };
-		int32_t chosen = skh_select_server(&view);
+		int32_t selected = skh_select_server(&view);
 
-		ASSERT_GE(chosen, 0);
-		list[chosen].running++;
+		ASSERT_GE(selected, 0);
+		list[selected].running++;
 	}
 	auto by_running = [](const skh_candidate_t &a, const skh_candidate_t &b) {
 		return a.running < b.running;
@@ -276,9 +278,9 @@
 	EXPECT_LE(range.second->running - range.first->running, 1U);
 }
 
-// A rank that takes five times as long gets nothing while others have room; one that takes
-// a little longer gets less.
-TEST(Pick, ASlowRankGetsLessThanTheOthers)
+// A rank with a slowdown of 5 gets no request while others have free slots; one with a slowdown
+// of 1.5 gets fewer requests.
+TEST(ServerSelection, ASlowRankGetsFewerRequests)
 {
 	std::vector<skh_candidate_t> list(12);
 	std::mt19937 random(5);
@@ -302,7 +304,7 @@
 	EXPECT_EQ(skh_select_server(&view), 3);
 }
 
-TEST(Pick, FullLeavingAndDeadServersGetNothing)
+TEST(ServerSelection, FullAndExcludedServersAreNotSelected)
 {
 	std::vector<skh_candidate_t> list(3);
 	skh_selection_view_t view = { list.data(), 3, false, 0, 0, kS };
@@ -316,7 +318,7 @@
 	EXPECT_TRUE(skh_selection_has_candidate(&view));
 	list[2].full_until_us = 0;
 	list[2].avoid_until_us = 2 * kS;
-	// Nothing else is left: it is tried all the same.
+	// A server to be avoided is selected when no other is left.
 	list[0].excluded = true;
 	EXPECT_EQ(skh_select_server(&view), 2);
 	list[0].excluded = false;
@@ -324,7 +326,7 @@
 	EXPECT_EQ(skh_select_server(&view), 0);
 }
 
-TEST(Pick, AServerThatFailsHalfOfItsRequestsIsUsedLess)
+TEST(ServerSelection, AServerThatFailsHalfOfItsRequestsIsSelectedLast)
 {
 	std::vector<skh_candidate_t> list(3);
 	skh_selection_view_t view = { list.data(), 3, false, 0, 0, kS };
@@ -341,143 +343,145 @@
 	EXPECT_EQ(skh_select_server(&view), 0);
 }
 
-// --- Backend servers ---
+// --- Roster ---
 
-TEST(Record, AnEntryThatVanishesHasLeftUnlessTheStoreWasAway)
+TEST(Roster, ARemovedEntryIsDroppedUnlessTheStoreWasUnavailable)
 {
-	skh_roster_builder_t *record = skh_roster_builder_new();
+	skh_roster_builder_t *builder = skh_roster_builder_new();
 
-	(void)skh_roster_builder_put(record, server("a"));
-	(void)skh_roster_builder_put(record, server("b"));
-	EXPECT_TRUE(skh_roster_builder_remove(record, "a", false, kS));
-	EXPECT_FALSE(lists(record, "a"));
-	EXPECT_FALSE(skh_roster_builder_remove(record, "b", true, kS));
-	EXPECT_TRUE(lists(record, "b"));
-	EXPECT_FALSE(skh_roster_builder_expire(record, kS + SKH_ROSTER_GRACE_US - 1));
-	EXPECT_TRUE(skh_roster_builder_expire(record, kS + SKH_ROSTER_GRACE_US));
-	EXPECT_FALSE(lists(record, "b"));
-	skh_roster_builder_free(record);
+	(void)skh_roster_builder_put(builder, make_server("a"));
+	(void)skh_roster_builder_put(builder, make_server("b"));
+	EXPECT_TRUE(skh_roster_builder_remove(builder, "a", false, kS));
+	EXPECT_FALSE(is_listed(builder, "a"));
+	EXPECT_FALSE(skh_roster_builder_remove(builder, "b", true, kS));
+	EXPECT_TRUE(is_listed(builder, "b"));
+	EXPECT_FALSE(skh_roster_builder_expire(builder, kS + SKH_ROSTER_GRACE_US - 1));
+	EXPECT_TRUE(skh_roster_builder_expire(builder, kS + SKH_ROSTER_GRACE_US));
+	EXPECT_FALSE(is_listed(builder, "b"));
+	skh_roster_builder_free(builder);
 }
 
-TEST(Record, ALeavingServerDoesNotLapseAndABackOneStays)
+TEST(Roster, ALeavingServerGetsNoGraceTimeAndAReturningOneStays)
 {
-	skh_roster_builder_t *record = skh_roster_builder_new();
-	skh_server_t *leaving = server("a");
+	skh_roster_builder_t *builder = skh_roster_builder_new();
+	skh_server_t *leaving = make_server("a");
 
 	leaving->leaving = true;
-	(void)skh_roster_builder_put(record, leaving);
-	EXPECT_TRUE(skh_roster_builder_remove(record, "a", true, kS));
-	(void)skh_roster_builder_put(record, server("b"));
-	(void)skh_roster_builder_remove(record, "b", true, kS);
-	EXPECT_TRUE(skh_roster_builder_put(record, server("b")));
-	EXPECT_FALSE(skh_roster_builder_expire(record, 100 * kS));
-	EXPECT_TRUE(lists(record, "b"));
-	EXPECT_FALSE(skh_roster_builder_put(record, server("b"))) << "nothing new";
-	skh_roster_builder_free(record);
+	(void)skh_roster_builder_put(builder, leaving);
+	EXPECT_TRUE(skh_roster_builder_remove(builder, "a", true, kS));
+	(void)skh_roster_builder_put(builder, make_server("b"));
+	(void)skh_roster_builder_remove(builder, "b", true, kS);
+	EXPECT_TRUE(skh_roster_builder_put(builder, make_server("b")));
+	EXPECT_FALSE(skh_roster_builder_expire(builder, 100 * kS));
+	EXPECT_TRUE(is_listed(builder, "b"));
+	EXPECT_FALSE(skh_roster_builder_put(builder, make_server("b"))) << "nothing new";
+	skh_roster_builder_free(builder);
 }
 
-// --- Requests that crash servers ---
+// --- Crash suspects ---
 
-TEST(Culprits, ALostConnectionAloneAccusesNobody)
+TEST(CrashSuspects, ALostConnectionAloneIsNotACrash)
 {
-	skh_crash_suspects_t *culprits = skh_crash_suspects_new();
+	skh_crash_suspects_t *suspects = skh_crash_suspects_new();
 
 	for (int i = 0; i < 10; i++)
-		skh_crash_suspects_record_loss(culprits, 1, "a", kS + i * kS);
-	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(culprits, 1, 11 * kS));
-	skh_crash_suspects_free(culprits);
+		skh_crash_suspects_record_loss(suspects, 1, "a", kS + i * kS);
+	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(suspects, 1, 11 * kS));
+	skh_crash_suspects_free(suspects);
 }
 
-TEST(Culprits, ThreeCrashesBarARequestAndAnAnswerClearsIt)
+TEST(CrashSuspects, ThreeCrashesRejectARequestAndAResponseClearsIt)
 {
-	skh_crash_suspects_t *culprits = skh_crash_suspects_new();
+	skh_crash_suspects_t *suspects = skh_crash_suspects_new();
 	const char *servers[] = { "a", "b", "c" };
 
 	for (int i = 0; i < 3; i++) {
 		int64_t now = (10 + 10 * i) * kS;
 
-		EXPECT_FALSE(skh_crash_suspects_is_rejected(culprits, 1, now));
-		skh_crash_suspects_record_loss(culprits, 1, servers[i], now);
-		skh_crash_suspects_record_loss(culprits, 2, servers[i], now);
-		skh_crash_suspects_record_crash(culprits, servers[i], now + kS, nullptr, nullptr);
-		skh_crash_suspects_clear(culprits, 2); // answered elsewhere
+		EXPECT_FALSE(skh_crash_suspects_is_rejected(suspects, 1, now));
+		skh_crash_suspects_record_loss(suspects, 1, servers[i], now);
+		skh_crash_suspects_record_loss(suspects, 2, servers[i], now);
+		skh_crash_suspects_record_crash(suspects, servers[i], now + kS, nullptr, nullptr);
+		skh_crash_suspects_clear(suspects, 2); // response from another server
 	}
-	EXPECT_TRUE(skh_crash_suspects_is_rejected(culprits, 1, 40 * kS));
-	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(culprits, 2, 40 * kS));
-	EXPECT_FALSE(skh_crash_suspects_is_rejected(culprits, 1,
+	EXPECT_TRUE(skh_crash_suspects_is_rejected(suspects, 1, 40 * kS));
+	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(suspects, 2, 40 * kS));
+	EXPECT_FALSE(skh_crash_suspects_is_rejected(suspects, 1,
 						    40 * kS + SKH_CRASH_SUSPECTS_EXPIRY_US));
-	skh_crash_suspects_free(culprits);
+	skh_crash_suspects_free(suspects);
 }
 
-TEST(Culprits, OneCrashToldTwiceCountsOnce)
+TEST(CrashSuspects, ACrashReportedTwiceCountsOnce)
 {
-	skh_crash_suspects_t *culprits = skh_crash_suspects_new();
+	skh_crash_suspects_t *suspects = skh_crash_suspects_new();
 
 	for (int i = 0; i < 5; i++)
-		skh_crash_suspects_add_remote_crash(culprits, 1, 77, kS);
-	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(culprits, 1, kS));
-	skh_crash_suspects_add_remote_crash(culprits, 1, 78, kS);
-	EXPECT_TRUE(skh_crash_suspects_is_retry_blocked(culprits, 1, kS));
-	skh_crash_suspects_free(culprits);
+		skh_crash_suspects_add_remote_crash(suspects, 1, 77, kS);
+	EXPECT_FALSE(skh_crash_suspects_is_retry_blocked(suspects, 1, kS));
+	skh_crash_suspects_add_remote_crash(suspects, 1, 78, kS);
+	EXPECT_TRUE(skh_crash_suspects_is_retry_blocked(suspects, 1, kS));
+	skh_crash_suspects_free(suspects);
 }
 
-// --- Streams ---
+// --- Event streams ---
 
-TEST(Events, OnlyWholeEventsPassAndASecondServerGoesOnAfterThem)
+TEST(EventStream, OnlyCompleteEventsPassAndAnotherServerResumesAfterThem)
 {
 	skh_event_stream_t events;
 	skh_buffer_t out = SKH_BUFFER_INIT;
 
 	skh_event_stream_init(&events);
-	EXPECT_TRUE(skh_event_stream_feed(&events, chunk("id: 1\ndata: a\n\nid: 2\nda"), &out));
-	EXPECT_EQ(text_of(out), "id: 1\ndata: a\n\n");
+	EXPECT_TRUE(
+		skh_event_stream_feed(&events, make_chunk("id: 1\ndata: a\n\nid: 2\nda"), &out));
+	EXPECT_EQ(to_string(out), "id: 1\ndata: a\n\n");
 	EXPECT_EQ(events.last_event_id, 1);
 	EXPECT_FALSE(skh_event_stream_is_at_boundary(&events));
 	skh_event_stream_discard_pending(&events);
-	EXPECT_TRUE(skh_event_stream_feed(&events, chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"),
-					  &out));
-	EXPECT_EQ(text_of(out), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+	EXPECT_TRUE(skh_event_stream_feed(
+		&events, make_chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), &out));
+	EXPECT_EQ(to_string(out), "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 	EXPECT_TRUE(skh_event_stream_is_at_boundary(&events));
-	// A gap must not pass.
-	EXPECT_FALSE(skh_event_stream_feed(&events, chunk("id: 4\ndata: d\n\n"), &out));
+	// A gap in the event ids is an error.
+	EXPECT_FALSE(skh_event_stream_feed(&events, make_chunk("id: 4\ndata: d\n\n"), &out));
 	skh_buffer_free(&out);
 	skh_event_stream_clear(&events);
 }
 
-TEST(Events, AnyCutGivesTheSameEvents)
+TEST(EventStream, AnySplitOfTheInputGivesTheSameEvents)
 {
 	const std::string stream = "id: 0\ndata: x\n\nid: 1\ndata: y\n\nid: 2\ndata: z\n\n";
 
-	for (size_t cut = 0; cut <= stream.size(); cut++) {
+	for (size_t split = 0; split <= stream.size(); split++) {
 		skh_event_stream_t events;
 		skh_buffer_t out = SKH_BUFFER_INIT;
 
 		skh_event_stream_init(&events);
-		EXPECT_TRUE(skh_event_stream_feed(&events, chunk(stream.substr(0, cut)), &out));
-		EXPECT_TRUE(skh_event_stream_feed(&events, chunk(stream.substr(cut)), &out));
-		EXPECT_EQ(text_of(out), stream);
+		EXPECT_TRUE(
+			skh_event_stream_feed(&events, make_chunk(stream.substr(0, split)), &out));
+		EXPECT_TRUE(skh_event_stream_feed(&events, make_chunk(stream.substr(split)), &out));
+		EXPECT_EQ(to_string(out), stream);
 		skh_buffer_free(&out);
 		skh_event_stream_clear(&events);
 	}
 }
 
-// --- HTTP ---
+// --- HTTP messages ---
 
 namespace
 {
 
-bool read_request(const std::string &text, skh_http_message_t *message, skh_error_t *err)
+bool parse_request(const std::string &text, skh_http_message_t *message, skh_error_t *err)
 {
 	static const skh_http_message_ops_t ops = {};
 	size_t used = 0;
 
 	skh_http_message_reset(message, HTTP_REQUEST, &ops, nullptr);
-	return skh_http_message_feed(message, chunk(text), &used, err);
+	return skh_http_message_feed(message, make_chunk(text), &used, err);
 }
 
 } // namespace
 
-TEST(Message, SmuggledRequestsAreRefused)
+TEST(HttpMessage, SmuggledRequestsAreRejected)
 {
 	const char *const bad[] = {
 		"POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: "
@@ -493,12 +497,12 @@
 		skh_http_message_t message = {};
 		skh_error_t err = {};
 
-		EXPECT_FALSE(read_request(text, &message, &err)) << text;
+		EXPECT_FALSE(parse_request(text, &message, &err)) << text;
 		skh_http_message_free(&message);
 	}
 }
 
-TEST(Message, StopsAtTheEndOfOneMessage)
+TEST(HttpMessage, StopsAtTheEndOfOneMessage)
 {
 	const std::string two =
 		"POST /a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /b HTTP/1.1\r\n\r\n";
@@ -508,14 +512,14 @@
 	size_t used = 0;
 
 	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
-	ASSERT_TRUE(skh_http_message_feed(&message, chunk(two), &used, &err));
+	ASSERT_TRUE(skh_http_message_feed(&message, make_chunk(two), &used, &err));
 	EXPECT_TRUE(message.done);
 	EXPECT_EQ(two.substr(used), "GET /b HTTP/1.1\r\n\r\n");
-	EXPECT_EQ(text_of(message.body), "hi");
+	EXPECT_EQ(to_string(message.body), "hi");
 	skh_http_message_free(&message);
 }
 
-TEST(Message, LimitsOfHeadersAndBody)
+TEST(HttpMessage, EnforcesTheLimitsOfHeadersAndBody)
 {
 	static const skh_http_message_ops_t ops = {};
 	skh_http_message_t message = {};
@@ -526,26 +530,26 @@
 	message.max_body_bytes = 4;
 	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
 	EXPECT_FALSE(skh_http_message_feed(
-		&message, chunk("GET / HTTP/1.1\r\nA: " + std::string(100, 'x') + "\r\n\r\n"),
+		&message, make_chunk("GET / HTTP/1.1\r\nA: " + std::string(100, 'x') + "\r\n\r\n"),
 		&used, &err));
 	EXPECT_EQ(err.kind, SKH_HEADERS_TOO_LARGE);
 	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
 	EXPECT_FALSE(skh_http_message_feed(
-		&message, chunk("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\n"), &used, &err));
+		&message, make_chunk("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\n"), &used, &err));
 	EXPECT_EQ(err.kind, SKH_TOO_LARGE);
 	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
-	EXPECT_FALSE(
-		skh_http_message_feed(&message,
-				      chunk("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
-					    "5\r\nhello\r\n0\r\n\r\n"),
-				      &used, &err));
+	EXPECT_FALSE(skh_http_message_feed(
+		&message,
+		make_chunk("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+			   "5\r\nhello\r\n0\r\n\r\n"),
+		&used, &err));
 	EXPECT_EQ(err.kind, SKH_TOO_LARGE);
 	skh_http_message_free(&message);
 }
 
-// --- Routes ---
+// --- Routing ---
 
-TEST(Routing, LongestPrefixOfTheHostWinsAndKeysHaveOneOwner)
+TEST(Routing, TheLongestPrefixOfTheHostWinsAndKeysHaveOneOwner)
 {
 	skh_routing_t *routing = skh_routing_new();
 	skh_service_info_t service = {};
@@ -580,129 +584,132 @@
 	skh_routing_free(routing);
 }
 
-TEST(Routing, WeightsDivideTheRequests)
+TEST(Routing, SelectsServicesInProportionToTheirWeights)
 {
 	skh_route_t route = {};
-	int first = 0;
+	int n_first = 0;
 
 	route.n_splits = 2;
 	route.splits[0] = { 3, 90 };
 	route.splits[1] = { 4, 10 };
 	for (int i = 0; i < 1000; i++)
-		first += skh_routing_select_service(&route, i / 1000.0) == 3;
-	EXPECT_EQ(first, 900);
+		n_first += skh_routing_select_service(&route, i / 1000.0) == 3;
+	EXPECT_EQ(n_first, 900);
 }
 
-// --- A broken group ---
+// --- Group breaker ---
 
-// A rank dies for 5 s; every rank refuses. Naive: each request tries four ranks.
-TEST(GroupGate, ABrokenGroupIsProbedAndNotFlooded)
+// A rank is down for 5 s and all ranks of its group reject requests. Without the breaker each
+// request is sent to four ranks.
+TEST(GroupBreaker, ARejectingGroupGetsOnlyProbes)
 {
-	skh_group_breaker_t gate = {};
-	int sent = 0;
-	int64_t opened = 0;
+	skh_group_breaker_t breaker = {};
+	int n_sent = 0;
+	int64_t recovered_us = 0;
 
 	for (int64_t now = kS; now < 7 * kS; now += 20 * kMs) {
-		bool broken = now < 6 * kS;
+		bool is_rejecting = now < 6 * kS;
 
-		if (!skh_group_breaker_can_send(&gate, now))
+		if (!skh_group_breaker_can_send(&breaker, now))
 			continue;
-		skh_group_breaker_record_send(&gate, now);
-		sent += broken;
-		if (broken) {
-			skh_group_breaker_record_rejection(&gate, now);
+		skh_group_breaker_record_send(&breaker, now);
+		n_sent += is_rejecting;
+		if (is_rejecting) {
+			skh_group_breaker_record_rejection(&breaker, now);
 		} else {
-			skh_group_breaker_record_answer(&gate);
-			opened = opened ? opened : now;
+			skh_group_breaker_record_answer(&breaker);
+			recovered_us = recovered_us ? recovered_us : now;
 		}
 	}
-	EXPECT_LE(sent, 40); // 250 arrivals, 1,000 attempts without the gate
-	EXPECT_LE(opened, 6 * kS + 200 * kMs);
-	EXPECT_FALSE(skh_group_breaker_is_tripped(&gate));
+	EXPECT_LE(n_sent, 40); // 250 arrivals, 1,000 attempts without the breaker
+	EXPECT_LE(recovered_us, 6 * kS + 200 * kMs);
+	EXPECT_FALSE(skh_group_breaker_is_tripped(&breaker));
 }
 
-// All instances lose power; the ranks are back after a second, and the group 0.6 s later.
-TEST(GroupGate, CallersWaitWhileTheGroupForms)
+// All instances lose power; the ranks restart after 1 s and their group has formed 0.6 s later.
+TEST(GroupBreaker, RequestsWaitWhileTheGroupForms)
 {
-	skh_group_breaker_t gate = {};
+	skh_group_breaker_t breaker = {};
 
 	for (int64_t now = kS; now < 4 * kS; now += 150 * kMs)
-		skh_group_breaker_record_rejection(&gate, now);
-	EXPECT_TRUE(skh_group_breaker_is_down(&gate, 4 * kS));
-	skh_group_breaker_record_rank_start(&gate, 4 * kS);
-	EXPECT_FALSE(skh_group_breaker_is_down(&gate, 4 * kS + 600 * kMs));
-	EXPECT_TRUE(skh_group_breaker_is_tripped(&gate));
-	EXPECT_TRUE(skh_group_breaker_is_down(&gate, 6 * kS));
-	skh_group_breaker_record_answer(&gate);
-	EXPECT_FALSE(skh_group_breaker_is_down(&gate, 6 * kS));
+		skh_group_breaker_record_rejection(&breaker, now);
+	EXPECT_TRUE(skh_group_breaker_is_down(&breaker, 4 * kS));
+	skh_group_breaker_record_rank_start(&breaker, 4 * kS);
+	EXPECT_FALSE(skh_group_breaker_is_down(&breaker, 4 * kS + 600 * kMs));
+	EXPECT_TRUE(skh_group_breaker_is_tripped(&breaker));
+	EXPECT_TRUE(skh_group_breaker_is_down(&breaker, 6 * kS));
+	skh_group_breaker_record_answer(&breaker);
+	EXPECT_FALSE(skh_group_breaker_is_down(&breaker, 6 * kS));
 }
 
-// The first in the line must not be the probe each time: its tries would be used up.
-TEST(WaitLine, ProbesAreTakenInTurn)
+// If the first queued request were the probe each time, rejections would use up its attempts.
+TEST(RequestQueue, ProbesAlternateBetweenQueuedRequests)
 {
-	skh_request_queue_t *line = skh_request_queue_new();
+	skh_request_queue_t *queue = skh_request_queue_new();
 	skh_queued_request_t first = {};
 	skh_queued_request_t second = {};
 
 	first.dispatch_objective_us = 2 * kS;
 	second.dispatch_objective_us = 3 * kS;
 	first.index = second.index = -1;
-	skh_request_queue_enqueue(line, &first);
-	skh_request_queue_enqueue(line, &second);
-	EXPECT_EQ(skh_request_queue_peek_probe(line, kS), &first);
+	skh_request_queue_enqueue(queue, &first);
+	skh_request_queue_enqueue(queue, &second);
+	EXPECT_EQ(skh_request_queue_peek_probe(queue, kS), &first);
 	first.is_probe_rejected = true;
-	EXPECT_EQ(skh_request_queue_peek_probe(line, kS), &second);
-	EXPECT_EQ(skh_request_queue_peek(line, kS), &first);
+	EXPECT_EQ(skh_request_queue_peek_probe(queue, kS), &second);
+	EXPECT_EQ(skh_request_queue_peek(queue, kS), &first);
 	second.is_probe_rejected = true;
-	EXPECT_EQ(skh_request_queue_peek_probe(line, kS), &first);
-	skh_request_queue_free(line);
+	EXPECT_EQ(skh_request_queue_peek_probe(queue, kS), &first);
+	skh_request_queue_free(queue);
 }
 
-// One rank freezes for 4 s and the others wait for it: 10 requests a second come in.
-TEST(GroupGate, ASilentGroupGetsNoMoreThanAFew)
+// One rank freezes for 4 s and the others wait for it; 10 requests arrive per second.
+TEST(GroupBreaker, ASilentGroupGetsOnlyAFewRequests)
 {
-	skh_group_breaker_t gate = {};
-	int sent = 0;
-	int64_t opened = 0;
+	skh_group_breaker_t breaker = {};
+	int n_sent = 0;
+	int64_t recovered_us = 0;
 
 	for (int64_t now = kS; now < 7 * kS; now += 20 * kMs) {
-		bool frozen = now >= 2 * kS && now < 6 * kS;
+		bool is_frozen = now >= 2 * kS && now < 6 * kS;
 
-		if (!frozen) {
-			skh_group_breaker_record_answer(&gate);
-			opened = now >= 6 * kS && opened == 0 ? now : opened;
+		if (!is_frozen) {
+			skh_group_breaker_record_answer(&breaker);
+			recovered_us = now >= 6 * kS && recovered_us == 0 ? now : recovered_us;
 		}
-		if (now % (100 * kMs) != 0 || !skh_group_breaker_can_send(&gate, now))
+		if (now % (100 * kMs) != 0 || !skh_group_breaker_can_send(&breaker, now))
 			continue;
-		skh_group_breaker_record_send(&gate, now);
-		sent += frozen;
+		skh_group_breaker_record_send(&breaker, now);
+		n_sent += is_frozen;
 	}
-	EXPECT_LE(sent, 8); // 40 without the gate
-	EXPECT_EQ(opened, 6 * kS);
-	EXPECT_TRUE(skh_group_breaker_can_send(&gate, 7 * kS));
+	EXPECT_LE(n_sent, 8); // 40 without the breaker
+	EXPECT_EQ(recovered_us, 6 * kS);
+	EXPECT_TRUE(skh_group_breaker_can_send(&breaker, 7 * kS));
 }
 
-// A lone request whose prompt is long: the next ones may wait, but not for ever.
-TEST(GroupGate, SilenceIsProbed)
+// A single request with a long prompt also silences a group: the requests after it wait, but only
+// until the next probe.
+TEST(GroupBreaker, ASilentGroupIsProbed)
 {
-	skh_group_breaker_t gate = {};
+	skh_group_breaker_t breaker = {};
 
-	skh_group_breaker_record_send(&gate, kS);
-	EXPECT_TRUE(skh_group_breaker_can_send(&gate, kS + 200 * kMs));
-	EXPECT_FALSE(skh_group_breaker_can_send(&gate, kS + 600 * kMs));
-	EXPECT_TRUE(skh_group_breaker_can_send(&gate, 2 * kS + 1 * kMs));
-	skh_group_breaker_record_send(&gate, 2 * kS + 1 * kMs);
-	EXPECT_FALSE(skh_group_breaker_can_send(&gate, 2 * kS + 500 * kMs));
-	skh_group_breaker_record_answer(&gate);
-	EXPECT_TRUE(skh_group_breaker_can_send(&gate, 2 * kS + 500 * kMs));
+	skh_group_breaker_record_send(&breaker, kS);
+	EXPECT_TRUE(skh_group_breaker_can_send(&breaker, kS + 200 * kMs));
+	EXPECT_FALSE(skh_group_breaker_can_send(&breaker, kS + 600 * kMs));
+	EXPECT_TRUE(skh_group_breaker_can_send(&breaker, 2 * kS + 1 * kMs));
+	skh_group_breaker_record_send(&breaker, 2 * kS + 1 * kMs);
+	EXPECT_FALSE(skh_group_breaker_can_send(&breaker, 2 * kS + 500 * kMs));
+	skh_group_breaker_record_answer(&breaker);
+	EXPECT_TRUE(skh_group_breaker_can_send(&breaker, 2 * kS + 500 * kMs));
 }
 
-// A rank died and its group forms anew: that must be seen by probes, not in a second.
-TEST(GroupGate, ABrokenGroupIsNotSilent)
+// A rank died and its group forms again: probes have to detect the group sooner than the 1 s
+// between the probes of a silent group.
+TEST(GroupBreaker, AFailedAttemptEndsSilence)
 {
-	skh_group_breaker_t gate = {};
+	skh_group_breaker_t breaker = {};
 
-	skh_group_breaker_record_send(&gate, kS);
-	skh_group_breaker_record_failure(&gate);
-	EXPECT_TRUE(skh_group_breaker_can_send(&gate, kS + 600 * kMs));
+	skh_group_breaker_record_send(&breaker, kS);
+	skh_group_breaker_record_failure(&breaker);
+	EXPECT_TRUE(skh_group_breaker_can_send(&breaker, kS + 600 * kMs));
 }
