--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -15,7 +15,7 @@
 #define KEY_FOLDER	   "suspects/"
 #define MAX_BATCH_WRITES   64
 #define MAX_PENDING_WRITES 4096
-#define RETRY_DELAY_US	   (1 * SKH_US_PER_S) /* plus up to as much jitter */
+#define RETRY_DELAY_US	   (1 * SKH_US_PER_S) /* the jitter adds up to RETRY_DELAY_US more */
 #define LEASE_PERIOD_S	   600
 
 /* A write that the key-value service has not confirmed yet. */
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -29,8 +29,7 @@
 /**
  * skh_quarantine_start() - start to read and write the shared records
  * @store: key-value service; borrowed until skh_quarantine_stop()
- * @store_prefix: prefix of all keys, with its final slash; the records are under
- *                "@store_prefix" "suspects/"
+ * @store_prefix: prefix of all keys, ending in a slash; copied, "suspects/" is appended
  * Return: new instance; stop and free it with skh_quarantine_stop().
  */
 skh_quarantine_t *skh_quarantine_start(skh_store_t *store, const char *store_prefix);
--- a/src/suspect.h
+++ b/src/suspect.h
@@ -30,9 +30,9 @@
 
 /** enum skh_suspect_state - how a request is treated */
 typedef enum skh_suspect_state {
-	SKH_SUSPECT_STATE_CLEAR,      /* no crash counts: it runs */
-	SKH_SUSPECT_STATE_SUSPECT,    /* it runs, one suspect at a time per backend server */
-	SKH_SUSPECT_STATE_QUARANTINED /* it is rejected */
+	SKH_SUSPECT_STATE_CLEAR,      /* no crash counts; the request runs */
+	SKH_SUSPECT_STATE_SUSPECT,    /* runs, one suspect at a time per backend server */
+	SKH_SUSPECT_STATE_QUARANTINED /* rejected */
 } skh_suspect_state_t;
 
 typedef struct skh_suspects skh_suspects_t;
