--- a/src/layout.h
+++ b/src/layout.h
@@ -2,10 +2,13 @@
 #define SKH_LAYOUT_H
 
 /**
- * DOC: Layouts
+ * DOC: Expert layout
  *
- * A placement of experts while the balancer (rebalance.h) changes it: who holds
- * what, how full each rank is, and what a change would do to that. Pure state.
+ * Working copy of an expert placement that the rebalancer (rebalance.h) modifies:
+ * the experts of each slot, the ranks that hold each expert, the load of each rank,
+ * and trials that compute the effect of a change before it is made. Owns its arrays;
+ * does no I/O and takes no locks, so the caller serialises access. A load is work
+ * divided by speed, in the unit of the forecast shares.
  */
 
 #include "rebalance.h"
@@ -14,100 +17,150 @@
 extern "C" {
 #endif
 
-/** struct skh_rank_slot - one slot of a rank */
+/** struct skh_rank_slot - position of one expert slot */
 typedef struct skh_rank_slot {
 	uint32_t rank;
 	uint32_t slot;
 } skh_rank_slot_t;
 
 /**
- * struct skh_layout - a placement under change, and what follows from it
+ * struct skh_layout - placement being modified, with values derived from it
  *
- * After a change of @placement and @hosts skh_layout_recompute() brings the rest
- * up to date.
+ * After a change to @placement and @hosts, call skh_layout_recompute() to update
+ * the derived fields.
  */
 typedef struct skh_layout {
-	const skh_rebalance_input_t *view;
-	uint32_t *placement;
-	uint64_t *hosts; /* of each expert: the live ranks that hold it */
-	/* What skh_layout_recompute() derives from the hosts: */
-	uint32_t *replica_count;	  /* of each expert: its live ranks */
-	double *replica_work;		  /* of each expert: the work of one replica */
-	skh_rank_slot_t *redundant_slots; /* slots whose expert stands elsewhere, too */
+	const skh_rebalance_input_t *view; /* borrowed */
+	uint32_t *placement;		   /* expert in each slot, [n_ranks][n_slots] */
+	uint64_t *hosts; /* live ranks that hold each expert, as bits, [n_experts] */
+	/* Derived from @hosts by skh_layout_recompute(): */
+	uint32_t *replica_count;	  /* live ranks that hold each expert */
+	double *replica_work;		  /* work of one replica of each expert */
+	skh_rank_slot_t *redundant_slots; /* slots whose expert has another live replica */
 	uint32_t n_redundant_slots;
-	double inverse_speed[SKH_REBALANCE_MAX_RANKS];
+	double inverse_speed[SKH_REBALANCE_MAX_RANKS]; /* 0 for a lost rank */
 	double load[SKH_REBALANCE_MAX_RANKS];
-	double norm_term[SKH_REBALANCE_MAX_RANKS]; /* (load / mean)^POWER */
-	double norm;				   /* sum of the terms of live ranks */
+	double norm_term[SKH_REBALANCE_MAX_RANKS]; /* (load / mean load)^16 */
+	double norm;				   /* sum of norm_term over the live ranks */
 	double inverse_mean_load;		   /* 1 / mean load */
 	uint32_t n_live_ranks;
-	uint32_t copies_left[SKH_REBALANCE_MAX_RANKS]; /* loads that each rank may still get */
+	uint32_t copies_left
+		[SKH_REBALANCE_MAX_RANKS]; /* experts that may still be copied to each rank */
 } skh_layout_t;
 
-/** struct skh_layout_trial - loads that a change would bring, of the ranks that it touches */
+/** struct skh_layout_trial - rank loads after a change that has not been made */
 typedef struct skh_layout_trial {
-	double load[SKH_REBALANCE_MAX_RANKS];
-	uint64_t changed_ranks;
+	double load[SKH_REBALANCE_MAX_RANKS]; /* valid only for @changed_ranks */
+	uint64_t changed_ranks;		      /* as bits */
 } skh_layout_trial_t;
 
-static inline bool skh_layout_is_rank_live(const skh_rebalance_input_t *view, uint32_t rank)
+static inline bool skh_layout_is_rank_live(const skh_rebalance_input_t *input, uint32_t rank)
 {
-	return view->speed[rank] > 0.0;
+	return input->speed[rank] > 0.0;
 }
 
-static inline uint32_t skh_layout_expert_at(const skh_layout_t *state, uint32_t rank, uint32_t slot)
+static inline uint32_t skh_layout_expert_at(const skh_layout_t *layout, uint32_t rank,
+					    uint32_t slot)
 {
-	return state->placement[rank * state->view->n_slots + slot];
+	return layout->placement[rank * layout->view->n_slots + slot];
 }
 
-/* The work that one replica of @expert takes. */
-static inline double skh_layout_replica_work(const skh_layout_t *state, uint32_t expert)
+/* Returns the work of one replica of @expert; replicas share the tokens equally. */
+static inline double skh_layout_replica_work(const skh_layout_t *layout, uint32_t expert)
 {
-	return state->replica_work[expert];
+	return layout->replica_work[expert];
 }
 
-static inline uint32_t skh_layout_replica_count(const skh_layout_t *state, uint32_t expert)
+static inline uint32_t skh_layout_replica_count(const skh_layout_t *layout, uint32_t expert)
 {
-	return state->replica_count[expert];
+	return layout->replica_count[expert];
 }
 
-static inline bool skh_layout_has_expert(const skh_layout_t *state, uint32_t rank, uint32_t expert)
+static inline bool skh_layout_has_expert(const skh_layout_t *layout, uint32_t rank, uint32_t expert)
 {
-	return (state->hosts[expert] >> rank & 1) != 0;
+	return (layout->hosts[expert] >> rank & 1) != 0;
 }
 
-/** skh_layout_new() - from @view, which must outlive it; free with skh_layout_free() */
-skh_layout_t *skh_layout_new(const skh_rebalance_input_t *view);
-skh_layout_t *skh_layout_copy(const skh_layout_t *from);
-void skh_layout_free(skh_layout_t *state);
+/**
+ * skh_layout_new() - create a layout from the placement in @input
+ * @input: borrowed; must outlive the layout
+ *
+ * Return: the layout, to be freed with skh_layout_free().
+ */
+skh_layout_t *skh_layout_new(const skh_rebalance_input_t *input);
+
+/** skh_layout_copy() - deep copy, to be freed with skh_layout_free(); shares the borrowed input */
+skh_layout_t *skh_layout_copy(const skh_layout_t *source);
+
+void skh_layout_free(skh_layout_t *layout);
 
-/** skh_layout_recompute() - bring counts, loads and the norm up to date */
-void skh_layout_recompute(skh_layout_t *state);
+/** skh_layout_recompute() - update replica counts, loads and the norm from the hosts */
+void skh_layout_recompute(skh_layout_t *layout);
 
-/** skh_layout_find_hosts() - the live ranks of each expert, as bits, [n_experts] */
-void skh_layout_find_hosts(const skh_rebalance_input_t *view, const uint32_t *placement,
+/**
+ * skh_layout_find_hosts() - compute the live ranks that hold each expert
+ * @input: dimensions and rank speeds; its placement is not read
+ * @placement: expert in each slot, [n_ranks][n_slots]
+ * @hosts: receives the ranks as bits, [n_experts]
+ */
+void skh_layout_find_hosts(const skh_rebalance_input_t *input, const uint32_t *placement,
 			   uint64_t *hosts);
 
-/** skh_layout_compute_skew() - greatest rank load over the mean */
-double skh_layout_compute_skew(const skh_rebalance_input_t *view, const uint64_t *hosts,
+/**
+ * skh_layout_compute_skew() - compute the maximum rank load divided by the mean load
+ * @input: dimensions and rank speeds
+ * @hosts: live ranks that hold each expert, as bits, [n_experts]
+ * @shares: share of tokens of each expert, [n_experts], any unit
+ *
+ * Return: the skew; 1 is perfectly balanced.
+ */
+double skh_layout_compute_skew(const skh_rebalance_input_t *input, const uint64_t *hosts,
 			       const double *shares);
 
-/** skh_layout_smooth_skew() - skew that also sees the ranks next to the fullest */
-double skh_layout_smooth_skew(const skh_layout_t *state, double norm);
+/**
+ * skh_layout_smooth_skew() - convert a norm into a skew that accounts for all heavily loaded ranks
+ *
+ * The maximum load ignores every rank but the most loaded one; the norm also
+ * improves when a rank close to the maximum is relieved.
+ *
+ * Return: the skew that corresponds to @norm; 1 is perfectly balanced.
+ */
+double skh_layout_smooth_skew(const skh_layout_t *layout, double norm);
 
-/** skh_layout_trial_add_load() - @rank gets @work more in @trial, a share of tokens */
-void skh_layout_trial_add_load(const skh_layout_t *state, skh_layout_trial_t *trial, uint32_t rank,
+/**
+ * skh_layout_trial_add_load() - add work to a rank in a trial
+ * @layout: layout that the trial starts from
+ * @trial: zero-initialised before its first change
+ * @rank: live rank
+ * @work: token share to add; negative to remove
+ */
+void skh_layout_trial_add_load(const skh_layout_t *layout, skh_layout_trial_t *trial, uint32_t rank,
 			       double work);
 
-/** skh_layout_trial_change_hosts() - @expert stands on @after in place of @before in @trial */
-void skh_layout_trial_change_hosts(const skh_layout_t *state, skh_layout_trial_t *trial,
+/**
+ * skh_layout_trial_change_hosts() - replace the hosts of an expert in a trial
+ * @layout: layout that the trial starts from
+ * @trial: zero-initialised before its first change
+ * @expert: expert whose load moves
+ * @before: ranks that hold it before the change, as bits
+ * @after: ranks that hold it after the change, as bits
+ */
+void skh_layout_trial_change_hosts(const skh_layout_t *layout, skh_layout_trial_t *trial,
 				   uint32_t expert, uint64_t before, uint64_t after);
 
-/** skh_layout_trial_norm() - the norm that @trial would have */
-double skh_layout_trial_norm(const skh_layout_t *state, const skh_layout_trial_t *trial);
+/** skh_layout_trial_norm() - compute the norm of the layout after the changes in @trial */
+double skh_layout_trial_norm(const skh_layout_t *layout, const skh_layout_trial_t *trial);
 
-/** skh_layout_keeps_spread() - false when @after brings spread replicas into one domain */
-bool skh_layout_keeps_spread(const skh_layout_t *state, uint32_t expert, uint64_t after);
+/**
+ * skh_layout_keeps_spread() - check that a change keeps replicas in several failure domains
+ * @layout: layout before the change
+ * @expert: expert whose hosts change
+ * @after: ranks that hold @expert after the change, as bits
+ *
+ * Return: false when the replicas are in different failure domains now and at
+ * least two replicas in a single domain would remain.
+ */
+bool skh_layout_keeps_spread(const skh_layout_t *layout, uint32_t expert, uint64_t after);
 
 #ifdef __cplusplus
 }
