--- a/src/stages.c
+++ b/src/stages.c
@@ -5,11 +5,11 @@
 #include <glib.h>
 #include <stdlib.h>
 
-/* For each stage: the ranks that hold an expert during all of it. */
+/* Ranks that hold each expert throughout each stage. */
 typedef struct schedule {
 	uint32_t n_experts;
-	uint32_t n_stages; /* rows of @hosts, one more than the plan may use */
-	uint64_t *hosts;   /* [n_stages][n_experts] */
+	uint32_t n_stages; /* rows of @hosts: one more than the plan can use */
+	uint64_t *hosts;   /* ranks as bits, [n_stages][n_experts] */
 } schedule_t;
 
 static uint64_t *hosts_at(const schedule_t *schedule, uint32_t stage, uint32_t expert)
@@ -17,35 +17,39 @@
 	return &schedule->hosts[(size_t)stage * schedule->n_experts + expert];
 }
 
-/* From @stage on, @old is gone from the rank and always stands somewhere else. */
-static bool fits(const schedule_t *schedule, const skh_expert_copy_t *move, uint32_t old,
-		 uint32_t stage)
+/*
+ * Checks whether @copy can overwrite expert @replaced in @stage. The rank must hold @replaced
+ * in @stage, and another rank must hold it in @stage and all later ones. The rank must not
+ * hold the new expert in any of these stages.
+ */
+static bool can_run_in_stage(const schedule_t *schedule, const skh_expert_copy_t *copy,
+			     uint32_t replaced, uint32_t stage)
 {
-	uint64_t bit = 1ULL << move->rank;
+	uint64_t bit = 1ULL << copy->rank;
 
-	if ((*hosts_at(schedule, stage, old) & bit) == 0)
+	if ((*hosts_at(schedule, stage, replaced) & bit) == 0)
 		return false;
-	for (uint32_t t = stage; t < schedule->n_stages; t++) {
-		if ((*hosts_at(schedule, t, old) & ~bit) == 0 ||
-		    (*hosts_at(schedule, t, move->expert) & bit) != 0)
+	for (uint32_t later = stage; later < schedule->n_stages; later++) {
+		if ((*hosts_at(schedule, later, replaced) & ~bit) == 0 ||
+		    (*hosts_at(schedule, later, copy->expert) & bit) != 0)
 			return false;
 	}
 	return true;
 }
 
-static void enter(schedule_t *schedule, const skh_expert_copy_t *move, uint32_t old)
+static void apply_copy(schedule_t *schedule, const skh_expert_copy_t *copy, uint32_t replaced)
 {
-	uint64_t bit = 1ULL << move->rank;
+	uint64_t bit = 1ULL << copy->rank;
 
-	for (uint32_t t = move->stage; t < schedule->n_stages; t++) {
-		*hosts_at(schedule, t, old) &= ~bit;
-		/* It serves from the stage after the one that loads it. */
-		if (t > move->stage)
-			*hosts_at(schedule, t, move->expert) |= bit;
+	for (uint32_t later = copy->stage; later < schedule->n_stages; later++) {
+		*hosts_at(schedule, later, replaced) &= ~bit;
+		/* The copied expert serves from the stage after its copy. */
+		if (later > copy->stage)
+			*hosts_at(schedule, later, copy->expert) |= bit;
 	}
 }
 
-static int by_stage(const void *a, const void *b)
+static int compare_copies(const void *a, const void *b)
 {
 	const skh_expert_copy_t *left = a;
 	const skh_expert_copy_t *right = b;
@@ -57,36 +61,36 @@
 	return (left->slot > right->slot) - (left->slot < right->slot);
 }
 
-/*
- * Puts each load into the first stage during which its slot's old expert stands
- * elsewhere. The order of the decisions, one load a stage, always works.
- */
-void skh_stages_assign(const skh_rebalance_input_t *view, skh_rebalance_plan_t *plan)
+void skh_stages_assign(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan)
 {
 	g_autofree uint32_t *placement =
-		g_memdup2(view->placement, view->n_ranks * view->n_slots * sizeof(uint32_t));
-	/* An expert may stand in two slots of a rank in turn: hosts alone don't tell which. */
-	uint32_t *earliest = g_new0(uint32_t, view->n_ranks * view->n_slots);
-	schedule_t schedule = { view->n_experts, plan->n_copies + 1, NULL };
+		g_memdup2(input->placement, input->n_ranks * input->n_slots * sizeof(uint32_t));
+	/*
+	 * An expert can occupy two slots of a rank in succession, which the hosts do not
+	 * distinguish; a slot is therefore not overwritten before the stage stored here.
+	 */
+	uint32_t *first_free_stage = g_new0(uint32_t, input->n_ranks * input->n_slots);
+	schedule_t schedule = { input->n_experts, plan->n_copies + 1, NULL };
 
-	schedule.hosts = g_new(uint64_t, (size_t)schedule.n_stages * view->n_experts);
-	for (uint32_t t = 0; t < schedule.n_stages; t++)
-		skh_layout_find_hosts(view, placement, hosts_at(&schedule, t, 0));
+	schedule.hosts = g_new(uint64_t, (size_t)schedule.n_stages * input->n_experts);
+	for (uint32_t stage = 0; stage < schedule.n_stages; stage++)
+		skh_layout_find_hosts(input, placement, hosts_at(&schedule, stage, 0));
 	for (uint32_t i = 0; i < plan->n_copies; i++) {
-		skh_expert_copy_t *move = &plan->copies[i];
-		uint32_t at = move->rank * view->n_slots + move->slot;
-		uint32_t *cell = &placement[at];
+		skh_expert_copy_t *copy = &plan->copies[i];
+		uint32_t slot_index = copy->rank * input->n_slots + copy->slot;
+		uint32_t *slot_expert = &placement[slot_index];
 
-		move->stage = earliest[at];
-		while (move->stage + 1 < schedule.n_stages &&
-		       !fits(&schedule, move, *cell, move->stage))
-			move->stage++;
-		enter(&schedule, move, *cell);
-		*cell = move->expert;
-		earliest[at] = move->stage + 1;
-		plan->n_stages = MAX(plan->n_stages, move->stage + 1);
+		/* One copy per stage, in the order of the plan, is always possible. */
+		copy->stage = first_free_stage[slot_index];
+		while (copy->stage + 1 < schedule.n_stages &&
+		       !can_run_in_stage(&schedule, copy, *slot_expert, copy->stage))
+			copy->stage++;
+		apply_copy(&schedule, copy, *slot_expert);
+		*slot_expert = copy->expert;
+		first_free_stage[slot_index] = copy->stage + 1;
+		plan->n_stages = MAX(plan->n_stages, copy->stage + 1);
 	}
 	g_free(schedule.hosts);
-	g_free(earliest);
-	qsort(plan->copies, plan->n_copies, sizeof(skh_expert_copy_t), by_stage);
+	g_free(first_free_stage);
+	qsort(plan->copies, plan->n_copies, sizeof(skh_expert_copy_t), compare_copies);
 }
--- a/src/stages.h
+++ b/src/stages.h
@@ -2,10 +2,12 @@
 #define SKH_STAGES_H
 
 /**
- * DOC: Stages of a plan
+ * DOC: Stages of a rebalance plan
  *
- * Orders the loads of a plan so that no rank needs memory for two maps and no
- * expert is ever missing. Pure.
+ * Schedules the expert copies of a plan into stages, such that an expert is
+ * overwritten only while another live rank holds it. No rank then needs memory for
+ * two maps, and every expert stays available. Keeps no state and does no I/O; safe
+ * to call from any thread as long as nobody else uses the arguments.
  */
 
 #include "rebalance.h"
@@ -15,11 +17,14 @@
 #endif
 
 /**
- * skh_stages_assign() - give each load of @plan the first stage that it fits into
+ * skh_stages_assign() - assign each copy of a plan to the earliest possible stage
+ * @input: dimensions, rank speeds and the placement that the plan starts from
+ * @plan: copies in an order that works when they are made one at a time
  *
- * The loads must be in an order in which one at a time is possible.
+ * Sets the stage of each copy and the number of stages, and sorts the copies by
+ * stage, rank and slot.
  */
-void skh_stages_assign(const skh_rebalance_input_t *view, skh_rebalance_plan_t *plan);
+void skh_stages_assign(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan);
 
 #ifdef __cplusplus
 }
