--- a/src/forecast.h
+++ b/src/forecast.h
@@ -4,8 +4,10 @@
 /**
  * DOC: Forecast of expert popularity
  *
- * Smooths lagging, gappy counts of tokens per expert and foretells the shares
- * of the interval that is about to begin. Pure state.
+ * Smooths token counts per expert, which arrive late and with gaps, and predicts
+ * each expert's share of the tokens of the next interval. Owns its arrays; does no
+ * I/O and takes no locks, so the caller serialises access. A share is a fraction
+ * of all tokens.
  */
 
 #include <stdbool.h>
@@ -17,44 +19,73 @@
 
 typedef struct skh_forecast skh_forecast_t;
 
+/**
+ * skh_forecast_new() - create a forecast with equal shares
+ * @n_experts: number of experts
+ *
+ * Return: the forecast, to be freed with skh_forecast_free().
+ */
 skh_forecast_t *skh_forecast_new(uint32_t n_experts);
 void skh_forecast_free(skh_forecast_t *forecast);
 
+/* Count of an expert that was not reported in an interval. */
 #define SKH_FORECAST_UNKNOWN_COUNT (-1.0)
 
 /**
- * skh_forecast_observe() - the counts of one interval
+ * skh_forecast_observe() - update the forecast with the counts of one interval
+ * @forecast: forecast to update; unchanged when @counts has no tokens
  * @counts: tokens of each expert, [n_experts]; SKH_FORECAST_UNKNOWN_COUNT where unknown
  */
 void skh_forecast_observe(skh_forecast_t *forecast, const double *counts);
 
-/** skh_forecast_distance() - sum of the differences between @counts' shares and the expected */
+/**
+ * skh_forecast_distance() - compare counts with the forecast
+ * @forecast: expected shares
+ * @counts: as for skh_forecast_observe()
+ *
+ * Return: sum of the absolute differences between the shares in @counts and the
+ * expected ones, over the experts that were reported.
+ */
 double skh_forecast_distance(const skh_forecast_t *forecast, const double *counts);
 
-/** skh_forecast_reset() - forget all: what was popular no longer tells what will be */
+/** skh_forecast_reset() - discard all observations, for use after a shift of demand */
 void skh_forecast_reset(skh_forecast_t *forecast);
 
 /**
- * skh_forecast_extrapolate_shift() - where a shift that is under way will end
- *
- * Requests that began before a shift still ask for what was popular then, so
- * the counts are a mixture for a while. How far it has gone is told by how much
- * the most popular experts of before have lost.
+ * skh_forecast_extrapolate_shift() - predict the shares after a shift in progress
  * @before: shares before the shift, [@n]
- * @now: shares of the newest counts, [@n]
- * @outcome: receives the expected shares after it, [@n]
- * Return: how far the shift has gone, 0 to 1.
+ * @current: shares of the newest counts, [@n]
+ * @n: number of experts
+ * @predicted: receives the expected shares after the shift, [@n]
+ *
+ * Requests that began before a shift still use the experts that were popular then,
+ * so the counts are a mixture for a while. The progress of the shift is estimated
+ * from the largest relative loss among the experts that were popular before it.
+ *
+ * Return: progress of the shift, 0 to 1.
  */
-double skh_forecast_extrapolate_shift(const double *before, const double *now, uint32_t n,
-				      double *outcome);
+double skh_forecast_extrapolate_shift(const double *before, const double *current, uint32_t n,
+				      double *predicted);
 
-/** skh_forecast_set_gains() - of the level and of the trend, for intervals of another length */
-void skh_forecast_set_gains(skh_forecast_t *forecast, double level, double trend);
+/**
+ * skh_forecast_set_gains() - set the smoothing gains
+ * @forecast: forecast to change
+ * @level_gain: weight of a new observation in the level, 0 to 1
+ * @trend_gain: weight of a new observation in the trend, 0 to 1
+ *
+ * The default gains suit one length of interval; other lengths need other gains.
+ */
+void skh_forecast_set_gains(skh_forecast_t *forecast, double level_gain, double trend_gain);
 
-/** skh_forecast_is_ready() - whether every expert has been reported at least once */
+/** skh_forecast_is_ready() - true when every expert has been reported since the last reset */
 bool skh_forecast_is_ready(const skh_forecast_t *forecast);
 
-/** skh_forecast_shares() - expected shares of the next interval, [n_experts], sum 1 */
+/**
+ * skh_forecast_shares() - get the expected shares of the next interval
+ *
+ * Return: shares, [n_experts], sum 1; owned by @forecast and valid until it
+ * changes.
+ */
 const double *skh_forecast_shares(const skh_forecast_t *forecast);
 
 #ifdef __cplusplus
