--- a/src/demand.c
+++ b/src/demand.c
@@ -7,60 +7,69 @@
 #include <string.h>
 
 /*
- * A sample departs from what was counted before when their Hellinger distance, squared and
- * less what chance brings, is greater than this: a shift of half of what is liked brings
- * 0.09 (252 experts, all liked alike) to 0.3 (72, a few liked most), a prompt 0.03 to 0.13.
+ * Threshold for a shift: squared Hellinger distance between a sample and the earlier counts,
+ * less the distance expected by chance. A shift of half of the demand has a distance of 0.09
+ * (252 experts of similar popularity) to 0.3 (72 experts, a few of them very popular); a
+ * single prompt has 0.03 to 0.13.
  */
-#define SHIFT_LEAST 0.045
-/* And than so many times what samples without a shift bring, which differs by group. */
-#define SHIFT_TIMES  4.0
-#define TYPICAL_GAIN 0.1
-/* Of so few samples before, each is an accident of its prompts. */
-#define FEW_SAMPLES 2.0
-/* Fewer choices in a set tell nothing. */
-#define LEAST_CHOICES 150.0
-/* Added to each count before its root is taken: levels the variance of small ones (Anscombe). */
-#define ROOT_SHIFT 0.375
+#define MIN_SHIFT_DISTANCE 0.045
 /*
- * Choices an expert from which more of the same sample say little: they are of one or two
- * prompts, and prompts differ by as much as so few choices do.
+ * A shift must also exceed this multiple of the typical distance of samples without a shift,
+ * which differs between groups.
  */
-#define SATURATION_PER_EXPERT 24.0
-/* Choices an expert that are remembered; then older ones fade by half. */
-#define MEMORY_PER_EXPERT 800.0
-/* Choices an expert that a map is planned by at once ... */
-#define KNOWN_PER_EXPERT 50.0
-/* ... or, when no more have come for a while after the shift, by so few. */
-#define ROUGH_PER_EXPERT 20.0
-#define ROUGH_AFTER_US	 (40 * SKH_US_PER_MS)
-/* An expert that was never seen may be asked for any moment. */
-#define UNSEEN_COUNT 0.5
+#define SHIFT_TO_TYPICAL_RATIO 4.0
+/* Weight of the newest sample in the typical distance. */
+#define TYPICAL_DISTANCE_GAIN 0.1
+/*
+ * The threshold is multiplied by 1 + FEW_SAMPLES_MARGIN / number of earlier samples, because a few
+ * samples mostly reflect the prompts that they happen to contain.
+ */
+#define FEW_SAMPLES_MARGIN 2.0
+/* A set with fewer choices is not compared, because its distance says nothing. */
+#define MIN_CHOICES 150.0
+/* Anscombe transform: stabilizes the variance of the square roots of small counts. */
+#define ANSCOMBE_OFFSET 0.375
+/*
+ * Number of choices per expert beyond which further choices of the same sample add little
+ * information: they come from one or two prompts, and prompts differ from each other by as
+ * much as samples of this size do.
+ */
+#define SATURATION_CHOICES_PER_EXPERT 24.0
+/* Choices per expert in the counts; beyond this number all counts are halved. */
+#define MAX_CHOICES_PER_EXPERT 800.0
+/* Choices per expert that are enough to plan a map at once. */
+#define ENOUGH_CHOICES_PER_EXPERT 50.0
+/* Choices per expert that are enough once ROUGH_DELAY_US have passed since the shift. */
+#define ROUGH_CHOICES_PER_EXPERT 20.0
+#define ROUGH_DELAY_US		 (40 * SKH_US_PER_MS)
+/* Added to each count, because an expert without tokens may receive one at any time. */
+#define PSEUDO_COUNT 0.5
 
 struct skh_demand {
-	skh_engine_spec_t shape;
-	double *sums;	 /* weighed counts since the last shift, [sets][experts] */
-	double *weights; /* their sum, by set */
-	double *shares;
-	double typical; /* distance of samples without a shift */
+	skh_engine_spec_t engine_spec;
+	double *sums;		 /* weighted counts since the last shift, [sets][experts] */
+	double *weights;	 /* sum of the weighted counts of each set, [sets] */
+	double *shares;		 /* result of skh_demand_shares(), [sets][experts] */
+	double typical_distance; /* smoothed distance of samples without a shift */
 	uint32_t n_samples;
 	int64_t epoch;
 	int64_t from_pass;
-	int64_t since_us; /* first sample since the last shift */
+	int64_t counting_since_us; /* time of the last shift or first sample of the epoch */
 };
 
-static size_t size_of(const skh_demand_t *demand)
+static size_t count_shares(const skh_demand_t *demand)
 {
-	return (size_t)demand->shape.expert_sets * demand->shape.experts_per_set;
+	return (size_t)demand->engine_spec.expert_sets * demand->engine_spec.experts_per_set;
 }
 
-skh_demand_t *skh_demand_new(const skh_engine_spec_t *shape)
+skh_demand_t *skh_demand_new(const skh_engine_spec_t *engine_spec)
 {
 	skh_demand_t *demand = g_new0(skh_demand_t, 1);
 
-	demand->shape = *shape;
-	demand->sums = g_new0(double, size_of(demand));
-	demand->shares = g_new0(double, size_of(demand));
-	demand->weights = g_new0(double, shape->expert_sets);
+	demand->engine_spec = *engine_spec;
+	demand->sums = g_new0(double, count_shares(demand));
+	demand->shares = g_new0(double, count_shares(demand));
+	demand->weights = g_new0(double, engine_spec->expert_sets);
 	return demand;
 }
 
@@ -72,7 +81,7 @@
 	g_free(demand);
 }
 
-static double sum_of(const double *counts, uint32_t n)
+static double sum_counts(const double *counts, uint32_t n)
 {
 	double sum = 0.0;
 
@@ -81,149 +90,165 @@
 	return sum;
 }
 
-/* Squared Hellinger distance of one set of a sample from what was counted before, less chance. */
-static double distance_of(const skh_demand_t *demand, uint32_t set, const double *counts, double n)
+/*
+ * Returns the squared Hellinger distance between one set of a sample and the earlier counts, less
+ * the distance expected by chance.
+ */
+static double compute_set_distance(const skh_demand_t *demand, uint32_t set, const double *counts,
+				   double n_choices)
 {
-	uint32_t experts = demand->shape.experts_per_set;
-	const double *sums = demand->sums + (size_t)set * experts;
-	double before = demand->weights[set];
-	double scale = MIN(n, before);
+	uint32_t n_experts = demand->engine_spec.experts_per_set;
+	const double *sums = demand->sums + (size_t)set * n_experts;
+	double earlier_choices = demand->weights[set];
+	double scale = MIN(n_choices, earlier_choices);
 	double sum = 0.0;
 
-	for (uint32_t i = 0; i < experts; i++) {
-		double root = sqrt(counts[i] * scale / n + ROOT_SHIFT) -
-			      sqrt(sums[i] * scale / before + ROOT_SHIFT);
+	for (uint32_t i = 0; i < n_experts; i++) {
+		double root = sqrt(counts[i] * scale / n_choices + ANSCOMBE_OFFSET) -
+			      sqrt(sums[i] * scale / earlier_choices + ANSCOMBE_OFFSET);
 
 		sum += root * root;
 	}
-	return 0.5 * sum / scale - (double)experts / 8.0 * (1.0 / n + 1.0 / before);
+	return 0.5 * sum / scale -
+	       (double)n_experts / 8.0 * (1.0 / n_choices + 1.0 / earlier_choices);
 }
 
-/* Mean of the sets; false when some set has too few choices to tell. */
-static bool find_distance(const skh_demand_t *demand, const skh_demand_sample_t *sample,
-			  double *distance)
+/* Computes the mean distance of the sets; returns false when a set has too few choices. */
+static bool compute_distance(const skh_demand_t *demand, const skh_demand_sample_t *sample,
+			     double *distance)
 {
-	uint32_t experts = demand->shape.experts_per_set;
+	uint32_t n_experts = demand->engine_spec.experts_per_set;
 
 	*distance = 0.0;
-	for (uint32_t set = 0; set < demand->shape.expert_sets; set++) {
-		const double *counts = sample->counts + (size_t)set * experts;
-		double n = sum_of(counts, experts);
+	for (uint32_t set = 0; set < demand->engine_spec.expert_sets; set++) {
+		const double *counts = sample->counts + (size_t)set * n_experts;
+		double n_choices = sum_counts(counts, n_experts);
 
-		if (n < LEAST_CHOICES || demand->weights[set] < LEAST_CHOICES)
+		if (n_choices < MIN_CHOICES || demand->weights[set] < MIN_CHOICES)
 			return false;
-		*distance +=
-			distance_of(demand, set, counts, n) / (double)demand->shape.expert_sets;
+		*distance += compute_set_distance(demand, set, counts, n_choices) /
+			     (double)demand->engine_spec.expert_sets;
 	}
 	return true;
 }
 
-static bool departs(skh_demand_t *demand, const skh_demand_sample_t *sample)
+static bool detect_shift(skh_demand_t *demand, const skh_demand_sample_t *sample)
 {
-	double few = 1.0 + FEW_SAMPLES / (double)demand->n_samples;
+	double margin = 1.0 + FEW_SAMPLES_MARGIN / (double)demand->n_samples;
 	double distance;
 
-	if (!find_distance(demand, sample, &distance))
+	if (!compute_distance(demand, sample, &distance))
 		return false;
-	if (distance > few * MAX(SHIFT_LEAST, SHIFT_TIMES * demand->typical))
+	if (distance >
+	    margin * MAX(MIN_SHIFT_DISTANCE, SHIFT_TO_TYPICAL_RATIO * demand->typical_distance))
 		return true;
-	demand->typical += TYPICAL_GAIN * (fabs(distance) - demand->typical);
+	demand->typical_distance +=
+		TYPICAL_DISTANCE_GAIN * (fabs(distance) - demand->typical_distance);
 	return false;
 }
 
-static void restart(skh_demand_t *demand, int64_t epoch, int64_t from_pass, int64_t now_us)
+static void reset_counts(skh_demand_t *demand, int64_t epoch, int64_t from_pass, int64_t now_us)
 {
-	memset(demand->sums, 0, size_of(demand) * sizeof(double));
-	memset(demand->weights, 0, demand->shape.expert_sets * sizeof(double));
+	memset(demand->sums, 0, count_shares(demand) * sizeof(double));
+	memset(demand->weights, 0, demand->engine_spec.expert_sets * sizeof(double));
 	demand->n_samples = 0;
 	demand->epoch = epoch;
 	demand->from_pass = from_pass;
-	demand->since_us = now_us;
+	demand->counting_since_us = now_us;
 }
 
-static void fade(skh_demand_t *demand, uint32_t set)
+static void decay_counts(skh_demand_t *demand, uint32_t set)
 {
-	uint32_t experts = demand->shape.experts_per_set;
+	uint32_t n_experts = demand->engine_spec.experts_per_set;
 
-	if (demand->weights[set] < MEMORY_PER_EXPERT * (double)experts)
+	if (demand->weights[set] < MAX_CHOICES_PER_EXPERT * (double)n_experts)
 		return;
 	demand->weights[set] *= 0.5;
-	for (uint32_t i = 0; i < experts; i++)
-		demand->sums[(size_t)set * experts + i] *= 0.5;
+	for (uint32_t i = 0; i < n_experts; i++)
+		demand->sums[(size_t)set * n_experts + i] *= 0.5;
 }
 
-static void take_in(skh_demand_t *demand, const skh_demand_sample_t *sample)
+static void add_counts(skh_demand_t *demand, const skh_demand_sample_t *sample)
 {
-	uint32_t experts = demand->shape.experts_per_set;
-
-	for (uint32_t set = 0; set < demand->shape.expert_sets; set++) {
-		const double *counts = sample->counts + (size_t)set * experts;
-		double n = sum_of(counts, experts);
-		double weight = 1.0 / (1.0 + n / (SATURATION_PER_EXPERT * (double)experts));
-
-		for (uint32_t i = 0; i < experts; i++)
-			demand->sums[(size_t)set * experts + i] += counts[i] * weight;
-		demand->weights[set] += n * weight;
-		fade(demand, set);
+	uint32_t n_experts = demand->engine_spec.experts_per_set;
+
+	for (uint32_t set = 0; set < demand->engine_spec.expert_sets; set++) {
+		const double *counts = sample->counts + (size_t)set * n_experts;
+		double n_choices = sum_counts(counts, n_experts);
+		double weight =
+			1.0 /
+			(1.0 + n_choices / (SATURATION_CHOICES_PER_EXPERT * (double)n_experts));
+
+		for (uint32_t i = 0; i < n_experts; i++)
+			demand->sums[(size_t)set * n_experts + i] += counts[i] * weight;
+		demand->weights[set] += n_choices * weight;
+		decay_counts(demand, set);
 	}
 }
 
 skh_demand_update_t skh_demand_add_sample(skh_demand_t *demand, const skh_demand_sample_t *sample,
 					  int64_t now_us)
 {
-	bool is_later = sample->from_pass > demand->from_pass;
-	bool shifts = false;
+	bool begins_later = sample->from_pass > demand->from_pass;
+	bool has_shifted = false;
 
 	if (sample->epoch < demand->epoch ||
-	    sum_of(sample->counts, demand->shape.experts_per_set) <= 0.0)
+	    sum_counts(sample->counts, demand->engine_spec.experts_per_set) <= 0.0)
 		return SKH_DEMAND_IGNORED;
 	if (sample->epoch > demand->epoch)
-		restart(demand, sample->epoch, sample->from_pass, now_us);
+		reset_counts(demand, sample->epoch, sample->from_pass, now_us);
 	else if (sample->from_pass < demand->from_pass)
 		return SKH_DEMAND_IGNORED;
 	else if (demand->n_samples > 0)
-		shifts = departs(demand, sample);
-	/* It begins as late and differs: it counts some pass of before the shift. */
-	if (shifts && !is_later)
+		has_shifted = detect_shift(demand, sample);
+	/*
+	 * A sample that differs but does not begin later includes passes from before the last
+	 * shift.
+	 */
+	if (has_shifted && !begins_later)
 		return SKH_DEMAND_IGNORED;
-	/* Of several passes the first may be of before, and the next certainly is not. */
-	if (shifts && sample->to_pass > sample->from_pass + 1) {
-		restart(demand, sample->epoch, sample->from_pass + 1, now_us);
+	/*
+	 * When the sample covers several passes, the first may be from before the shift, but the
+	 * next is certainly from after it.
+	 */
+	if (has_shifted && sample->to_pass > sample->from_pass + 1) {
+		reset_counts(demand, sample->epoch, sample->from_pass + 1, now_us);
 		return SKH_DEMAND_SHIFTED_MID_SAMPLE;
 	}
-	if (shifts)
-		restart(demand, sample->epoch, sample->from_pass, now_us);
-	take_in(demand, sample);
+	if (has_shifted)
+		reset_counts(demand, sample->epoch, sample->from_pass, now_us);
+	add_counts(demand, sample);
 	demand->n_samples++;
-	return shifts ? SKH_DEMAND_SHIFTED : SKH_DEMAND_UPDATED;
+	return has_shifted ? SKH_DEMAND_SHIFTED : SKH_DEMAND_UPDATED;
 }
 
 bool skh_demand_has_enough_counts(const skh_demand_t *demand, int64_t now_us)
 {
 	double weight = demand->weights[0];
-	double experts = (double)demand->shape.experts_per_set;
+	double n_experts = (double)demand->engine_spec.experts_per_set;
 
-	for (uint32_t set = 1; set < demand->shape.expert_sets; set++)
+	for (uint32_t set = 1; set < demand->engine_spec.expert_sets; set++)
 		weight = MIN(weight, demand->weights[set]);
-	return weight >= KNOWN_PER_EXPERT * experts ||
-	       (weight >= ROUGH_PER_EXPERT * experts && now_us - demand->since_us > ROUGH_AFTER_US);
+	return weight >= ENOUGH_CHOICES_PER_EXPERT * n_experts ||
+	       (weight >= ROUGH_CHOICES_PER_EXPERT * n_experts &&
+		now_us - demand->counting_since_us > ROUGH_DELAY_US);
 }
 
-static double share_of(const skh_demand_t *demand, uint32_t set, uint32_t expert)
+static double compute_share(const skh_demand_t *demand, uint32_t set, uint32_t expert)
 {
-	uint32_t experts = demand->shape.experts_per_set;
+	uint32_t n_experts = demand->engine_spec.experts_per_set;
 
-	return (demand->sums[(size_t)set * experts + expert] + UNSEEN_COUNT) /
-	       (demand->weights[set] + UNSEEN_COUNT * (double)experts);
+	return (demand->sums[(size_t)set * n_experts + expert] + PSEUDO_COUNT) /
+	       (demand->weights[set] + PSEUDO_COUNT * (double)n_experts);
 }
 
 const double *skh_demand_shares(skh_demand_t *demand)
 {
-	uint32_t experts = demand->shape.experts_per_set;
+	uint32_t n_experts = demand->engine_spec.experts_per_set;
 
-	for (uint32_t set = 0; set < demand->shape.expert_sets; set++) {
-		for (uint32_t i = 0; i < experts; i++)
-			demand->shares[(size_t)set * experts + i] = share_of(demand, set, i);
+	for (uint32_t set = 0; set < demand->engine_spec.expert_sets; set++) {
+		for (uint32_t i = 0; i < n_experts; i++)
+			demand->shares[(size_t)set * n_experts + i] = compute_share(demand, set, i);
 	}
 	return demand->shares;
 }
