--- a/src/mapplan.c
+++ b/src/mapplan.c
@@ -6,348 +6,374 @@
 #include <glib.h>
 #include <string.h>
 
-/* One set as the balancer sees it. */
-typedef struct set_view {
-	const skh_engine_spec_t *shape;
-	uint32_t ranks;
-	uint32_t padding; /* experts without work that fill empty places */
+/* Input of the rebalancer for one set; owns its arrays. */
+typedef struct set_input {
+	const skh_engine_spec_t *engine_spec;
+	uint32_t n_ranks;
+	uint32_t n_filler_experts; /* experts without tokens that occupy the empty slots */
 	uint32_t *placement;
 	double *shares;
 	double speed[SKH_REBALANCE_MAX_RANKS];
-	uint32_t domain[SKH_REBALANCE_MAX_RANKS];
-} set_view_t;
+	uint32_t failure_domain[SKH_REBALANCE_MAX_RANKS];
+} set_input_t;
 
 /*
- * Empty places hold experts without work, each of them on every rank that needs
- * it, so that any of them may give its place up.
+ * The rebalancer knows no empty slots, so each one gets a filler expert without tokens. The ranks
+ * share the filler experts, so that the fillers have replicas and their slots can be overwritten.
  */
-static void fill_set(set_view_t *view, const double *shares, const double *paces,
-		     const uint32_t *map)
+static void fill_set_input(set_input_t *set, const double *shares, const double *slowdowns,
+			   const uint32_t *map)
 {
-	uint32_t places = view->shape->expert_slots;
+	uint32_t n_slots = set->engine_spec->expert_slots;
 
-	for (uint32_t i = 0; i < view->shape->experts_per_set; i++)
-		view->shares[i] = shares[i];
-	for (uint32_t i = 0; i < view->padding; i++)
-		view->shares[view->shape->experts_per_set + i] = 0.0;
-	for (uint32_t rank = 0; rank < view->ranks; rank++) {
-		uint32_t pad = view->shape->experts_per_set;
+	for (uint32_t i = 0; i < set->engine_spec->experts_per_set; i++)
+		set->shares[i] = shares[i];
+	for (uint32_t i = 0; i < set->n_filler_experts; i++)
+		set->shares[set->engine_spec->experts_per_set + i] = 0.0;
+	for (uint32_t rank = 0; rank < set->n_ranks; rank++) {
+		uint32_t filler = set->engine_spec->experts_per_set;
 
-		view->speed[rank] = paces ? 1.0 / paces[rank] : 1.0;
-		view->domain[rank] = rank;
-		for (uint32_t i = 0; i < places; i++) {
-			uint32_t at = rank * places + i;
+		set->speed[rank] = slowdowns ? 1.0 / slowdowns[rank] : 1.0;
+		set->failure_domain[rank] = rank;
+		for (uint32_t i = 0; i < n_slots; i++) {
+			uint32_t cell = rank * n_slots + i;
 
-			view->placement[at] = map[at] > 0 ? map[at] - 1 : pad++;
+			set->placement[cell] = map[cell] > 0 ? map[cell] - 1 : filler++;
 		}
 	}
 }
 
-static uint32_t most_empty(const skh_engine_spec_t *shape, uint32_t ranks, const uint32_t *map)
+static uint32_t max_empty_slots(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+				const uint32_t *map)
 {
-	uint32_t most = 0;
+	uint32_t max_empty = 0;
 
-	for (uint32_t rank = 0; rank < ranks; rank++) {
+	for (uint32_t rank = 0; rank < n_ranks; rank++) {
 		uint32_t empty = 0;
 
-		for (uint32_t i = 0; i < shape->expert_slots; i++)
-			empty += map[rank * shape->expert_slots + i] == 0;
-		most = MAX(most, empty);
+		for (uint32_t i = 0; i < engine_spec->expert_slots; i++)
+			empty += map[rank * engine_spec->expert_slots + i] == 0;
+		max_empty = MAX(max_empty, empty);
 	}
-	return most;
+	return max_empty;
 }
 
-static void open_set(set_view_t *view, const skh_engine_spec_t *shape, uint32_t ranks,
-		     const double *shares, const double *paces, const uint32_t *map)
+static void init_set_input(set_input_t *set, const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			   const double *shares, const double *slowdowns, const uint32_t *map)
 {
-	view->shape = shape;
-	view->ranks = ranks;
-	view->padding = most_empty(shape, ranks, map);
-	view->placement = g_new(uint32_t, ranks * shape->expert_slots);
-	view->shares = g_new(double, shape->experts_per_set + view->padding);
-	fill_set(view, shares, paces, map);
+	set->engine_spec = engine_spec;
+	set->n_ranks = n_ranks;
+	set->n_filler_experts = max_empty_slots(engine_spec, n_ranks, map);
+	set->placement = g_new(uint32_t, n_ranks * engine_spec->expert_slots);
+	set->shares = g_new(double, engine_spec->experts_per_set + set->n_filler_experts);
+	fill_set_input(set, shares, slowdowns, map);
 }
 
-static void close_set(set_view_t *view)
+static void free_set_input(set_input_t *set)
 {
-	g_free(view->placement);
-	g_free(view->shares);
+	g_free(set->placement);
+	g_free(set->shares);
 }
 
-static skh_rebalance_input_t balance_view(const set_view_t *view,
-					  const skh_mapplan_options_t *weights,
-					  const uint32_t *rank_loads)
+static skh_rebalance_input_t make_rebalance_input(const set_input_t *set,
+						  const skh_mapplan_options_t *options,
+						  const uint32_t *max_rank_copies)
 {
 	return (skh_rebalance_input_t){
-		.n_ranks = view->ranks,
-		.n_slots = view->shape->expert_slots,
-		.n_experts = view->shape->experts_per_set + view->padding,
-		.placement = view->placement,
-		.forecast_shares = view->shares,
-		.speed = view->speed,
-		.failure_domain = view->domain,
-		.skew_weight = weights->skew_weight,
-		.cost_weight = weights->cost_weight,
-		.copy_cost = weights->copy_cost,
+		.n_ranks = set->n_ranks,
+		.n_slots = set->engine_spec->expert_slots,
+		.n_experts = set->engine_spec->experts_per_set + set->n_filler_experts,
+		.placement = set->placement,
+		.forecast_shares = set->shares,
+		.speed = set->speed,
+		.failure_domain = set->failure_domain,
+		.skew_weight = options->skew_weight,
+		.cost_weight = options->cost_weight,
+		.copy_cost = options->copy_cost,
 		.max_copies = SKH_REBALANCE_MAX_COPIES,
-		.max_rank_copies = rank_loads,
+		.max_rank_copies = max_rank_copies,
 	};
 }
 
-static bool holds(const uint32_t *row, uint32_t places, uint32_t expert)
+static bool has_expert(const uint32_t *row, uint32_t n_slots, uint32_t expert)
 {
-	for (uint32_t i = 0; i < places; i++) {
+	for (uint32_t i = 0; i < n_slots; i++) {
 		if (row[i] == expert + 1)
 			return true;
 	}
 	return false;
 }
 
-static uint32_t count_new(const uint32_t *before, const uint32_t *row, uint32_t places)
+static uint32_t count_new_experts(const uint32_t *row_before, const uint32_t *row, uint32_t n_slots)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < places; i++)
-		n += row[i] > 0 && !holds(before, places, row[i] - 1);
+	for (uint32_t i = 0; i < n_slots; i++)
+		n += row[i] > 0 && !has_expert(row_before, n_slots, row[i] - 1);
 	return n;
 }
 
-/* Whether the rank may take one more new expert in this set. */
-static bool has_room(const skh_engine_spec_t *shape, const skh_mapplan_options_t *weights,
-		     const uint32_t *before, const uint32_t *row, uint32_t new_so_far)
+/* Checks whether the rank can receive one more new expert in this set. */
+static bool can_add_expert(const skh_engine_spec_t *engine_spec,
+			   const skh_mapplan_options_t *options, const uint32_t *row_before,
+			   const uint32_t *row, uint32_t n_new_so_far)
 {
-	uint32_t in_set = count_new(before, row, shape->expert_slots);
+	uint32_t in_set = count_new_experts(row_before, row, engine_spec->expert_slots);
 
-	return in_set < shape->spare_slots && new_so_far + in_set < weights->max_new_per_rank;
+	return in_set < engine_spec->spare_slots &&
+	       n_new_so_far + in_set < options->max_new_per_rank;
 }
 
-/* Loads up to the first that a rank has no room for; any such beginning is a whole map. */
-static void apply_moves(const skh_engine_spec_t *shape, uint32_t ranks,
-			const skh_mapplan_options_t *weights, const skh_rebalance_plan_t *plan,
-			const uint32_t *before, const uint32_t *new_so_far, uint32_t *map)
+/*
+ * Applies the copies of @plan up to the first one that exceeds the limits of its rank. The map
+ * is complete after any number of copies.
+ */
+static void apply_copies(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			 const skh_mapplan_options_t *options, const skh_rebalance_plan_t *plan,
+			 const uint32_t *old_map, const uint32_t *n_new_so_far, uint32_t *map)
 {
-	uint32_t places = shape->expert_slots;
+	uint32_t n_slots = engine_spec->expert_slots;
 
-	(void)ranks;
+	(void)n_ranks;
 	for (uint32_t i = 0; i < plan->n_copies; i++) {
-		const skh_expert_copy_t *move = &plan->copies[i];
-		uint32_t *row = map + move->rank * places;
-		const uint32_t *row_before = before + move->rank * places;
+		const skh_expert_copy_t *copy = &plan->copies[i];
+		uint32_t *row = map + copy->rank * n_slots;
+		const uint32_t *row_before = old_map + copy->rank * n_slots;
 
-		if (move->expert >= shape->experts_per_set) {
-			row[move->slot] = 0;
+		if (copy->expert >= engine_spec->experts_per_set) {
+			row[copy->slot] = 0;
 			continue;
 		}
-		if (!holds(row_before, places, move->expert) &&
-		    !has_room(shape, weights, row_before, row, new_so_far[move->rank]))
+		if (!has_expert(row_before, n_slots, copy->expert) &&
+		    !can_add_expert(engine_spec, options, row_before, row,
+				    n_new_so_far[copy->rank]))
 			return;
-		row[move->slot] = move->expert + 1;
+		row[copy->slot] = copy->expert + 1;
 	}
 }
 
-/* Skew that a load of a quick plan must bring. */
-#define RELIEF_LEAST_GAIN 0.01
+/* Minimum reduction of the skew by each copy of a greedy plan. */
+#define GREEDY_MIN_SKEW_GAIN 0.01
 
-static skh_greedy_rebalance_input_t relief_view(const skh_engine_spec_t *shape, uint32_t ranks,
-						const double *shares, const double *paces)
+static skh_greedy_rebalance_input_t make_greedy_input(const skh_engine_spec_t *engine_spec,
+						      uint32_t n_ranks, const double *shares,
+						      const double *slowdowns)
 {
 	return (skh_greedy_rebalance_input_t){
-		.n_ranks = ranks,
-		.n_slots = shape->expert_slots,
-		.n_experts = shape->experts_per_set,
+		.n_ranks = n_ranks,
+		.n_slots = engine_spec->expert_slots,
+		.n_experts = engine_spec->experts_per_set,
 		.shares = shares,
-		.slowdowns = paces,
-		.min_gain = RELIEF_LEAST_GAIN,
+		.slowdowns = slowdowns,
+		.min_gain = GREEDY_MIN_SKEW_GAIN,
 	};
 }
 
-/* The set with most skew that something can still be done about; NULL when none is left. */
-static skh_greedy_rebalance_t *most_skewed(skh_greedy_rebalance_t **reliefs, const bool *done,
-					   uint32_t sets, double target, uint32_t *at)
+/* Returns the most skewed set above @target that can still be improved, or NULL. */
+static skh_greedy_rebalance_t *find_most_skewed(skh_greedy_rebalance_t **rebalances,
+						const bool *is_exhausted, uint32_t n_sets,
+						double target, uint32_t *set_index)
 {
-	skh_greedy_rebalance_t *most = NULL;
+	skh_greedy_rebalance_t *most_skewed = NULL;
 
-	for (uint32_t set = 0; set < sets; set++) {
-		if (done[set] || skh_greedy_rebalance_skew(reliefs[set]) <= target ||
-		    (most &&
-		     skh_greedy_rebalance_skew(reliefs[set]) <= skh_greedy_rebalance_skew(most)))
+	for (uint32_t set = 0; set < n_sets; set++) {
+		if (is_exhausted[set] || skh_greedy_rebalance_skew(rebalances[set]) <= target ||
+		    (most_skewed && skh_greedy_rebalance_skew(rebalances[set]) <=
+					    skh_greedy_rebalance_skew(most_skewed)))
 			continue;
-		most = reliefs[set];
-		*at = set;
+		most_skewed = rebalances[set];
+		*set_index = set;
 	}
-	return most;
+	return most_skewed;
 }
 
-/* Loads go to the set that needs them most: a pass lasts as long as all sets together. */
-static void relieve_sets(const skh_engine_spec_t *shape, uint32_t ranks,
-			 const skh_mapplan_options_t *weights, const double *shares, uint32_t *map)
+/*
+ * Each copy goes to the most skewed set, because the duration of a pass is the sum of the
+ * durations of all sets.
+ */
+static void rebalance_sets_greedily(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+				    const skh_mapplan_options_t *options, const double *shares,
+				    uint32_t *map)
 {
-	skh_greedy_rebalance_t **reliefs = g_new0(skh_greedy_rebalance_t *, shape->expert_sets);
-	bool *done = g_new0(bool, shape->expert_sets);
-	uint32_t loads_left[SKH_REBALANCE_MAX_RANKS];
+	skh_greedy_rebalance_t **rebalances =
+		g_new0(skh_greedy_rebalance_t *, engine_spec->expert_sets);
+	bool *is_exhausted = g_new0(bool, engine_spec->expert_sets);
+	uint32_t copies_left[SKH_REBALANCE_MAX_RANKS];
 	skh_greedy_rebalance_t *next;
-	uint32_t at = 0;
-
-	for (uint32_t rank = 0; rank < ranks; rank++)
-		loads_left[rank] = weights->max_new_per_rank;
-	for (uint32_t set = 0; set < shape->expert_sets; set++) {
-		skh_greedy_rebalance_input_t view =
-			relief_view(shape, ranks, shares + (size_t)set * shape->experts_per_set,
-				    weights->slowdowns);
-
-		reliefs[set] = skh_greedy_rebalance_new(
-			&view, map + (size_t)set * ranks * shape->expert_slots, shape->spare_slots,
-			loads_left);
+	uint32_t set_index = 0;
+
+	for (uint32_t rank = 0; rank < n_ranks; rank++)
+		copies_left[rank] = options->max_new_per_rank;
+	for (uint32_t set = 0; set < engine_spec->expert_sets; set++) {
+		skh_greedy_rebalance_input_t input = make_greedy_input(
+			engine_spec, n_ranks, shares + (size_t)set * engine_spec->experts_per_set,
+			options->slowdowns);
+
+		rebalances[set] = skh_greedy_rebalance_new(
+			&input, map + (size_t)set * n_ranks * engine_spec->expert_slots,
+			engine_spec->spare_slots, copies_left);
 	}
-	while ((next = most_skewed(reliefs, done, shape->expert_sets, weights->greedy_target_skew,
-				   &at)) != NULL)
-		done[at] = !skh_greedy_rebalance_step(next);
-	for (uint32_t set = 0; set < shape->expert_sets; set++)
-		skh_greedy_rebalance_free(reliefs[set]);
-	g_free(reliefs);
-	g_free(done);
+	while ((next = find_most_skewed(rebalances, is_exhausted, engine_spec->expert_sets,
+					options->greedy_target_skew, &set_index)) != NULL)
+		is_exhausted[set_index] = !skh_greedy_rebalance_step(next);
+	for (uint32_t set = 0; set < engine_spec->expert_sets; set++)
+		skh_greedy_rebalance_free(rebalances[set]);
+	g_free(rebalances);
+	g_free(is_exhausted);
 }
 
-static void search_set(const skh_engine_spec_t *shape, uint32_t ranks,
-		       const skh_mapplan_options_t *weights, const double *shares, uint32_t *map,
-		       const uint32_t *new_so_far)
+static void rebalance_set(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			  const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
+			  const uint32_t *n_new_so_far)
 {
-	size_t places = (size_t)ranks * shape->expert_slots;
-	g_autofree uint32_t *before = g_memdup2(map, places * sizeof(*map));
+	size_t set_size = (size_t)n_ranks * engine_spec->expert_slots;
+	g_autofree uint32_t *old_map = g_memdup2(map, set_size * sizeof(*map));
 	g_autofree skh_rebalance_plan_t *plan = g_new0(skh_rebalance_plan_t, 1);
-	set_view_t view;
-	skh_rebalance_input_t balance;
-	uint32_t rank_loads[SKH_REBALANCE_MAX_RANKS];
-
-	for (uint32_t rank = 0; rank < ranks; rank++)
-		rank_loads[rank] =
-			MIN(shape->spare_slots, weights->max_new_per_rank - new_so_far[rank]);
-	open_set(&view, shape, ranks, shares, weights->slowdowns, map);
-	balance = balance_view(&view, weights, rank_loads);
-	if (skh_rebalance_compute_plan(&balance, plan))
-		apply_moves(shape, ranks, weights, plan, before, new_so_far, map);
-	close_set(&view);
+	set_input_t set;
+	skh_rebalance_input_t input;
+	uint32_t max_rank_copies[SKH_REBALANCE_MAX_RANKS];
+
+	for (uint32_t rank = 0; rank < n_ranks; rank++)
+		max_rank_copies[rank] = MIN(engine_spec->spare_slots,
+					    options->max_new_per_rank - n_new_so_far[rank]);
+	init_set_input(&set, engine_spec, n_ranks, shares, options->slowdowns, map);
+	input = make_rebalance_input(&set, options, max_rank_copies);
+	if (skh_rebalance_compute_plan(&input, plan))
+		apply_copies(engine_spec, n_ranks, options, plan, old_map, n_new_so_far, map);
+	free_set_input(&set);
 }
 
-static void search_sets(const skh_engine_spec_t *shape, uint32_t ranks,
-			const skh_mapplan_options_t *weights, const double *shares, uint32_t *map)
+static void rebalance_sets(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			   const skh_mapplan_options_t *options, const double *shares,
+			   uint32_t *map)
 {
-	size_t places = (size_t)ranks * shape->expert_slots;
-	uint32_t new_so_far[SKH_REBALANCE_MAX_RANKS] = { 0 };
-
-	for (uint32_t set = 0; set < shape->expert_sets; set++) {
-		uint32_t *set_map = map + set * places;
-		g_autofree uint32_t *before = g_memdup2(set_map, places * sizeof(*map));
-
-		search_set(shape, ranks, weights, shares + (size_t)set * shape->experts_per_set,
-			   set_map, new_so_far);
-		for (uint32_t rank = 0; rank < ranks; rank++)
-			new_so_far[rank] += count_new(before + rank * shape->expert_slots,
-						      set_map + rank * shape->expert_slots,
-						      shape->expert_slots);
+	size_t set_size = (size_t)n_ranks * engine_spec->expert_slots;
+	uint32_t n_new_so_far[SKH_REBALANCE_MAX_RANKS] = { 0 };
+
+	for (uint32_t set = 0; set < engine_spec->expert_sets; set++) {
+		uint32_t *set_map = map + set * set_size;
+		g_autofree uint32_t *old_map = g_memdup2(set_map, set_size * sizeof(*map));
+
+		rebalance_set(engine_spec, n_ranks, options,
+			      shares + (size_t)set * engine_spec->experts_per_set, set_map,
+			      n_new_so_far);
+		for (uint32_t rank = 0; rank < n_ranks; rank++)
+			n_new_so_far[rank] +=
+				count_new_experts(old_map + rank * engine_spec->expert_slots,
+						  set_map + rank * engine_spec->expert_slots,
+						  engine_spec->expert_slots);
 	}
 }
 
-double skh_mapplan_skew(const skh_engine_spec_t *shape, uint32_t ranks, const double *shares,
-			const double *paces, const uint32_t *map)
+double skh_mapplan_skew(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			const double *shares, const double *slowdowns, const uint32_t *map)
 {
-	uint32_t none[SKH_REBALANCE_MAX_RANKS] = { 0 };
+	uint32_t no_copies[SKH_REBALANCE_MAX_RANKS] = { 0 };
 	double sum = 0.0;
 
-	for (uint32_t set = 0; set < shape->expert_sets; set++) {
-		skh_greedy_rebalance_input_t view = relief_view(
-			shape, ranks, shares + (size_t)set * shape->experts_per_set, paces);
-		skh_greedy_rebalance_t *relief = skh_greedy_rebalance_new(
-			&view, (uint32_t *)map + (size_t)set * ranks * shape->expert_slots, 0,
-			none);
+	for (uint32_t set = 0; set < engine_spec->expert_sets; set++) {
+		skh_greedy_rebalance_input_t input = make_greedy_input(
+			engine_spec, n_ranks, shares + (size_t)set * engine_spec->experts_per_set,
+			slowdowns);
+		skh_greedy_rebalance_t *rebalance = skh_greedy_rebalance_new(
+			&input, (uint32_t *)map + (size_t)set * n_ranks * engine_spec->expert_slots,
+			0, no_copies);
 
-		sum += skh_greedy_rebalance_skew(relief);
-		skh_greedy_rebalance_free(relief);
+		sum += skh_greedy_rebalance_skew(rebalance);
+		skh_greedy_rebalance_free(rebalance);
 	}
-	return sum / (double)shape->expert_sets;
+	return sum / (double)engine_spec->expert_sets;
 }
 
-static void count_loads(const skh_engine_spec_t *shape, uint32_t ranks, const uint32_t *before,
-			const uint32_t *map, skh_mapplan_result_t *result)
+static void count_copies(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			 const uint32_t *old_map, const uint32_t *map, skh_mapplan_result_t *result)
 {
-	uint32_t places = shape->expert_slots;
+	uint32_t n_slots = engine_spec->expert_slots;
 
-	for (uint32_t rank = 0; rank < ranks; rank++) {
+	for (uint32_t rank = 0; rank < n_ranks; rank++) {
 		uint32_t n = 0;
 
-		for (uint32_t set = 0; set < shape->expert_sets; set++) {
-			size_t at = ((size_t)set * ranks + rank) * places;
+		for (uint32_t set = 0; set < engine_spec->expert_sets; set++) {
+			size_t row = ((size_t)set * n_ranks + rank) * n_slots;
 
-			n += count_new(before + at, map + at, places);
+			n += count_new_experts(old_map + row, map + row, n_slots);
 		}
 		result->n_copies += n;
 		result->max_copies_per_rank = MAX(result->max_copies_per_rank, n);
 	}
 }
 
-/* Engines tell a rank's experts without gaps: a map that comes back must be the same. */
-static void close_gaps(const skh_engine_spec_t *shape, uint32_t ranks, uint32_t *map)
+/*
+ * Moves the empty slots of each row to its end. Engines report a rank's experts without gaps, and
+ * a reported map must equal the one that was sent.
+ */
+static void compact_rows(const skh_engine_spec_t *engine_spec, uint32_t n_ranks, uint32_t *map)
 {
-	for (size_t row = 0; row < (size_t)shape->expert_sets * ranks; row++) {
-		uint32_t *places = map + row * shape->expert_slots;
+	for (size_t row = 0; row < (size_t)engine_spec->expert_sets * n_ranks; row++) {
+		uint32_t *slots = map + row * engine_spec->expert_slots;
 		uint32_t n = 0;
 
-		for (uint32_t i = 0; i < shape->expert_slots; i++) {
-			if (places[i] > 0)
-				places[n++] = places[i];
+		for (uint32_t i = 0; i < engine_spec->expert_slots; i++) {
+			if (slots[i] > 0)
+				slots[n++] = slots[i];
 		}
-		memset(places + n, 0, (shape->expert_slots - n) * sizeof(*places));
+		memset(slots + n, 0, (engine_spec->expert_slots - n) * sizeof(*slots));
 	}
 }
 
-void skh_mapplan_make(const skh_engine_spec_t *shape, uint32_t ranks,
-		      const skh_mapplan_options_t *weights, const double *shares, uint32_t *map,
+void skh_mapplan_make(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+		      const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
 		      skh_mapplan_result_t *result)
 {
-	size_t size = (size_t)shape->expert_sets * ranks * shape->expert_slots;
-	g_autofree uint32_t *before = g_memdup2(map, size * sizeof(*map));
+	size_t size = (size_t)engine_spec->expert_sets * n_ranks * engine_spec->expert_slots;
+	g_autofree uint32_t *old_map = g_memdup2(map, size * sizeof(*map));
 
 	*result = (skh_mapplan_result_t){
-		.skew_before = skh_mapplan_skew(shape, ranks, shares, weights->slowdowns, map),
+		.skew_before =
+			skh_mapplan_skew(engine_spec, n_ranks, shares, options->slowdowns, map),
 	};
-	if (weights->greedy_only)
-		relieve_sets(shape, ranks, weights, shares, map);
+	if (options->greedy_only)
+		rebalance_sets_greedily(engine_spec, n_ranks, options, shares, map);
 	else
-		search_sets(shape, ranks, weights, shares, map);
-	close_gaps(shape, ranks, map);
-	count_loads(shape, ranks, before, map, result);
-	result->skew_after = skh_mapplan_skew(shape, ranks, shares, weights->slowdowns, map);
+		rebalance_sets(engine_spec, n_ranks, options, shares, map);
+	compact_rows(engine_spec, n_ranks, map);
+	count_copies(engine_spec, n_ranks, old_map, map, result);
+	result->skew_after =
+		skh_mapplan_skew(engine_spec, n_ranks, shares, options->slowdowns, map);
 }
 
-static bool is_row_valid(const skh_engine_spec_t *shape, const uint32_t *row, uint64_t *seen)
+static bool is_row_valid(const skh_engine_spec_t *engine_spec, const uint32_t *row,
+			 uint64_t *n_replicas)
 {
-	for (uint32_t i = 0; i < shape->expert_slots; i++) {
-		if (row[i] > shape->experts_per_set)
+	for (uint32_t i = 0; i < engine_spec->expert_slots; i++) {
+		if (row[i] > engine_spec->experts_per_set)
 			return false;
 		for (uint32_t j = 0; row[i] > 0 && j < i; j++) {
 			if (row[j] == row[i])
 				return false;
 		}
 		if (row[i] > 0)
-			seen[row[i] - 1]++;
+			n_replicas[row[i] - 1]++;
 	}
 	return true;
 }
 
-bool skh_mapplan_is_valid(const skh_engine_spec_t *shape, uint32_t ranks, const uint32_t *map)
+bool skh_mapplan_is_valid(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			  const uint32_t *map)
 {
-	uint64_t *seen = g_new(uint64_t, shape->experts_per_set);
-	bool valid = true;
-
-	for (uint32_t set = 0; valid && set < shape->expert_sets; set++) {
-		memset(seen, 0, sizeof(*seen) * shape->experts_per_set);
-		for (uint32_t rank = 0; valid && rank < ranks; rank++)
-			valid = is_row_valid(
-				shape, map + ((size_t)set * ranks + rank) * shape->expert_slots,
-				seen);
-		for (uint32_t i = 0; i < shape->experts_per_set; i++)
-			valid = valid && seen[i] > 0;
+	uint64_t *n_replicas = g_new(uint64_t, engine_spec->experts_per_set);
+	bool is_valid = true;
+
+	for (uint32_t set = 0; is_valid && set < engine_spec->expert_sets; set++) {
+		memset(n_replicas, 0, sizeof(*n_replicas) * engine_spec->experts_per_set);
+		for (uint32_t rank = 0; is_valid && rank < n_ranks; rank++)
+			is_valid = is_row_valid(engine_spec,
+						map + ((size_t)set * n_ranks + rank) *
+								engine_spec->expert_slots,
+						n_replicas);
+		for (uint32_t i = 0; i < engine_spec->experts_per_set; i++)
+			is_valid = is_valid && n_replicas[i] > 0;
 	}
-	g_free(seen);
-	return valid;
+	g_free(n_replicas);
+	return is_valid;
 }
--- a/src/mapplan.h
+++ b/src/mapplan.h
@@ -2,12 +2,16 @@
 #define SKH_MAPPLAN_H
 
 /**
- * DOC: Planning a group's next expert map
+ * DOC: Planning of a group's next expert map
  *
- * Pure. Turns the counts of all ranks into forecasts, and the forecasts and the
- * map in use into the next map, set by set, with the balancer (rebalance.h). A
- * map may bring only so many new experts to a rank: what they cost is that
- * passes take longer while they are copied.
+ * Computes the next expert map of a group from the map in use and the expected share
+ * of tokens of each expert, set by set, with rebalance.h or greedy_rebalance.h. The
+ * number of new experts per rank is limited, because passes take longer while
+ * experts are copied. Keeps no state and does no I/O; safe to call from any thread
+ * as long as nobody else uses the arguments. A skew is the maximum rank load, in the
+ * rank's own time, divided by the mean load at normal speed; 1 is perfectly balanced
+ * when no rank is slow. A map holds expert + 1 in each slot, or 0 for an empty slot,
+ * [sets][ranks][slots].
  */
 
 #include "dialect.h"
@@ -17,42 +21,59 @@
 extern "C" {
 #endif
 
-/** struct skh_mapplan_options - what matters; see rebalance.h */
+/** struct skh_mapplan_options - weights and limits of a plan; see rebalance.h for the weights */
 typedef struct skh_mapplan_options {
 	double skew_weight;
 	double cost_weight;
-	double copy_cost;	   /* of one new expert at a rank, in parts of a set's skew */
-	uint32_t max_new_per_rank; /* experts that are new to a rank in all sets */
-	bool greedy_only; /* relieve the fullest ranks (greedy_rebalance.h) and search no further */
-	double greedy_target_skew; /* skew of a set that such a plan leaves alone */
-	const double *slowdowns;   /* time that each rank takes, 1 is usual; NULL for all 1 */
+	double copy_cost; /* cost of one new expert at a rank, as a fraction of a set's skew */
+	uint32_t max_new_per_rank; /* limit of new experts per rank, over all sets */
+	bool greedy_only; /* use only greedy_rebalance.h, without the search of rebalance.h */
+	double greedy_target_skew; /* a greedy plan leaves sets up to this skew unchanged */
+	const double *slowdowns;   /* slowdown of each rank, 1 is normal; NULL when all are */
 } skh_mapplan_options_t;
 
-/** struct skh_mapplan_result - what the plan brings */
+/** struct skh_mapplan_result - effect of a plan */
 typedef struct skh_mapplan_result {
-	double skew_before; /* greatest rank load over the mean, mean of the sets */
-	double skew_after;
-	uint32_t n_copies;	      /* experts copied */
-	uint32_t max_copies_per_rank; /* by one rank */
+	double skew_before;	      /* mean of the sets' skew under the map in use */
+	double skew_after;	      /* same, under the next map */
+	uint32_t n_copies;	      /* experts to copy */
+	uint32_t max_copies_per_rank; /* largest number of experts to copy to one rank */
 } skh_mapplan_result_t;
 
 /**
- * skh_mapplan_make() - plan the next map
- * @shape: sets, experts, placements and spare
- * @ranks: of the group
- * @map: in use, expert + 1 or 0, [sets][ranks][placements]; replaced by the next map
- * @shares: expected part of each expert of its set, [sets][experts]
+ * skh_mapplan_make() - compute the next map
+ * @engine_spec: numbers of sets, experts per set, slots and spare slots
+ * @n_ranks: number of ranks in the group
+ * @options: weights and limits
+ * @shares: expected share of tokens of each expert, [sets][experts]
+ * @map: map in use; replaced by the next map
+ * @result: receives the effect of the plan
  */
-void skh_mapplan_make(const skh_engine_spec_t *shape, uint32_t ranks,
-		      const skh_mapplan_options_t *weights, const double *shares, uint32_t *map,
+void skh_mapplan_make(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+		      const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
 		      skh_mapplan_result_t *result);
 
-/** skh_mapplan_skew() - mean of the sets' skew under @map and @shares; @paces as above */
-double skh_mapplan_skew(const skh_engine_spec_t *shape, uint32_t ranks, const double *shares,
-			const double *paces, const uint32_t *map);
+/**
+ * skh_mapplan_skew() - compute the mean of the sets' skew
+ * @engine_spec: as for skh_mapplan_make()
+ * @n_ranks: number of ranks in the group
+ * @shares: expected share of tokens of each expert, [sets][experts]
+ * @slowdowns: slowdown of each rank, [@n_ranks], 1 is normal; NULL when all are normal
+ * @map: map to evaluate
+ *
+ * Return: the mean skew.
+ */
+double skh_mapplan_skew(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			const double *shares, const double *slowdowns, const uint32_t *map);
 
-/** skh_mapplan_is_valid() - every expert stands somewhere, no rank holds one twice */
-bool skh_mapplan_is_valid(const skh_engine_spec_t *shape, uint32_t ranks, const uint32_t *map);
+/**
+ * skh_mapplan_is_valid() - check a map
+ *
+ * Return: true when every expert of each set is on at least one rank, no rank holds
+ * an expert twice in a set, and no slot names an unknown expert.
+ */
+bool skh_mapplan_is_valid(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			  const uint32_t *map);
 
 #ifdef __cplusplus
 }
