--- a/src/mapchange.h
+++ b/src/mapchange.h
@@ -2,38 +2,41 @@
 #define SKH_MAPCHANGE_H
 
 /**
- * DOC: Changing a group's expert map, order by order
+ * DOC: Coordinated change of a group's expert map
  *
- * The coordinator's decisions as pure state, for engines whose ranks begin each
- * pass together and switch at a pass that they were told. All ranks must use
- * one map in every pass, although an order without an answer may be carried out
- * seconds later and coordinators may die, overlap, or wake up late.
+ * State machine of the coordinator that brings all ranks of a group to a new expert
+ * map in the same pass. It is for engines whose ranks begin each pass together and
+ * switch maps at a pass given in advance. All ranks must use the same map in every
+ * pass, although an order without a response may be carried out seconds later, and
+ * coordinators may crash, overlap or resume after a freeze. The module sends
+ * nothing: the caller sends the orders, passes in reports and results, and
+ * serialises all calls on a change. Times are monotonic, in microseconds.
  *
- * The order of things is what keeps the promise:
+ * The sequence of the phases guarantees the same map in every pass:
  *
- * 1. Prepare at every rank, under a fence higher than any before. A rank that
- *    is armed refuses to prepare and is disarmed, but not before every rank has
- *    answered and so knows the fence: else an earlier coordinator that wakes up
- *    could still release the group. The rank that holds it comes first. Once
- *    every rank has accepted, none is armed and whatever an earlier coordinator
- *    still has under way is fenced off.
- * 2. Only then a hold that was left behind is released.
- * 3. When every rank has its copies, the group is held at a pass to come. The
- *    hold is at the coordinator's own rank, where it can be released without the
- *    network, but a *deputy*, the process of another rank, places it.
- * 4. Only under a confirmed hold is any rank armed for that pass, the deputy's
- *    last, and only just after it has answered a question.
- * 5. Only when every rank has confirmed is the hold released, mostly long
- *    before the pass. All ranks then switch in that pass, and the coordinator's
- *    own tells when.
+ * 1. Prepare all ranks under a fencing token (fence) higher than any earlier one. An
+ *    armed rank rejects the prepare and has to be disarmed. It is disarmed only after
+ *    every rank has answered and so knows the fence; otherwise an earlier coordinator
+ *    that resumes could still release the group. The rank that holds the group is
+ *    disarmed first. Once all ranks have accepted, none is armed, and all orders in
+ *    flight from earlier coordinators are fenced off.
+ * 2. Only then release a hold that an earlier change left behind.
+ * 3. When all ranks have their copies, hold the group at a future pass. The hold is
+ *    at the coordinator's own rank, where it can be released without the network, but
+ *    it is placed by the process of another rank, the proxy rank.
+ * 4. Arm the ranks for that pass, only after the hold is confirmed. The proxy rank is
+ *    armed last, and only right after its engine has answered a probe.
+ * 5. Release the hold, only after every rank has confirmed that it is armed; usually
+ *    long before the pass. All ranks then switch in that pass, and the report of the
+ *    coordinator's own rank shows when.
  *
- * The instance that places a hold is the one whose loss in that moment costs most.
- * When the deputy falls silent its rank was never armed: the others are disarmed
- * under the next fence, which outdates orders that are still under way, and the
- * group goes on with the map it had.
+ * Losing the instance that places the hold, at that moment, costs most. If the proxy
+ * rank stops answering probes, no arm order was sent to it and it is certainly not
+ * armed: the other ranks are disarmed under the next fence, which invalidates the
+ * orders in flight, and the group continues with its previous map.
  *
- * A coordinator that fails at any point leaves the group running, or held; the
- * next starts again at 1.
+ * A coordinator that fails at any point leaves the group running or held; the next
+ * coordinator starts again with phase 1.
  */
 
 #include "dialect.h"
@@ -43,67 +46,67 @@
 #endif
 
 #define SKH_MAPCHANGE_MAX_RANKS 64
-/* Fences that one change may use: its own, and the next to undo it. */
+/* Fences that one change can use: its own, and the next one to undo the change. */
 #define SKH_MAPCHANGE_MAX_FENCES 2
 
-/** enum skh_mapchange_phase - see above */
+/** enum skh_mapchange_phase - phases of a change, as described above */
 typedef enum skh_mapchange_phase {
 	SKH_MAPCHANGE_PREPARE,
 	SKH_MAPCHANGE_RELEASE_STALE_HOLD,
 	SKH_MAPCHANGE_COPY,
 	SKH_MAPCHANGE_HOLD,
 	SKH_MAPCHANGE_ARM,
-	SKH_MAPCHANGE_DISARM,	 /* undo: the deputy is silent */
-	SKH_MAPCHANGE_UNDO_HOLD, /* undo: nobody is armed */
-	SKH_MAPCHANGE_GO,
-	SKH_MAPCHANGE_SETTLE,
+	SKH_MAPCHANGE_DISARM,	 /* undo after a timeout of the proxy rank */
+	SKH_MAPCHANGE_UNDO_HOLD, /* undo: no rank is armed, release the hold */
+	SKH_MAPCHANGE_GO,	 /* release the hold */
+	SKH_MAPCHANGE_SETTLE,	 /* wait for the switch */
 	SKH_MAPCHANGE_DONE,
 	SKH_MAPCHANGE_FAILED
 } skh_mapchange_phase_t;
 
-/** enum skh_engine_order_result - what an engine says to an order */
+/** enum skh_engine_order_result - an engine's response to an order */
 typedef enum skh_engine_order_result {
-	SKH_ENGINE_ORDER_ACCEPTED, /* begun, done, or so already */
-	SKH_ENGINE_ORDER_CONFLICT, /* does not fit the rank's state */
-	SKH_ENGINE_ORDER_FENCED,   /* a higher fence was seen there */
-	SKH_ENGINE_ORDER_NO_ANSWER /* it may be carried out, now or later */
+	SKH_ENGINE_ORDER_ACCEPTED, /* started, done, or already in that state */
+	SKH_ENGINE_ORDER_CONFLICT, /* not possible in the rank's state */
+	SKH_ENGINE_ORDER_FENCED,   /* the rank has seen a higher fence */
+	SKH_ENGINE_ORDER_NO_ANSWER /* no response; the order may still be carried out */
 } skh_engine_order_result_t;
 
-/** struct skh_mapchange_rank - what is known of one rank */
+/** struct skh_mapchange_rank - known state of one rank */
 typedef struct skh_mapchange_rank {
-	bool reported;
-	skh_engine_report_t report; /* the newest */
+	bool reported;		    /* @report is valid */
+	skh_engine_report_t report; /* newest report */
 	int64_t reported_us;
-	bool answered;	    /* it has answered some order of this change: it knows the fence */
-	bool prepared;	    /* it has accepted this change's prepare */
-	bool armed;	    /* it is armed for this change */
-	bool may_be_armed;  /* it may be, now or later */
-	bool order_pending; /* an order is under way */
-	skh_engine_op_t order_op; /* of that order */
+	bool answered;		  /* has responded to this change and so knows the fence */
+	bool prepared;		  /* has accepted the prepare order of this change */
+	bool armed;		  /* is armed for this change */
+	bool may_be_armed;	  /* an arm order was sent and may take effect now or later */
+	bool order_pending;	  /* an order is in flight */
+	skh_engine_op_t order_op; /* kind of the last order */
 	int64_t order_sent_us;
-	int64_t not_before_us; /* of the next order, after one without an answer */
+	int64_t not_before_us; /* earliest time of the next order, after a failed one */
 } skh_mapchange_rank_t;
 
-/** struct skh_mapchange - one change; filled by skh_mapchange_init() */
+/** struct skh_mapchange - one change; initialised by skh_mapchange_init() */
 typedef struct skh_mapchange {
 	skh_mapchange_phase_t phase;
 	uint32_t n_ranks;
-	uint32_t own_rank;   /* the rank beside this process: it holds the group */
-	uint32_t proxy_rank; /* the rank whose process places the hold; @own without one */
+	uint32_t own_rank;   /* the coordinator's own rank, which holds the group */
+	uint32_t proxy_rank; /* rank whose process places the hold; @own_rank without one */
 	int64_t epoch;
 	int64_t version;
 	int64_t fence;
-	int64_t switch_pass; /* at which the map changes */
+	int64_t switch_pass; /* pass in which the map changes */
 	int64_t phase_since_us;
-	int64_t spent_us[SKH_MAPCHANGE_FAILED + 1]; /* in each phase */
-	int64_t held_since_us;			    /* 0 when nothing is left behind */
-	int64_t proxy_probe_us;	       /* the deputy has answered a question of this time */
-	int64_t others_armed_since_us; /* since then all ranks but the deputy's are armed */
-	const char *cause;	       /* it failed */
+	int64_t spent_us[SKH_MAPCHANGE_FAILED + 1]; /* time spent in each phase */
+	int64_t held_since_us;	/* time of the hold; after a failure, 0 if no hold is left */
+	int64_t proxy_probe_us; /* send time of the newest probe that the proxy rank answered */
+	int64_t others_armed_since_us; /* when all ranks but the proxy rank were armed; 0 if not */
+	const char *cause;	       /* reason of a failure; static text, NULL without one */
 	skh_mapchange_rank_t ranks[SKH_MAPCHANGE_MAX_RANKS];
 } skh_mapchange_t;
 
-/** struct skh_mapchange_options - what a change is about */
+/** struct skh_mapchange_options - parameters of a change; see struct skh_mapchange */
 typedef struct skh_mapchange_options {
 	uint32_t n_ranks;
 	uint32_t own_rank;
@@ -113,35 +116,55 @@
 	int64_t fence;
 } skh_mapchange_options_t;
 
-/** skh_mapchange_init() - begin to bring the ranks of a group to another map */
+/**
+ * skh_mapchange_init() - start a change
+ * @change: receives the initial state
+ * @options: parameters; the fence must be higher than any that was used before
+ * @now_us: current monotonic time
+ */
 void skh_mapchange_init(skh_mapchange_t *change, const skh_mapchange_options_t *options,
 			int64_t now_us);
 
-/** skh_mapchange_record_report() - a newer report of @rank */
+/** skh_mapchange_record_report() - process a newer engine report of @rank */
 void skh_mapchange_record_report(skh_mapchange_t *change, uint32_t rank,
 				 const skh_engine_report_t *report, int64_t now_us);
 
 /**
- * skh_mapchange_next_order() - the order that @rank is to be sent now
- * Return: false when there is none; else it counts as under way.
+ * skh_mapchange_next_order() - get the order to send to a rank now
+ * @change: change in progress
+ * @rank: rank to send the order to
+ * @now_us: current monotonic time
+ * @order: receives the order, without the map
+ *
+ * Return: false when there is no order to send. Otherwise the order counts as in
+ * flight until skh_mapchange_record_result().
  */
 bool skh_mapchange_next_order(skh_mapchange_t *change, uint32_t rank, int64_t now_us,
 			      skh_engine_order_t *order);
 
-/** skh_mapchange_record_result() - the answer to the order under way at @rank */
+/** skh_mapchange_record_result() - process the result of the order in flight to @rank */
 void skh_mapchange_record_result(skh_mapchange_t *change, uint32_t rank,
-				 skh_engine_order_result_t answer, int64_t now_us);
+				 skh_engine_order_result_t result, int64_t now_us);
 
-/** skh_mapchange_is_proxy_probe_due() - the deputy's engine should be asked for anything now */
+/** skh_mapchange_is_proxy_probe_due() - true when any request to the proxy rank's engine is due */
 bool skh_mapchange_is_proxy_probe_due(const skh_mapchange_t *change);
 
-/** skh_mapchange_record_proxy_probe() - the deputy's engine has answered what was asked at @asked_us */
-void skh_mapchange_record_proxy_probe(skh_mapchange_t *change, int64_t asked_us);
+/**
+ * skh_mapchange_record_proxy_probe() - record a response of the proxy rank's engine
+ * @change: change in progress
+ * @sent_us: monotonic time when the request was sent
+ */
+void skh_mapchange_record_proxy_probe(skh_mapchange_t *change, int64_t sent_us);
 
-/** skh_mapchange_can_withdraw() - ranks copy at most: another change may begin instead */
+/**
+ * skh_mapchange_can_withdraw() - check whether another change can replace this one
+ *
+ * Return: true when the ranks have at most been told to copy experts and the group
+ * is not held.
+ */
 bool skh_mapchange_can_withdraw(const skh_mapchange_t *change);
 
-/** skh_mapchange_tick() - time has passed */
+/** skh_mapchange_tick() - apply timeouts; to be called periodically */
 void skh_mapchange_tick(skh_mapchange_t *change, int64_t now_us);
 
 #ifdef __cplusplus
