--- a/src/mapchange.c
+++ b/src/mapchange.c
@@ -354,7 +354,7 @@
 			enter_phase(change, SKH_MAPCHANGE_SETTLE, now_us);
 		if (change->phase == SKH_MAPCHANGE_UNDO_HOLD) {
 			change->held_since_us = 0;
-			fail(change, "the proxy rank did not answer in time", now_us);
+			fail(change, "the proxy rank was silent past its timeout", now_us);
 		}
 		break;
 	}
