--- a/test/demand_test.cc
+++ b/test/demand_test.cc
@@ -1,4 +1,5 @@
-// A shift of demand: from one pass to the next all tokens turn to other experts.
+// Demand estimates and count reports when demand shifts: from one pass to the next the tokens of
+// all ranks are routed to other experts.
 #include "clock.h"
 #include "count_reporter.h"
 #include "demand.h"
@@ -13,68 +14,72 @@
 namespace
 {
 
-constexpr int64_t kPass = 70 * SKH_US_PER_MS;
+constexpr int64_t kPassUs = 70 * SKH_US_PER_MS;
 
-// A group as one of the users': many experts that are liked alike, or few that are liked most.
-struct Kind {
+// Groups like those of the users: many experts of similar popularity, or few that differ widely.
+struct GroupProfile {
 	uint32_t sets;
 	uint32_t experts;
 	double skew;
 };
 
-constexpr Kind kMany = { 8, 252, 0.66 };
-constexpr Kind kFew = { 4, 72, 1.3 };
+constexpr GroupProfile kManySimilarExperts = { 8, 252, 0.66 };
+constexpr GroupProfile kFewSkewedExperts = { 4, 72, 1.3 };
 
-skh_engine_spec_t shape_of(const Kind &kind)
+skh_engine_spec_t make_engine_spec(const GroupProfile &profile)
 {
-	skh_engine_spec_t shape = {};
+	skh_engine_spec_t engine_spec = {};
 
-	shape.expert_sets = kind.sets;
-	shape.experts_per_set = kind.experts;
-	return shape;
+	engine_spec.expert_sets = profile.sets;
+	engine_spec.experts_per_set = profile.experts;
+	return engine_spec;
 }
 
-// What tokens choose: 0.7 of it is common, the rest is the prompt's own.
-class Tokens
+// Distribution of routed tokens: 0.9 is common to all prompts, 0.1 is specific to a prompt.
+class TokenSource
 {
       public:
-	Tokens(const Kind &kind, uint32_t seed) : kind(kind), random(seed)
+	TokenSource(const GroupProfile &profile, uint32_t seed) : profile(profile), random(seed)
 	{
-		for (uint32_t set = 0; set < kind.sets; set++)
-			common.push_back(zipf(kind.experts, kind.skew, seed * 100 + set));
+		for (uint32_t set = 0; set < profile.sets; set++)
+			common_shares.push_back(
+				zipf(profile.experts, profile.skew, seed * 100 + set));
 		for (uint32_t i = 0; i < 40; i++)
-			topics.push_back(zipf(kind.experts, kind.skew, seed * 1000 + i));
+			prompt_shares.push_back(
+				zipf(profile.experts, profile.skew, seed * 1000 + i));
 	}
 
-	// Part of the experts change places in what is liked.
+	// Permutes the popularity of a random part of the experts.
 	void shift(double part)
 	{
-		for (uint32_t set = 0; set < kind.sets; set++) {
+		for (uint32_t set = 0; set < profile.sets; set++) {
 			std::vector<uint32_t> moved;
 			std::vector<double> shares;
 
-			for (uint32_t i = 0; i < kind.experts; i++) {
+			for (uint32_t i = 0; i < profile.experts; i++) {
 				if (std::uniform_real_distribution<double>(0, 1)(random) < part)
 					moved.push_back(i);
 			}
 			for (uint32_t i : moved)
-				shares.push_back(common[set][i]);
+				shares.push_back(common_shares[set][i]);
 			std::shuffle(shares.begin(), shares.end(), random);
 			for (size_t i = 0; i < moved.size(); i++)
-				common[set][moved[i]] = shares[i];
+				common_shares[set][moved[i]] = shares[i];
 		}
 	}
 
 	// Adds the choices of @n tokens of one prompt to @counts.
-	void choose(double n, std::vector<double> &counts)
+	void add_choices(double n, std::vector<double> &counts)
 	{
-		for (uint32_t set = 0; set < kind.sets; set++) {
-			const std::vector<double> &own = topics[random() % topics.size()];
+		for (uint32_t set = 0; set < profile.sets; set++) {
+			const std::vector<double> &own_shares =
+				prompt_shares[random() % prompt_shares.size()];
 
-			for (uint32_t i = 0; i < kind.experts; i++) {
-				double mean = n * (0.9 * common[set][i] + 0.1 * own[i]);
+			for (uint32_t i = 0; i < profile.experts; i++) {
+				double mean =
+					n * (0.9 * common_shares[set][i] + 0.1 * own_shares[i]);
 
-				counts[set * kind.experts + i] +=
+				counts[set * profile.experts + i] +=
 					std::poisson_distribution<int>(mean)(random);
 			}
 		}
@@ -84,32 +89,33 @@
 	{
 		double sum = 0.0;
 
-		for (uint32_t i = 0; i < kind.experts; i++)
-			sum += std::fabs(shares[i] - common[0][i]);
+		for (uint32_t i = 0; i < profile.experts; i++)
+			sum += std::fabs(shares[i] - common_shares[0][i]);
 		return sum;
 	}
 
-	Kind kind;
+	GroupProfile profile;
 
       private:
 	std::mt19937 random;
-	std::vector<std::vector<double>> common;
-	std::vector<std::vector<double>> topics;
+	std::vector<std::vector<double>> common_shares;
+	std::vector<std::vector<double>> prompt_shares;
 };
 
-// One rank: streams that choose a little in each pass, and a long prompt now and then.
-std::vector<double> pass_of(Tokens &tokens, std::mt19937 &random)
+// Counts of one rank in a pass: a few tokens per stream, and a long prompt in a third of passes.
+std::vector<double> sample_pass(TokenSource &tokens, std::mt19937 &random)
 {
-	std::vector<double> counts(tokens.kind.sets * tokens.kind.experts);
+	std::vector<double> counts(tokens.profile.sets * tokens.profile.experts);
 
 	for (int stream = 0; stream < 5; stream++)
-		tokens.choose(200, counts);
+		tokens.add_choices(200, counts);
 	if (random() % 3 == 0)
-		tokens.choose(std::uniform_real_distribution<double>(5e3, 1e5)(random), counts);
+		tokens.add_choices(std::uniform_real_distribution<double>(5e3, 1e5)(random),
+				   counts);
 	return counts;
 }
 
-skh_demand_sample_t sample_of(const std::vector<double> &counts, int64_t from, int64_t to)
+skh_demand_sample_t make_sample(const std::vector<double> &counts, int64_t from, int64_t to)
 {
 	skh_demand_sample_t sample = {};
 
@@ -123,11 +129,11 @@
 struct Demand {
 	skh_demand_t *demand;
 
-	explicit Demand(const Kind &kind)
+	explicit Demand(const GroupProfile &profile)
 	{
-		skh_engine_spec_t shape = shape_of(kind);
+		skh_engine_spec_t engine_spec = make_engine_spec(profile);
 
-		demand = skh_demand_new(&shape);
+		demand = skh_demand_new(&engine_spec);
 	}
 	~Demand()
 	{
@@ -135,241 +141,248 @@
 	}
 };
 
-class DemandOf : public testing::TestWithParam<Kind>
+class DemandByProfile : public testing::TestWithParam<GroupProfile>
 {
 };
 
-TEST_P(DemandOf, PromptsAreNoShift)
+TEST_P(DemandByProfile, PromptsAreNotTakenForAShift)
 {
 	for (uint32_t seed = 1; seed <= 10; seed++) {
-		Demand t(GetParam());
-		Tokens tokens(GetParam(), seed);
+		Demand fixture(GetParam());
+		TokenSource tokens(GetParam(), seed);
 		std::mt19937 random(seed);
 
 		for (int64_t pass = 1; pass <= 100; pass++) {
-			std::vector<double> counts = pass_of(tokens, random);
-			skh_demand_sample_t sample = sample_of(counts, pass - 1, pass);
+			std::vector<double> counts = sample_pass(tokens, random);
+			skh_demand_sample_t sample = make_sample(counts, pass - 1, pass);
 
-			ASSERT_EQ(skh_demand_add_sample(t.demand, &sample, pass * kPass),
+			ASSERT_EQ(skh_demand_add_sample(fixture.demand, &sample, pass * kPassUs),
 				  SKH_DEMAND_UPDATED)
 				<< "seed " << seed << " pass " << pass;
 		}
-		EXPECT_LT(tokens.distance(skh_demand_shares(t.demand)), 0.25);
+		EXPECT_LT(tokens.distance(skh_demand_shares(fixture.demand)), 0.25);
 	}
 }
 
-TEST_P(DemandOf, AShiftIsSeenInItsFirstPass)
+TEST_P(DemandByProfile, ShiftIsDetectedInItsFirstPass)
 {
 	for (uint32_t seed = 1; seed <= 10; seed++) {
-		Demand t(GetParam());
-		Tokens tokens(GetParam(), seed);
+		Demand fixture(GetParam());
+		TokenSource tokens(GetParam(), seed);
 		std::mt19937 random(seed);
 
 		for (int64_t pass = 1; pass <= 60; pass++) {
-			bool shifts = pass % 20 == 0;
+			bool has_shifted = pass % 20 == 0;
 
-			if (shifts)
+			if (has_shifted)
 				tokens.shift(0.6);
-			std::vector<double> counts = pass_of(tokens, random);
-			skh_demand_sample_t sample = sample_of(counts, pass - 1, pass);
+			std::vector<double> counts = sample_pass(tokens, random);
+			skh_demand_sample_t sample = make_sample(counts, pass - 1, pass);
 
-			ASSERT_EQ(skh_demand_add_sample(t.demand, &sample, pass * kPass),
-				  shifts ? SKH_DEMAND_SHIFTED : SKH_DEMAND_UPDATED)
+			ASSERT_EQ(skh_demand_add_sample(fixture.demand, &sample, pass * kPassUs),
+				  has_shifted ? SKH_DEMAND_SHIFTED : SKH_DEMAND_UPDATED)
 				<< "seed " << seed << " pass " << pass;
 		}
 	}
 }
 
-// Samples of other ranks come late, and some began to count before the shift.
-TEST_P(DemandOf, WhatWasCountedBeforeAShiftSaysNothingAnyMore)
+// Samples of other ranks arrive late, and some include passes from before the shift.
+TEST_P(DemandByProfile, SamplesFromBeforeAShiftAreIgnored)
 {
-	Demand t(GetParam());
-	Tokens tokens(GetParam(), 3);
+	Demand fixture(GetParam());
+	TokenSource tokens(GetParam(), 3);
 	std::mt19937 random(3);
 	std::vector<double> before;
 
 	for (int64_t pass = 1; pass <= 20; pass++) {
-		before = pass_of(tokens, random);
-		skh_demand_sample_t sample = sample_of(before, pass - 1, pass);
+		before = sample_pass(tokens, random);
+		skh_demand_sample_t sample = make_sample(before, pass - 1, pass);
 
-		(void)skh_demand_add_sample(t.demand, &sample, pass * kPass);
+		(void)skh_demand_add_sample(fixture.demand, &sample, pass * kPassUs);
 	}
 	tokens.shift(0.6);
-	std::vector<double> after = pass_of(tokens, random);
-	skh_demand_sample_t sample = sample_of(after, 20, 21);
+	std::vector<double> after = sample_pass(tokens, random);
+	skh_demand_sample_t sample = make_sample(after, 20, 21);
 
-	ASSERT_EQ(skh_demand_add_sample(t.demand, &sample, 21 * kPass), SKH_DEMAND_SHIFTED);
-	EXPECT_FALSE(skh_demand_has_enough_counts(t.demand, 21 * kPass));
-	sample = sample_of(before, 12, 20);
-	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 21 * kPass), SKH_DEMAND_IGNORED);
+	ASSERT_EQ(skh_demand_add_sample(fixture.demand, &sample, 21 * kPassUs), SKH_DEMAND_SHIFTED);
+	EXPECT_FALSE(skh_demand_has_enough_counts(fixture.demand, 21 * kPassUs));
+	sample = make_sample(before, 12, 20);
+	EXPECT_EQ(skh_demand_add_sample(fixture.demand, &sample, 21 * kPassUs), SKH_DEMAND_IGNORED);
 	std::vector<double> mixed = after;
 
 	for (size_t i = 0; i < mixed.size(); i++)
 		mixed[i] += before[i];
-	sample = sample_of(mixed, 18, 21);
-	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 21 * kPass), SKH_DEMAND_IGNORED);
+	sample = make_sample(mixed, 18, 21);
+	EXPECT_EQ(skh_demand_add_sample(fixture.demand, &sample, 21 * kPassUs), SKH_DEMAND_IGNORED);
 	for (int i = 0; i < 30; i++) {
-		after = pass_of(tokens, random);
-		sample = sample_of(after, 20, 21);
-		EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 21 * kPass), SKH_DEMAND_UPDATED);
+		after = sample_pass(tokens, random);
+		sample = make_sample(after, 20, 21);
+		EXPECT_EQ(skh_demand_add_sample(fixture.demand, &sample, 21 * kPassUs),
+			  SKH_DEMAND_UPDATED);
 	}
-	EXPECT_TRUE(skh_demand_has_enough_counts(t.demand, 21 * kPass));
-	EXPECT_LT(tokens.distance(skh_demand_shares(t.demand)), 0.25);
+	EXPECT_TRUE(skh_demand_has_enough_counts(fixture.demand, 21 * kPassUs));
+	EXPECT_LT(tokens.distance(skh_demand_shares(fixture.demand)), 0.25);
 }
 
-// A look over several passes: the shift is certain, but not what it counted.
-TEST_P(DemandOf, ASampleThatAShiftCutsInTwoIsDropped)
+// In a sample of several passes a shift is certain, but not which counts are from after it.
+TEST_P(DemandByProfile, SampleThatSpansAShiftIsDropped)
 {
-	Demand t(GetParam());
-	Tokens tokens(GetParam(), 4);
+	Demand fixture(GetParam());
+	TokenSource tokens(GetParam(), 4);
 	std::mt19937 random(4);
 
 	for (int64_t pass = 1; pass <= 20; pass++) {
-		std::vector<double> counts = pass_of(tokens, random);
-		skh_demand_sample_t sample = sample_of(counts, pass - 1, pass);
+		std::vector<double> counts = sample_pass(tokens, random);
+		skh_demand_sample_t sample = make_sample(counts, pass - 1, pass);
 
-		(void)skh_demand_add_sample(t.demand, &sample, pass * kPass);
+		(void)skh_demand_add_sample(fixture.demand, &sample, pass * kPassUs);
 	}
-	std::vector<double> counts = pass_of(tokens, random);
+	std::vector<double> counts = sample_pass(tokens, random);
 
 	tokens.shift(0.8);
 	for (int i = 0; i < 3; i++)
-		tokens.choose(1e5, counts);
-	skh_demand_sample_t sample = sample_of(counts, 20, 23);
+		tokens.add_choices(1e5, counts);
+	skh_demand_sample_t sample = make_sample(counts, 20, 23);
 
-	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 23 * kPass),
+	EXPECT_EQ(skh_demand_add_sample(fixture.demand, &sample, 23 * kPassUs),
 		  SKH_DEMAND_SHIFTED_MID_SAMPLE);
-	EXPECT_FALSE(skh_demand_has_enough_counts(t.demand, 24 * kPass));
+	EXPECT_FALSE(skh_demand_has_enough_counts(fixture.demand, 24 * kPassUs));
 	for (int i = 0; i < 30; i++) {
-		counts = pass_of(tokens, random);
-		sample = sample_of(counts, 23, 24);
-		EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, 24 * kPass), SKH_DEMAND_UPDATED);
+		counts = sample_pass(tokens, random);
+		sample = make_sample(counts, 23, 24);
+		EXPECT_EQ(skh_demand_add_sample(fixture.demand, &sample, 24 * kPassUs),
+			  SKH_DEMAND_UPDATED);
 	}
-	EXPECT_LT(tokens.distance(skh_demand_shares(t.demand)), 0.25);
+	EXPECT_LT(tokens.distance(skh_demand_shares(fixture.demand)), 0.25);
 }
 
-INSTANTIATE_TEST_SUITE_P(Kinds, DemandOf, testing::Values(kMany, kFew));
+INSTANTIATE_TEST_SUITE_P(Profiles, DemandByProfile,
+			 testing::Values(kManySimilarExperts, kFewSkewedExperts));
 
-TEST(Demand, AGroupThatFormsAnewCountsPassesFromTheBeginning)
+TEST(Demand, NewEpochRestartsPassNumbers)
 {
-	Demand t(kFew);
-	Tokens tokens(kFew, 5);
+	Demand fixture(kFewSkewedExperts);
+	TokenSource tokens(kFewSkewedExperts, 5);
 	std::mt19937 random(5);
-	std::vector<double> counts = pass_of(tokens, random);
-	skh_demand_sample_t sample = sample_of(counts, 700, 701);
+	std::vector<double> counts = sample_pass(tokens, random);
+	skh_demand_sample_t sample = make_sample(counts, 700, 701);
 
-	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, kPass), SKH_DEMAND_UPDATED);
+	EXPECT_EQ(skh_demand_add_sample(fixture.demand, &sample, kPassUs), SKH_DEMAND_UPDATED);
 	sample.epoch = 2;
 	sample.from_pass = 0;
 	sample.to_pass = 1;
-	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, kPass), SKH_DEMAND_UPDATED);
+	EXPECT_EQ(skh_demand_add_sample(fixture.demand, &sample, kPassUs), SKH_DEMAND_UPDATED);
 	sample.epoch = 1;
 	sample.from_pass = 702;
-	EXPECT_EQ(skh_demand_add_sample(t.demand, &sample, kPass), SKH_DEMAND_IGNORED);
+	EXPECT_EQ(skh_demand_add_sample(fixture.demand, &sample, kPassUs), SKH_DEMAND_IGNORED);
 }
 
-constexpr int64_t kBytesAS = 1500;
-constexpr size_t kReport = 1100;
+constexpr int64_t kBytesPerSecond = 1500;
+constexpr size_t kReportBytes = 1100;
 
-struct Feed {
-	Tokens tokens;
+struct ReporterFixture {
+	TokenSource tokens;
 	std::mt19937 random;
-	skh_count_reporter_t *feed;
-	int64_t now = 0;
+	skh_count_reporter_t *reporter;
+	int64_t now_us = 0;
 	int64_t pass = 0;
-	size_t bytes = 0;
+	size_t sent_bytes = 0;
 
-	explicit Feed(uint32_t seed) : tokens(kMany, seed), random(seed)
+	explicit ReporterFixture(uint32_t seed) : tokens(kManySimilarExperts, seed), random(seed)
 	{
-		skh_engine_spec_t shape = shape_of(kMany);
+		skh_engine_spec_t engine_spec = make_engine_spec(kManySimilarExperts);
 
-		feed = skh_count_reporter_new(&shape, kBytesAS, seed * 12345);
+		reporter = skh_count_reporter_new(&engine_spec, kBytesPerSecond, seed * 12345);
 	}
-	~Feed()
+	~ReporterFixture()
 	{
-		skh_count_reporter_free(feed);
+		skh_count_reporter_free(reporter);
 	}
 
-	// One pass; returns whether a report with counts goes out in it.
+	// Runs one pass; returns true when a report with counts is sent in it.
 	bool step()
 	{
-		std::vector<double> counts = pass_of(tokens, random);
-		skh_demand_sample_t sample = sample_of(counts, pass, pass + 1);
+		std::vector<double> counts = sample_pass(tokens, random);
+		skh_demand_sample_t sample = make_sample(counts, pass, pass + 1);
 		bool due = false;
 
 		pass++;
-		now += kPass;
-		(void)skh_count_reporter_add_sample(feed, &sample, now);
-		due = skh_count_reporter_is_due(feed, now);
+		now_us += kPassUs;
+		(void)skh_count_reporter_add_sample(reporter, &sample, now_us);
+		due = skh_count_reporter_is_due(reporter, now_us);
 		if (due) {
-			skh_count_reporter_record_sent(feed, kReport, true, now);
-			bytes += kReport;
+			skh_count_reporter_record_sent(reporter, kReportBytes, true, now_us);
+			sent_bytes += kReportBytes;
 		}
 		return due;
 	}
 };
 
-TEST(CountFeed, KeepsToItsBudgetAndTellsOfAShiftAtOnce)
+TEST(CountReporter, KeepsItsBudgetAndReportsAShiftAtOnce)
 {
 	for (uint32_t seed = 1; seed <= 10; seed++) {
-		Feed t(seed);
+		ReporterFixture fixture(seed);
 
 		for (int i = 0; i < 30; i++)
-			(void)t.step();
+			(void)fixture.step();
 		for (int shift = 0; shift < 6; shift++) {
 			int passes = 0;
 
-			t.tokens.shift(0.6);
+			fixture.tokens.shift(0.6);
 			for (int i = 1; i <= 36; i++) {
-				if (t.step() && passes == 0) {
+				if (fixture.step() && passes == 0) {
 					passes = i;
-					EXPECT_EQ(skh_count_reporter_pending_sample(t.feed)
-							  ->from_pass,
-						  0);
+					EXPECT_EQ(
+						skh_count_reporter_pending_sample(fixture.reporter)
+							->from_pass,
+						0);
 				}
 			}
-			// At once with a prompt; without one after 0.16 s.
+			// In the first pass with a prompt; without one after 0.16 s.
 			EXPECT_GE(passes, 1) << "seed " << seed;
 			EXPECT_LE(passes, 4) << "seed " << seed;
 		}
-		EXPECT_LT(t.bytes, 2400 + kBytesAS * t.now / SKH_US_PER_S) << "seed " << seed;
+		EXPECT_LT(fixture.sent_bytes,
+			  2400 + kBytesPerSecond * fixture.now_us / SKH_US_PER_S)
+			<< "seed " << seed;
 	}
 }
 
-TEST(CountFeed, DropsWhatItCountedBeforeAShift)
+TEST(CountReporter, DropsCountsFromBeforeAShift)
 {
-	Feed t(7);
+	ReporterFixture fixture(7);
 
-	while (!t.step())
+	while (!fixture.step())
 		;
 	for (int i = 0; i < 5; i++)
-		(void)t.step();
-	t.tokens.shift(0.7);
-	int64_t shift = t.pass;
-
-	std::vector<double> counts = pass_of(t.tokens, t.random);
-	skh_demand_sample_t sample = sample_of(counts, t.pass, t.pass + 1);
-
-	EXPECT_EQ(skh_count_reporter_add_sample(t.feed, &sample, t.now + kPass),
-		  SKH_DEMAND_SHIFTED);
-	EXPECT_EQ(skh_count_reporter_pending_sample(t.feed)->from_pass, shift);
-	EXPECT_EQ(skh_count_reporter_pending_sample(t.feed)->to_pass, shift + 1);
-	EXPECT_EQ(skh_count_reporter_pending_sample(t.feed)->counts[3], counts[3]);
+		(void)fixture.step();
+	fixture.tokens.shift(0.7);
+	int64_t shift = fixture.pass;
+
+	std::vector<double> counts = sample_pass(fixture.tokens, fixture.random);
+	skh_demand_sample_t sample = make_sample(counts, fixture.pass, fixture.pass + 1);
+
+	EXPECT_EQ(
+		skh_count_reporter_add_sample(fixture.reporter, &sample, fixture.now_us + kPassUs),
+		SKH_DEMAND_SHIFTED);
+	EXPECT_EQ(skh_count_reporter_pending_sample(fixture.reporter)->from_pass, shift);
+	EXPECT_EQ(skh_count_reporter_pending_sample(fixture.reporter)->to_pass, shift + 1);
+	EXPECT_EQ(skh_count_reporter_pending_sample(fixture.reporter)->counts[3], counts[3]);
 }
 
-TEST(CountFeed, HurriesForANewCoordinator)
+TEST(CountReporter, ExpediteMakesReportDue)
 {
-	Feed t(8);
+	ReporterFixture fixture(8);
 
 	for (int i = 0; i < 60; i++)
-		(void)t.step();
-	while (!t.step())
+		(void)fixture.step();
+	while (!fixture.step())
 		;
-	(void)t.step();
-	(void)t.step();
-	EXPECT_FALSE(skh_count_reporter_is_due(t.feed, t.now));
-	skh_count_reporter_expedite(t.feed, t.now);
-	EXPECT_TRUE(skh_count_reporter_is_due(t.feed, t.now + SKH_US_PER_S));
+	(void)fixture.step();
+	(void)fixture.step();
+	EXPECT_FALSE(skh_count_reporter_is_due(fixture.reporter, fixture.now_us));
+	skh_count_reporter_expedite(fixture.reporter, fixture.now_us);
+	EXPECT_TRUE(skh_count_reporter_is_due(fixture.reporter, fixture.now_us + SKH_US_PER_S));
 }
 
 } // namespace
--- a/test/greedy_rebalance_test.cc
+++ b/test/greedy_rebalance_test.cc
@@ -1,5 +1,6 @@
-// Quick relief and planning of maps: a shift of demand is answered within the
-// ranks' limits, every expert keeps a place, counts survive their packing.
+// Greedy rebalancing and map planning: after a shift of demand the skew falls within the limits of
+// the ranks and every expert keeps a slot. Also shift forecasts, fences, and the encodings of
+// counts and orders.
 #include "count_codec.h"
 #include "fence.h"
 #include "forecast.h"
@@ -19,117 +20,122 @@
 namespace
 {
 
-// Experts dealt in turn, as the engines' first map does; the other places are empty.
-std::vector<uint32_t> dealt(uint32_t sets, uint32_t ranks, uint32_t places, uint32_t experts)
+// Distributes the experts round-robin, as in the engines' first map; the other slots are empty.
+std::vector<uint32_t> make_round_robin_map(uint32_t sets, uint32_t ranks, uint32_t slots,
+					   uint32_t experts)
 {
-	std::vector<uint32_t> map(static_cast<size_t>(sets) * ranks * places);
+	std::vector<uint32_t> map(static_cast<size_t>(sets) * ranks * slots);
 
 	for (uint32_t set = 0; set < sets; set++) {
 		for (uint32_t expert = 0; expert < experts; expert++)
-			map[(static_cast<size_t>(set) * ranks + expert % ranks) * places +
+			map[(static_cast<size_t>(set) * ranks + expert % ranks) * slots +
 			    expert / ranks] = expert + 1;
 	}
 	return map;
 }
 
-skh_engine_spec_t shape_of(uint32_t sets, uint32_t experts, uint32_t places, uint32_t spare)
+skh_engine_spec_t make_engine_spec(uint32_t sets, uint32_t experts, uint32_t slots, uint32_t spare)
 {
-	skh_engine_spec_t shape = {};
+	skh_engine_spec_t engine_spec = {};
 
-	shape.expert_sets = sets;
-	shape.experts_per_set = experts;
-	shape.expert_slots = places;
-	shape.spare_slots = spare;
-	return shape;
+	engine_spec.expert_sets = sets;
+	engine_spec.experts_per_set = experts;
+	engine_spec.expert_slots = slots;
+	engine_spec.spare_slots = spare;
+	return engine_spec;
 }
 
 } // namespace
 
-double skew_of(const skh_greedy_rebalance_input_t &view, std::vector<uint32_t> map)
+double compute_skew(const skh_greedy_rebalance_input_t &input, std::vector<uint32_t> map)
 {
-	std::vector<uint32_t> none(view.n_ranks);
-	skh_greedy_rebalance_t *relief =
-		skh_greedy_rebalance_new(&view, map.data(), 0, none.data());
-	double skew = skh_greedy_rebalance_skew(relief);
+	std::vector<uint32_t> no_copies(input.n_ranks);
+	skh_greedy_rebalance_t *rebalance =
+		skh_greedy_rebalance_new(&input, map.data(), 0, no_copies.data());
+	double skew = skh_greedy_rebalance_skew(rebalance);
 
-	skh_greedy_rebalance_free(relief);
+	skh_greedy_rebalance_free(rebalance);
 	return skew;
 }
 
-// Steps that were taken until the skew is below 1.08.
-int relieve(const skh_greedy_rebalance_input_t &view, std::vector<uint32_t> &map,
-	    std::vector<uint32_t> &left)
+// Runs steps until the skew is at most 1.08 or no step helps; returns their number.
+int rebalance_greedily(const skh_greedy_rebalance_input_t &input, std::vector<uint32_t> &map,
+		       std::vector<uint32_t> &copies_left)
 {
-	skh_greedy_rebalance_t *relief =
-		skh_greedy_rebalance_new(&view, map.data(), left[0], left.data());
+	skh_greedy_rebalance_t *rebalance =
+		skh_greedy_rebalance_new(&input, map.data(), copies_left[0], copies_left.data());
 	int steps = 0;
 
-	while (skh_greedy_rebalance_skew(relief) > 1.08 && skh_greedy_rebalance_step(relief))
+	while (skh_greedy_rebalance_skew(rebalance) > 1.08 && skh_greedy_rebalance_step(rebalance))
 		steps++;
-	skh_greedy_rebalance_free(relief);
+	skh_greedy_rebalance_free(rebalance);
 	return steps;
 }
 
-TEST(Relief, OneExpertWithAFifthOfAllTokensIsSpread)
+TEST(GreedyRebalance, ExpertWithAFifthOfAllTokensIsReplicated)
 {
 	std::vector<double> shares = zipf(72, 1.3, 7);
-	std::vector<uint32_t> map = dealt(1, 12, 8, 72);
-	std::vector<uint32_t> left(12, 2);
-	skh_greedy_rebalance_input_t view = { 12, 8, 72, shares.data(), nullptr, 0.01 };
+	std::vector<uint32_t> map = make_round_robin_map(1, 12, 8, 72);
+	std::vector<uint32_t> copies_left(12, 2);
+	skh_greedy_rebalance_input_t input = { 12, 8, 72, shares.data(), nullptr, 0.01 };
 
-	EXPECT_GT(skew_of(view, map), 3.0);
-	EXPECT_GT(relieve(view, map, left), 0);
-	EXPECT_LT(skew_of(view, map), 1.25);
+	EXPECT_GT(compute_skew(input, map), 3.0);
+	EXPECT_GT(rebalance_greedily(input, map, copies_left), 0);
+	EXPECT_LT(compute_skew(input, map), 1.25);
 }
 
-TEST(Relief, DoesNotDropAReplicaThatOthersNeed)
+TEST(GreedyRebalance, KeepsReplicasThatOtherRanksNeed)
 {
-	// A replica just made must not make room for the next: seen on 63 ranks.
+	// On 63 ranks a replica that was just made was overwritten by the next one.
 	std::vector<double> shares = zipf(252, 1.3, 3);
-	std::vector<uint32_t> map = dealt(1, 63, 5, 252);
-	std::vector<uint32_t> left(63, 3);
-	skh_greedy_rebalance_input_t view = { 63, 5, 252, shares.data(), nullptr, 0.01 };
+	std::vector<uint32_t> map = make_round_robin_map(1, 63, 5, 252);
+	std::vector<uint32_t> copies_left(63, 3);
+	skh_greedy_rebalance_input_t input = { 63, 5, 252, shares.data(), nullptr, 0.01 };
 
-	(void)relieve(view, map, left);
-	EXPECT_LT(skew_of(view, map), 1.3);
+	(void)rebalance_greedily(input, map, copies_left);
+	EXPECT_LT(compute_skew(input, map), 1.3);
 }
 
-// One rank takes five times as long, and all others wait for it.
-TEST(Relief, TheExpertsOfASlowRankComeToStandElsewhere)
+// One rank takes five times as long as the others, which wait for it in each pass.
+TEST(GreedyRebalance, ExpertsOfASlowRankAreMoved)
 {
-	const skh_engine_spec_t shapes[] = { shape_of(4, 72, 8, 3), shape_of(8, 252, 5, 2) };
+	const skh_engine_spec_t engine_specs[] = { make_engine_spec(4, 72, 8, 3),
+						   make_engine_spec(8, 252, 5, 2) };
 	const uint32_t ranks[] = { 12, 63 };
 
-	for (size_t kind = 0; kind < 2; kind++) {
-		const skh_engine_spec_t &shape = shapes[kind];
-		std::vector<uint32_t> map = dealt(shape.expert_sets, ranks[kind],
-						  shape.expert_slots, shape.experts_per_set);
-		std::vector<double> paces(ranks[kind], 1.0);
+	for (size_t group = 0; group < 2; group++) {
+		const skh_engine_spec_t &engine_spec = engine_specs[group];
+		std::vector<uint32_t> map =
+			make_round_robin_map(engine_spec.expert_sets, ranks[group],
+					     engine_spec.expert_slots, engine_spec.experts_per_set);
+		std::vector<double> slowdowns(ranks[group], 1.0);
 		std::vector<double> shares;
-		skh_mapplan_options_t weights = {};
+		skh_mapplan_options_t options = {};
 		skh_mapplan_result_t result;
 
-		for (uint32_t set = 0; set < shape.expert_sets; set++) {
-			std::vector<double> part =
-				zipf(shape.experts_per_set, kind == 0 ? 1.3 : 0.66, set);
+		for (uint32_t set = 0; set < engine_spec.expert_sets; set++) {
+			std::vector<double> set_shares =
+				zipf(engine_spec.experts_per_set, group == 0 ? 1.3 : 0.66, set);
 
-			shares.insert(shares.end(), part.begin(), part.end());
+			shares.insert(shares.end(), set_shares.begin(), set_shares.end());
 		}
-		weights.greedy_only = true;
-		weights.greedy_target_skew = 1.08;
-		weights.max_new_per_rank = 8;
-		skh_mapplan_make(&shape, ranks[kind], &weights, shares.data(), map.data(), &result);
+		options.greedy_only = true;
+		options.greedy_target_skew = 1.08;
+		options.max_new_per_rank = 8;
+		skh_mapplan_make(&engine_spec, ranks[group], &options, shares.data(), map.data(),
+				 &result);
 		EXPECT_LT(result.skew_after, 1.35);
-		paces[5] = 5.0;
-		weights.slowdowns = paces.data();
-		weights.max_new_per_rank = 4;
-		skh_mapplan_make(&shape, ranks[kind], &weights, shares.data(), map.data(), &result);
+		slowdowns[5] = 5.0;
+		options.slowdowns = slowdowns.data();
+		options.max_new_per_rank = 4;
+		skh_mapplan_make(&engine_spec, ranks[group], &options, shares.data(), map.data(),
+				 &result);
 		EXPECT_GT(result.skew_before, 4.0);
 		EXPECT_LT(result.skew_after, 1.5);
-		EXPECT_TRUE(skh_mapplan_is_valid(&shape, ranks[kind], map.data()));
-		// Engines tell their experts without gaps.
+		EXPECT_TRUE(skh_mapplan_is_valid(&engine_spec, ranks[group], map.data()));
+		// Engines report their experts without gaps.
 		for (size_t i = 0; i + 1 < map.size(); i++) {
-			if ((i + 1) % shape.expert_slots != 0) {
+			if ((i + 1) % engine_spec.expert_slots != 0) {
 				ASSERT_TRUE(map[i] > 0 || map[i + 1] == 0);
 			}
 		}
@@ -137,128 +143,133 @@
 	}
 }
 
-TEST(Relief, NeverWorseAndWithinLimitsForAnyShift)
+TEST(GreedyRebalance, SkewNeverGrowsAndLimitsHoldForAnyShift)
 {
-	const skh_engine_spec_t shape = shape_of(4, 72, 8, 3);
-	std::vector<uint32_t> map = dealt(4, 12, 8, 72);
-	const skh_mapplan_options_t weights[] = { { 1, 1, 0.006, 2, true, 0, nullptr },
+	const skh_engine_spec_t engine_spec = make_engine_spec(4, 72, 8, 3);
+	std::vector<uint32_t> map = make_round_robin_map(4, 12, 8, 72);
+	const skh_mapplan_options_t options[] = { { 1, 1, 0.006, 2, true, 0, nullptr },
 						  { 1, 1, 0.006, 4, false, 0, nullptr } };
 
 	for (uint32_t shift = 0; shift < 30; shift++) {
 		std::vector<double> shares;
 
 		for (uint32_t set = 0; set < 4; set++) {
-			std::vector<double> part = zipf(72, 1.3, shift * 4 + set);
+			std::vector<double> set_shares = zipf(72, 1.3, shift * 4 + set);
 
-			shares.insert(shares.end(), part.begin(), part.end());
+			shares.insert(shares.end(), set_shares.begin(), set_shares.end());
 		}
-		for (const auto &weight : weights) {
+		for (const auto &option : options) {
 			std::vector<uint32_t> before = map;
 			skh_mapplan_result_t result;
 
-			skh_mapplan_make(&shape, 12, &weight, shares.data(), map.data(), &result);
-			ASSERT_TRUE(skh_mapplan_is_valid(&shape, 12, map.data())) << shift;
+			skh_mapplan_make(&engine_spec, 12, &option, shares.data(), map.data(),
+					 &result);
+			ASSERT_TRUE(skh_mapplan_is_valid(&engine_spec, 12, map.data())) << shift;
 			EXPECT_LE(result.skew_after, result.skew_before + 1e-9) << shift;
-			EXPECT_LE(result.max_copies_per_rank, weight.max_new_per_rank) << shift;
+			EXPECT_LE(result.max_copies_per_rank, option.max_new_per_rank) << shift;
 			for (size_t row = 0; row < 4 * 12; row++) {
-				int fresh = 0;
+				int n_new = 0;
 
 				for (size_t i = 0; i < 8; i++) {
 					uint32_t expert = map[row * 8 + i];
-					auto begin = before.begin() + static_cast<long>(row) * 8;
+					auto row_begin =
+						before.begin() + static_cast<long>(row) * 8;
 
-					fresh += expert > 0 &&
-						 std::find(begin, begin + 8, expert) == begin + 8;
+					n_new += expert > 0 && std::find(row_begin, row_begin + 8,
+									 expert) == row_begin + 8;
 				}
-				EXPECT_LE(fresh, 3);
+				EXPECT_LE(n_new, 3);
 			}
 		}
-		EXPECT_LT(skh_mapplan_skew(&shape, 12, shares.data(), nullptr, map.data()), 1.35)
+		EXPECT_LT(skh_mapplan_skew(&engine_spec, 12, shares.data(), nullptr, map.data()),
+			  1.35)
 			<< shift;
 	}
 }
 
-TEST(MapPlan, AnInvalidMapIsSeen)
+TEST(MapPlan, InvalidMapsAreDetected)
 {
-	const skh_engine_spec_t shape = shape_of(1, 4, 3, 1);
+	const skh_engine_spec_t engine_spec = make_engine_spec(1, 4, 3, 1);
 	std::vector<uint32_t> map = { 1, 2, 0, 3, 4, 0 };
 
-	EXPECT_TRUE(skh_mapplan_is_valid(&shape, 2, map.data()));
+	EXPECT_TRUE(skh_mapplan_is_valid(&engine_spec, 2, map.data()));
 	map[1] = 1;
-	EXPECT_FALSE(skh_mapplan_is_valid(&shape, 2, map.data())); // twice on a rank
+	EXPECT_FALSE(skh_mapplan_is_valid(&engine_spec, 2, map.data())); // twice on a rank
 	map[1] = 0;
-	EXPECT_FALSE(skh_mapplan_is_valid(&shape, 2, map.data())); // 2 stands nowhere
+	EXPECT_FALSE(skh_mapplan_is_valid(&engine_spec, 2, map.data())); // expert 2 is on no rank
 	map[1] = 5;
-	EXPECT_FALSE(skh_mapplan_is_valid(&shape, 2, map.data())); // no such expert
+	EXPECT_FALSE(skh_mapplan_is_valid(&engine_spec, 2, map.data())); // no such expert
 }
 
-TEST(Forecast, TheEndOfAShiftIsForetoldFromItsBeginning)
+TEST(Forecast, ShiftIsExtrapolatedFromItsBeginning)
 {
 	std::vector<double> before = zipf(72, 1.3, 1);
 	std::vector<double> after = zipf(72, 1.3, 2);
-	std::vector<double> now(72);
-	std::vector<double> outcome(72);
-	double far = 0.0;
-	double near = 0.0;
+	std::vector<double> current(72);
+	std::vector<double> predicted(72);
+	double current_distance = 0.0;
+	double predicted_distance = 0.0;
 
 	for (size_t i = 0; i < 72; i++)
-		now[i] = 0.5 * before[i] + 0.5 * after[i];
-	EXPECT_NEAR(skh_forecast_extrapolate_shift(before.data(), now.data(), 72, outcome.data()),
-		    0.5, 0.1);
+		current[i] = 0.5 * before[i] + 0.5 * after[i];
+	EXPECT_NEAR(
+		skh_forecast_extrapolate_shift(before.data(), current.data(), 72, predicted.data()),
+		0.5, 0.1);
 	for (size_t i = 0; i < 72; i++) {
-		far += std::fabs(now[i] - after[i]);
-		near += std::fabs(outcome[i] - after[i]);
+		current_distance += std::fabs(current[i] - after[i]);
+		predicted_distance += std::fabs(predicted[i] - after[i]);
 	}
-	EXPECT_LT(near, far / 2);
+	EXPECT_LT(predicted_distance, current_distance / 2);
 }
 
-TEST(Forecast, NoiseIsNotTakenForAShift)
+TEST(Forecast, UnchangedSharesAreNotTakenForAShift)
 {
 	std::vector<double> before = zipf(72, 1.3, 1);
-	std::vector<double> outcome(72);
+	std::vector<double> predicted(72);
 
-	EXPECT_LT(skh_forecast_extrapolate_shift(before.data(), before.data(), 72, outcome.data()),
-		  0.01);
+	EXPECT_LT(
+		skh_forecast_extrapolate_shift(before.data(), before.data(), 72, predicted.data()),
+		0.01);
 	for (size_t i = 0; i < 72; i++)
-		EXPECT_NEAR(outcome[i], before[i], 1e-9);
+		EXPECT_NEAR(predicted[i], before[i], 1e-9);
 }
 
-TEST(Fence, NeverComesTwiceUnderOneLease)
+TEST(Fence, IsUniqueUnderOneLease)
 {
 	skh_fence_t fence = {};
 	int64_t first = skh_fence_reserve(&fence, 7, 2);
 	int64_t second = skh_fence_reserve(&fence, 7, 2);
 
-	// The change before has both of its own.
+	// The earlier change owns both of its fences.
 	EXPECT_GT(second, first + 1);
-	// The lease seemed lost and was not: the numbers go on.
+	// A lease that only seemed lost continues the sequence.
 	EXPECT_GT(skh_fence_reserve(&fence, 7, 1), second + 1);
 	EXPECT_GT(skh_fence_reserve(&fence, 8, 1), skh_fence_reserve(&fence, 7, 1));
 }
 
-TEST(CountPack, KeepsProportions)
+TEST(CountCodec, KeepsProportions)
 {
 	std::vector<double> counts = { 0, 1, 7, 80, 900, 100000, 55000, 3 };
 	std::vector<uint8_t> packed(skh_count_codec_encoded_size(counts.size()));
 	std::vector<double> sums(counts.size(), 0.0);
-	uint32_t greatest = skh_count_codec_encode(counts.data(), counts.size(), packed.data());
+	uint32_t max_count = skh_count_codec_encode(counts.data(), counts.size(), packed.data());
 
-	EXPECT_EQ(greatest, 100000U);
-	skh_count_codec_decode_add(packed.data(), counts.size(), greatest, sums.data());
+	EXPECT_EQ(max_count, 100000U);
+	skh_count_codec_decode_add(packed.data(), counts.size(), max_count, sums.data());
 	EXPECT_EQ(sums[0], 0.0);
 	EXPECT_NEAR(sums[5], 100000.0, 1.0);
 	EXPECT_NEAR(sums[6] / 55000.0, 1.0, 0.2);
-	EXPECT_LT(sums[1], 1000.0); // below the scale: next to nothing
+	EXPECT_LT(sums[1], 1000.0); // below the resolution of the encoding
 }
 
-TEST(RankRelay, AMapByItsDifferencesIsTheSameMap)
+TEST(RankRelay, MapSentAsDifferencesIsTheSameMap)
 {
-	std::vector<uint32_t> first = dealt(2, 4, 3, 8);
+	std::vector<uint32_t> first = make_round_robin_map(2, 4, 3, 8);
 	std::vector<uint32_t> second = first;
-	skh_map_cache_t known = {};
+	skh_map_cache_t cache = {};
 	skh_engine_order_t order = {};
-	skh_engine_order_t read = {};
-	skh_buffer_t bytes = SKH_BUFFER_INIT;
+	skh_engine_order_t unpacked = {};
+	skh_buffer_t packed = SKH_BUFFER_INIT;
 	char *engine = nullptr;
 	const skh_versioned_map_t base = { 5, first.size(), first.data() };
 
@@ -268,34 +279,34 @@
 	order.n_slots = 3;
 	order.map_version = 5;
 	order.map = first.data();
-	skh_rankrelay_pack(&order, nullptr, nullptr, &bytes);
-	ASSERT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&bytes), &known, &read, &engine), 200);
+	skh_rankrelay_pack(&order, nullptr, nullptr, &packed);
+	ASSERT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&packed), &cache, &unpacked, &engine), 200);
 	EXPECT_EQ(engine, nullptr);
 	second[2] = 7;
 	second[20] = 1;
 	order.map_version = 6;
 	order.map = second.data();
-	skh_buffer_clear(&bytes);
-	skh_rankrelay_pack(&order, &base, "10.0.0.7:80", &bytes);
-	ASSERT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&bytes), &known, &read, &engine), 200);
-	EXPECT_TRUE(std::equal(second.begin(), second.end(), read.map));
-	EXPECT_EQ(read.map_version, 6);
+	skh_buffer_clear(&packed);
+	skh_rankrelay_pack(&order, &base, "10.0.0.7:80", &packed);
+	ASSERT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&packed), &cache, &unpacked, &engine), 200);
+	EXPECT_TRUE(std::equal(second.begin(), second.end(), unpacked.map));
+	EXPECT_EQ(unpacked.map_version, 6);
 	EXPECT_STREQ(engine, "10.0.0.7:80");
 	g_free(engine);
 
-	// A process that knows another map says so rather than guess.
-	skh_map_cache_t others = {};
+	// A process without the base map rejects the order instead of guessing.
+	skh_map_cache_t other_cache = {};
 
-	EXPECT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&bytes), &others, &read, &engine),
+	EXPECT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&packed), &other_cache, &unpacked, &engine),
 		  SKH_RANKRELAY_STATUS_NO_BASE);
 	g_free(engine);
-	ASSERT_NE(skh_map_cache_find(&known, 5), nullptr);
-	known.entries[0].map[0] = 3;
-	known.entries[1].version = 7;
-	EXPECT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&bytes), &known, &read, &engine),
+	ASSERT_NE(skh_map_cache_find(&cache, 5), nullptr);
+	cache.entries[0].map[0] = 3;
+	cache.entries[1].version = 7;
+	EXPECT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&packed), &cache, &unpacked, &engine),
 		  SKH_RANKRELAY_STATUS_NO_BASE);
 	g_free(engine);
-	skh_buffer_free(&bytes);
-	skh_map_cache_clear(&known);
-	skh_map_cache_clear(&others);
+	skh_buffer_free(&packed);
+	skh_map_cache_clear(&cache);
+	skh_map_cache_clear(&other_cache);
 }
--- a/test/rebalance_test.cc
+++ b/test/rebalance_test.cc
@@ -1,4 +1,4 @@
-// Expert balance: plans keep every expert standing, pay for themselves, settle.
+// Rebalance plans keep every expert available, are worth their cost and converge.
 #include "rebalance.h"
 #include "forecast.h"
 
@@ -22,25 +22,25 @@
 	std::vector<double> forecast;
 	std::vector<double> speed;
 	std::vector<uint32_t> domain;
-	double load_cost = 0.0002;
-	uint32_t max_loads = 64;
+	double copy_cost = 0.0002;
+	uint32_t max_copies = 64;
 
-	skh_rebalance_input_t view() const
+	skh_rebalance_input_t input() const
 	{
-		skh_rebalance_input_t view = {};
-
-		view.n_ranks = ranks;
-		view.n_slots = slots;
-		view.n_experts = experts;
-		view.placement = placement.data();
-		view.forecast_shares = forecast.data();
-		view.speed = speed.data();
-		view.failure_domain = domain.data();
-		view.skew_weight = 0.8;
-		view.cost_weight = 0.2;
-		view.copy_cost = load_cost;
-		view.max_copies = max_loads;
-		return view;
+		skh_rebalance_input_t input = {};
+
+		input.n_ranks = ranks;
+		input.n_slots = slots;
+		input.n_experts = experts;
+		input.placement = placement.data();
+		input.forecast_shares = forecast.data();
+		input.speed = speed.data();
+		input.failure_domain = domain.data();
+		input.skew_weight = 0.8;
+		input.cost_weight = 0.2;
+		input.copy_cost = copy_cost;
+		input.max_copies = max_copies;
+		return input;
 	}
 
 	uint32_t &cell(uint32_t rank, uint32_t slot)
@@ -49,8 +49,8 @@
 	}
 };
 
-// Experts dealt round the ranks: no rank holds one twice while slots <= experts.
-Group dealt(uint32_t ranks, uint32_t slots, uint32_t experts)
+// Distributes the experts round-robin; no rank holds one twice while slots <= experts.
+Group make_round_robin_group(uint32_t ranks, uint32_t slots, uint32_t experts)
 {
 	Group group;
 
@@ -67,8 +67,8 @@
 	return group;
 }
 
-// The naive version of the load model, straight from its definition.
-std::vector<double> naive_loads(const Group &group)
+// Naive version of the load model, directly from its definition.
+std::vector<double> compute_loads_naively(const Group &group)
 {
 	std::vector<double> loads(group.ranks, 0.0);
 
@@ -85,29 +85,29 @@
 	return loads;
 }
 
-double naive_mean(const Group &group)
+double compute_mean_load_naively(const Group &group)
 {
 	return std::accumulate(group.forecast.begin(), group.forecast.end(), 0.0) /
 	       std::accumulate(group.speed.begin(), group.speed.end(), 0.0);
 }
 
-double naive_skew(const Group &group)
+double compute_skew_naively(const Group &group)
 {
-	const std::vector<double> loads = naive_loads(group);
+	const std::vector<double> loads = compute_loads_naively(group);
 
-	return *std::max_element(loads.begin(), loads.end()) / naive_mean(group);
+	return *std::max_element(loads.begin(), loads.end()) / compute_mean_load_naively(group);
 }
 
-double naive_norm(const Group &group)
+double compute_norm_naively(const Group &group)
 {
 	double sum = 0.0;
 
-	for (double load : naive_loads(group))
-		sum += std::pow(load / naive_mean(group), 16.0);
+	for (double load : compute_loads_naively(group))
+		sum += std::pow(load / compute_mean_load_naively(group), 16.0);
 	return sum;
 }
 
-std::set<uint32_t> standing(const Group &group)
+std::set<uint32_t> find_available_experts(const Group &group)
 {
 	std::set<uint32_t> experts;
 
@@ -118,7 +118,7 @@
 	return experts;
 }
 
-bool holds_twice(const Group &group)
+bool has_duplicate_on_rank(const Group &group)
 {
 	for (uint32_t rank = 0; rank < group.ranks; rank++) {
 		const auto first = group.placement.begin() + rank * group.slots;
@@ -129,37 +129,38 @@
 	return false;
 }
 
-// Runs the plan stage by stage; false when an expert that stood is missing meanwhile.
-bool run_plan(Group &group, const skh_rebalance_plan_t &plan)
+// Applies the plan stage by stage; returns false when a stage makes an expert unavailable.
+bool apply_plan(Group &group, const skh_rebalance_plan_t &plan)
 {
 	for (uint32_t stage = 0; stage < plan.n_stages; stage++) {
-		Group during = group;
-		std::set<uint32_t> before = standing(group);
+		Group during_stage = group;
+		std::set<uint32_t> before = find_available_experts(group);
 
 		for (uint32_t i = 0; i < plan.n_copies; i++) {
 			if (plan.copies[i].stage == stage)
-				during.cell(plan.copies[i].rank, plan.copies[i].slot) = UINT32_MAX;
+				during_stage.cell(plan.copies[i].rank, plan.copies[i].slot) =
+					UINT32_MAX;
 		}
-		std::set<uint32_t> meanwhile = standing(during);
-		meanwhile.erase(UINT32_MAX);
-		if (meanwhile != before)
+		std::set<uint32_t> available = find_available_experts(during_stage);
+		available.erase(UINT32_MAX);
+		if (available != before)
 			return false;
 		for (uint32_t i = 0; i < plan.n_copies; i++) {
-			const skh_expert_copy_t &move = plan.copies[i];
+			const skh_expert_copy_t &copy = plan.copies[i];
 
-			if (move.stage == stage)
-				group.cell(move.rank, move.slot) = move.expert;
+			if (copy.stage == stage)
+				group.cell(copy.rank, copy.slot) = copy.expert;
 		}
 	}
 	return true;
 }
 
-Group any_group()
+Group generate_group()
 {
 	const uint32_t ranks = *rc::gen::inRange<uint32_t>(2, 9);
 	const uint32_t slots = *rc::gen::inRange<uint32_t>(2, 5);
 	const uint32_t experts = *rc::gen::inRange<uint32_t>(slots, ranks * slots);
-	Group group = dealt(ranks, slots, experts);
+	Group group = make_round_robin_group(ranks, slots, experts);
 
 	for (double &share : group.forecast)
 		share = *rc::gen::inRange(1, 1000);
@@ -168,98 +169,98 @@
 	return group;
 }
 
-RC_GTEST_PROP(Balance, EveryStageKeepsEveryExpertStanding, ())
+RC_GTEST_PROP(Rebalance, EveryExpertIsAvailableInEveryStage, ())
 {
-	Group group = any_group();
+	Group group = generate_group();
 	const Group before = group;
 	skh_rebalance_plan_t plan;
-	const skh_rebalance_input_t view = group.view();
-
-	RC_ASSERT(skh_rebalance_compute_plan(&view, &plan));
-	RC_ASSERT(std::fabs(plan.skew_before - naive_skew(group)) < 1e-9);
-	RC_ASSERT(run_plan(group, plan));
-	RC_ASSERT(std::fabs(plan.skew_after - naive_skew(group)) < 1e-9);
-	RC_ASSERT(!holds_twice(group));
-	RC_ASSERT(standing(group).size() == group.experts);
-	RC_ASSERT(naive_norm(group) <= naive_norm(before) * (1.0 + 1e-9));
+	const skh_rebalance_input_t input = group.input();
+
+	RC_ASSERT(skh_rebalance_compute_plan(&input, &plan));
+	RC_ASSERT(std::fabs(plan.skew_before - compute_skew_naively(group)) < 1e-9);
+	RC_ASSERT(apply_plan(group, plan));
+	RC_ASSERT(std::fabs(plan.skew_after - compute_skew_naively(group)) < 1e-9);
+	RC_ASSERT(!has_duplicate_on_rank(group));
+	RC_ASSERT(find_available_experts(group).size() == group.experts);
+	RC_ASSERT(compute_norm_naively(group) <= compute_norm_naively(before) * (1.0 + 1e-9));
 }
 
-// Found by the property above: an expert leaves a slot of a rank, comes to another of the
-// same rank and leaves that one, too.
-TEST(Balance, ASlotThatIsLoadedTwiceKeepsTheLaterExpert)
+// An expert is overwritten in one slot of a rank, copied to another slot of the same rank and
+// overwritten there, too. Found by the property EveryExpertIsAvailableInEveryStage.
+TEST(Rebalance, SlotOverwrittenTwiceKeepsLaterExpert)
 {
-	Group group = dealt(4, 3, 8);
+	Group group = make_round_robin_group(4, 3, 8);
 	skh_rebalance_plan_t plan;
 
 	group.forecast = { 221, 492, 569, 373, 454, 80, 398, 358 };
 	group.speed = { 1.0, 1.0, 0.8, 0.8 };
-	const skh_rebalance_input_t view = group.view();
+	const skh_rebalance_input_t input = group.input();
 
-	ASSERT_TRUE(skh_rebalance_compute_plan(&view, &plan));
-	ASSERT_TRUE(run_plan(group, plan));
-	EXPECT_NEAR(plan.skew_after, naive_skew(group), 1e-9);
+	ASSERT_TRUE(skh_rebalance_compute_plan(&input, &plan));
+	ASSERT_TRUE(apply_plan(group, plan));
+	EXPECT_NEAR(plan.skew_after, compute_skew_naively(group), 1e-9);
 }
 
-RC_GTEST_PROP(Balance, ASettledPlacementIsLeftAlone, ())
+RC_GTEST_PROP(Rebalance, BalancedPlacementIsNotChanged, ())
 {
-	Group group = any_group();
+	Group group = generate_group();
 	skh_rebalance_plan_t plan;
 	skh_rebalance_plan_t again;
-	skh_rebalance_input_t view = group.view();
+	skh_rebalance_input_t input = group.input();
 
-	RC_ASSERT(skh_rebalance_compute_plan(&view, &plan));
-	RC_PRE(plan.n_copies + 8 < group.max_loads);
-	RC_ASSERT(run_plan(group, plan));
-	view = group.view();
-	RC_ASSERT(skh_rebalance_compute_plan(&view, &again));
+	RC_ASSERT(skh_rebalance_compute_plan(&input, &plan));
+	RC_PRE(plan.n_copies + 8 < group.max_copies);
+	RC_ASSERT(apply_plan(group, plan));
+	input = group.input();
+	RC_ASSERT(skh_rebalance_compute_plan(&input, &again));
 	RC_ASSERT(again.n_copies == 0u);
 }
 
-RC_GTEST_PROP(Balance, ALostRanksExpertsComeBackOrItSaysSo, ())
+RC_GTEST_PROP(Rebalance, ExpertsOfLostRankAreReplacedOrPlanIsIncomplete, ())
 {
-	Group group = any_group();
-	const uint32_t lost = *rc::gen::inRange<uint32_t>(0, group.ranks);
+	Group group = generate_group();
+	const uint32_t lost_rank = *rc::gen::inRange<uint32_t>(0, group.ranks);
 	const bool has_room = (group.ranks - 1) * group.slots >= group.experts;
 	skh_rebalance_plan_t plan;
 
-	group.speed[lost] = 0.0;
-	const skh_rebalance_input_t view = group.view();
-	const bool complete = skh_rebalance_compute_plan(&view, &plan);
-	RC_ASSERT(complete == has_room);
-	RC_ASSERT(run_plan(group, plan));
-	if (complete)
-		RC_ASSERT(standing(group).size() == group.experts);
+	group.speed[lost_rank] = 0.0;
+	const skh_rebalance_input_t input = group.input();
+	const bool is_complete = skh_rebalance_compute_plan(&input, &plan);
+	RC_ASSERT(is_complete == has_room);
+	RC_ASSERT(apply_plan(group, plan));
+	if (is_complete)
+		RC_ASSERT(find_available_experts(group).size() == group.experts);
 	for (uint32_t i = 0; i < plan.n_copies; i++)
-		RC_ASSERT(plan.copies[i].rank != lost);
+		RC_ASSERT(plan.copies[i].rank != lost_rank);
 }
 
-TEST(Balance, WhatCostsMoreThanItBringsIsNotDone)
+TEST(Rebalance, CopyThatCostsMoreThanItGainsIsNotMade)
 {
-	Group group = dealt(4, 3, 10);
+	Group group = make_round_robin_group(4, 3, 10);
 	skh_rebalance_plan_t plan;
 
 	group.forecast[0] = 3.0;
-	group.load_cost = 1e6;
-	const skh_rebalance_input_t view = group.view();
-	ASSERT_TRUE(skh_rebalance_compute_plan(&view, &plan));
+	group.copy_cost = 1e6;
+	const skh_rebalance_input_t input = group.input();
+	ASSERT_TRUE(skh_rebalance_compute_plan(&input, &plan));
 	EXPECT_EQ(0u, plan.n_copies);
 }
 
-TEST(Balance, TheWeightStoresRateIsKept)
+TEST(Rebalance, CopyLimitIsKept)
 {
-	Group group = dealt(8, 4, 28);
+	Group group = make_round_robin_group(8, 4, 28);
 	skh_rebalance_plan_t plan;
 
 	for (uint32_t i = 0; i < group.experts; i++)
 		group.forecast[i] = 1.0 + (i * 37 % 11);
-	group.max_loads = 3;
-	const skh_rebalance_input_t view = group.view();
-	ASSERT_TRUE(skh_rebalance_compute_plan(&view, &plan));
+	group.max_copies = 3;
+	const skh_rebalance_input_t input = group.input();
+	ASSERT_TRUE(skh_rebalance_compute_plan(&input, &plan));
 	EXPECT_GT(plan.n_copies, 0u);
 	EXPECT_LE(plan.n_copies, 3u);
 }
 
-TEST(Forecast, FollowsADriftAndBridgesGaps)
+TEST(Forecast, FollowsDriftAcrossUnknownCounts)
 {
 	skh_forecast_t *forecast = skh_forecast_new(2);
 	double first = 100.0;
@@ -277,15 +278,15 @@
 	skh_forecast_free(forecast);
 }
 
-TEST(Forecast, IsNotReadyUntilEveryExpertWasReported)
+TEST(Forecast, IsNotReadyUntilEveryExpertIsReported)
 {
 	skh_forecast_t *forecast = skh_forecast_new(2);
-	const double half[2] = { 10.0, SKH_FORECAST_UNKNOWN_COUNT };
-	const double whole[2] = { 10.0, 30.0 };
+	const double partial_counts[2] = { 10.0, SKH_FORECAST_UNKNOWN_COUNT };
+	const double complete_counts[2] = { 10.0, 30.0 };
 
-	skh_forecast_observe(forecast, half);
+	skh_forecast_observe(forecast, partial_counts);
 	EXPECT_FALSE(skh_forecast_is_ready(forecast));
-	skh_forecast_observe(forecast, whole);
+	skh_forecast_observe(forecast, complete_counts);
 	EXPECT_TRUE(skh_forecast_is_ready(forecast));
 	skh_forecast_free(forecast);
 }
