--- a/test/mapchange_test.cc
+++ b/test/mapchange_test.cc
@@ -1,7 +1,6 @@
-// One expert map in every pass, in virtual time, with engines whose ranks switch
-// at a pass that they were told: orders that are lost, carried out without an
-// answer, or carried out seconds later; coordinators that die, freeze, overlap
-// and wake up; ranks that restart. Planted faults show that the check can fail.
+// All ranks use the same expert map in every pass, simulated in virtual time. Orders are lost,
+// executed without a response or executed seconds later; coordinators crash, freeze, overlap and
+// resume; ranks restart. Injected faults show that the check can fail.
 #include "mapchange.h"
 #include "seeds.h"
 
@@ -17,39 +16,40 @@
 namespace
 {
 
+// Virtual time is in microseconds.
 constexpr int64_t kMs = 1000;
 constexpr int64_t kS = 1000 * kMs;
 
-enum class Planted {
-	kNothing,
-	kGoBeforeArmed, // the hold is released before every rank has confirmed
-	kNoHold,	// ranks are armed without a hold
-	kSameFence	// a later coordinator does not raise the fence
+enum class InjectedFault {
+	kNone,
+	kReleaseBeforeArmed, // the hold is released before all ranks are armed
+	kArmWithoutHold,     // ranks are armed without a hold
+	kConstantFence	     // a later coordinator does not raise the fence
 };
 
 struct Engine {
 	int64_t fence = 0;
-	int64_t most_version = 0;
-	int64_t prepared = 0;
-	int64_t ready_at = 0;
-	int64_t armed = 0;
+	int64_t highest_version = 0;
+	int64_t prepared_version = 0;
+	int64_t copies_ready_us = 0;
+	int64_t armed_version = 0;
 	int64_t armed_pass = 0;
-	int64_t held = 0;
-	int64_t map = 0;
+	int64_t held_pass = 0;
+	int64_t map_version = 0;
 };
 
 struct Order {
 	size_t coordinator = 0;
 	uint32_t rank = 0;
 	skh_engine_order_t order = {};
-	bool answered = true;
-	uint32_t giver = 0; // the rank beside the process that hands it to the engine
-	uint64_t number = 0;
+	bool has_response = true;
+	uint32_t sender_rank = 0; // rank whose process sends the order to the engine
+	uint64_t id = 0;
 };
 
 struct Event {
-	int64_t at = 0;
-	int kind = 0; // 0: order arrives, 1: answer arrives, 2: report arrives
+	int64_t at_us = 0;
+	int kind = 0; // 0: order arrives, 1: response arrives, 2: report arrives
 	Order order;
 	int status = 0;
 	skh_engine_report_t report = {};
@@ -57,194 +57,196 @@
 
 struct Coordinator {
 	int64_t lease = 0;
-	bool alive = true;
-	int64_t frozen_till = 0;
-	int64_t holds_till = 0; // it acts on its lease before
-	bool changing = false;
+	bool is_alive = true;
+	int64_t frozen_until_us = 0;
+	int64_t lease_until_us = 0; // as the coordinator knows it
+	bool is_changing = false;
 	bool repair = false;
-	int64_t number = 0;
-	uint32_t own = 0;
+	int64_t fence_offset = 0;
+	uint32_t own_rank = 0;
 	skh_mapchange_t change = {};
 	std::vector<skh_engine_report_t> reports;
-	std::vector<bool> reported;
-	std::vector<uint64_t> under_way;
+	std::vector<bool> has_reported;
+	std::vector<uint64_t> pending_ids;
 	int64_t done = 0;
 };
 
-class World
+class Simulation
 {
       public:
-	World(uint32_t seed, uint32_t n, Planted planted)
-	    : random(seed), planted(planted), engines(n), frozen_till(n)
+	Simulation(uint32_t seed, uint32_t n_ranks, InjectedFault injected_fault)
+	    : random(seed), injected_fault(injected_fault), engines(n_ranks),
+	      frozen_until_us(n_ranks)
 	{
 	}
 
-	void run(int64_t until, bool faults)
+	void run(int64_t until_us, bool with_faults)
 	{
-		faulty = faults;
-		while (now < until && violation.empty())
+		inject_faults = with_faults;
+		while (now_us < until_us && violation.empty())
 			step();
 	}
 
 	void stop_coordinators()
 	{
 		for (auto &coordinator : coordinators)
-			coordinator->alive = false;
+			coordinator->is_alive = false;
 	}
 
-	// The next process that places a hold freezes with its whole instance.
-	void freeze_holder()
+	// Freezes the instance of the next process that places a hold.
+	void freeze_next_proxy()
 	{
-		holder_freezes = true;
+		proxy_freezes = true;
 	}
 
 	std::string violation;
-	int64_t passes = 0;
-	int64_t changes = 0;
-	int64_t now = 0;
-	int64_t held_longest = 0;
-	int64_t frozen_since = 0; // by freeze_holder()
+	int64_t n_passes = 0;
+	int64_t n_changes = 0;
+	int64_t now_us = 0;
+	int64_t max_hold_us = 0;
+	int64_t proxy_frozen_since_us = 0; // set by freeze_next_proxy()
 
       private:
-	bool chance(double part)
+	bool random_bool(double part)
 	{
 		return std::uniform_real_distribution<double>(0, 1)(random) < part;
 	}
 
-	int64_t between(int64_t low, int64_t high)
+	int64_t random_between(int64_t low, int64_t high)
 	{
 		return std::uniform_int_distribution<int64_t>(low, high)(random);
 	}
 
 	void step()
 	{
-		now += 5 * kMs;
-		time_hold();
-		deliver();
-		begin_pass();
-		elect();
+		now_us += 5 * kMs;
+		measure_hold();
+		deliver_events();
+		start_pass();
+		elect_coordinator();
 		for (auto &coordinator : coordinators)
-			act(*coordinator);
+			run_coordinator(*coordinator);
 		send_reports();
-		if (faulty && chance(0.0004))
-			restart();
-		if (faulty && chance(0.0008))
-			freeze(static_cast<uint32_t>(between(0, engines.size() - 1)),
-			       between(200, 5000) * kMs);
-		if (faulty && chance(0.0008))
-			holder_freezes = true;
+		if (inject_faults && random_bool(0.0004))
+			restart_engines();
+		if (inject_faults && random_bool(0.0008))
+			freeze(static_cast<uint32_t>(random_between(0, engines.size() - 1)),
+			       random_between(200, 5000) * kMs);
+		if (inject_faults && random_bool(0.0008))
+			proxy_freezes = true;
 	}
 
-	void time_hold()
+	void measure_hold()
 	{
 		bool held = false;
 
 		for (const auto &engine : engines)
-			held = held || engine.held != 0;
-		held_since = held && held_since == 0 ? now : held ? held_since : 0;
+			held = held || engine.held_pass != 0;
+		held_since_us = held && held_since_us == 0 ? now_us : held ? held_since_us : 0;
 		if (held)
-			held_longest = std::max(held_longest, now - held_since);
+			max_hold_us = std::max(max_hold_us, now_us - held_since_us);
 	}
 
 	bool is_frozen(uint32_t rank) const
 	{
-		return now < frozen_till[rank];
+		return now_us < frozen_until_us[rank];
 	}
 
-	void freeze(uint32_t rank, int64_t time)
+	void freeze(uint32_t rank, int64_t duration_us)
 	{
-		frozen_till[rank] = now + time;
+		frozen_until_us[rank] = now_us + duration_us;
 		for (auto &coordinator : coordinators) {
-			if (coordinator->own == rank)
-				coordinator->frozen_till = now + time;
+			if (coordinator->own_rank == rank)
+				coordinator->frozen_until_us = now_us + duration_us;
 		}
 	}
 
 	// --- Engines ---
 
-	void begin_pass()
+	void start_pass()
 	{
-		if (now < next_pass)
+		if (now_us < next_pass_us)
 			return;
 		for (const auto &engine : engines) {
-			if (engine.held == pass + 1)
+			if (engine.held_pass == pass + 1)
 				return;
 		}
 		pass++;
-		passes++;
-		next_pass = now + between(30, 150) * kMs;
+		n_passes++;
+		next_pass_us = now_us + random_between(30, 150) * kMs;
 		for (auto &engine : engines) {
-			if (engine.armed != 0 && engine.armed_pass == pass) {
-				engine.map = engine.armed;
-				engine.armed = 0;
-				engine.prepared = 0;
+			if (engine.armed_version != 0 && engine.armed_pass == pass) {
+				engine.map_version = engine.armed_version;
+				engine.armed_version = 0;
+				engine.prepared_version = 0;
 			}
 		}
 		for (const auto &engine : engines) {
-			if (engine.map != engines[0].map)
+			if (engine.map_version != engines[0].map_version)
 				violation = "pass " + std::to_string(pass) + " mixes maps at " +
-					    std::to_string(now / kMs) + " ms";
+					    std::to_string(now_us / kMs) + " ms";
 		}
 	}
 
-	void restart()
+	void restart_engines()
 	{
 		epoch++;
 		for (auto &engine : engines)
 			engine = Engine{};
-		next_pass = now + 600 * kMs;
+		next_pass_us = now_us + 600 * kMs;
 	}
 
 	int prepare(Engine &engine, const skh_engine_order_t &order)
 	{
-		if (engine.armed != 0 || order.map_version <= engine.most_version)
+		if (engine.armed_version != 0 || order.map_version <= engine.highest_version)
 			return 409;
-		engine.most_version = order.map_version;
-		engine.prepared = order.map_version;
-		engine.ready_at = now + between(0, 300) * kMs;
+		engine.highest_version = order.map_version;
+		engine.prepared_version = order.map_version;
+		engine.copies_ready_us = now_us + random_between(0, 300) * kMs;
 		return 202;
 	}
 
 	int arm(Engine &engine, const skh_engine_order_t &order)
 	{
-		if (engine.armed == order.map_version && engine.armed_pass == order.pass)
+		if (engine.armed_version == order.map_version && engine.armed_pass == order.pass)
 			return 200;
-		if (engine.prepared != order.map_version || now < engine.ready_at ||
-		    order.pass <= pass || engine.armed != 0)
+		if (engine.prepared_version != order.map_version ||
+		    now_us < engine.copies_ready_us || order.pass <= pass ||
+		    engine.armed_version != 0)
 			return 409;
-		engine.armed = order.map_version;
+		engine.armed_version = order.map_version;
 		engine.armed_pass = order.pass;
 		return 202;
 	}
 
 	int disarm(Engine &engine, const skh_engine_order_t &order)
 	{
-		if (engine.map == order.map_version)
+		if (engine.map_version == order.map_version)
 			return 409;
-		if (engine.armed == order.map_version)
-			engine.armed = 0;
+		if (engine.armed_version == order.map_version)
+			engine.armed_version = 0;
 		return 202;
 	}
 
 	int hold(Engine &engine, const skh_engine_order_t &order)
 	{
-		if (engine.held == order.pass)
+		if (engine.held_pass == order.pass)
 			return 200;
-		if (order.pass <= pass || engine.held != 0)
+		if (order.pass <= pass || engine.held_pass != 0)
 			return 409;
-		engine.held = order.pass;
+		engine.held_pass = order.pass;
 		return 202;
 	}
 
 	int go(Engine &engine, const skh_engine_order_t &order)
 	{
-		if (engine.held != order.pass)
+		if (engine.held_pass != order.pass)
 			return 200;
-		engine.held = 0;
+		engine.held_pass = 0;
 		return 202;
 	}
 
-	int carry_out(const Order &message)
+	int execute_order(const Order &message)
 	{
 		Engine &engine = engines[message.rank];
 		const skh_engine_order_t &order = message.order;
@@ -253,15 +255,15 @@
 			return 409;
 		if (order.fence < engine.fence)
 			return 412;
-		int status = do_order(engine, order);
+		int status = apply_order(engine, order);
 
-		// Whether a refused order's fence counts is not known: here it does not.
+		// Engines may or may not record the fence of a rejected order; here they do not.
 		if (status / 100 == 2)
 			engine.fence = order.fence;
 		return status;
 	}
 
-	int do_order(Engine &engine, const skh_engine_order_t &order)
+	int apply_order(Engine &engine, const skh_engine_order_t &order)
 	{
 		switch (order.op) {
 		case SKH_ENGINE_PREPARE:
@@ -278,7 +280,7 @@
 		return 400;
 	}
 
-	skh_engine_report_t report_of(uint32_t rank) const
+	skh_engine_report_t make_report(uint32_t rank) const
 	{
 		const Engine &engine = engines[rank];
 		skh_engine_report_t report = {};
@@ -288,180 +290,189 @@
 		report.rank = rank;
 		report.epoch = epoch;
 		report.pass = pass;
-		report.map_version = engine.map;
-		report.prepared_version = now >= engine.ready_at ? engine.prepared : 0;
-		report.armed_version = engine.armed;
-		report.held_pass = engine.held;
+		report.map_version = engine.map_version;
+		report.prepared_version =
+			now_us >= engine.copies_ready_us ? engine.prepared_version : 0;
+		report.armed_version = engine.armed_version;
+		report.held_pass = engine.held_pass;
 		return report;
 	}
 
 	// --- Network ---
 
-	void post(int64_t at, Event event)
+	void schedule(int64_t at_us, Event event)
 	{
-		event.at = at;
-		events.emplace(at, event);
+		event.at_us = at_us;
+		events.emplace(at_us, event);
 	}
 
-	void deliver()
+	void deliver_events()
 	{
-		while (!events.empty() && events.begin()->first <= now) {
+		while (!events.empty() && events.begin()->first <= now_us) {
 			Event event = events.begin()->second;
 
 			events.erase(events.begin());
 			if (event.kind == 0)
-				arrive(event);
+				receive_order(event);
 			else if (event.kind == 1)
-				answer(event);
+				receive_response(event);
 			else
-				take_report(event);
+				receive_report(event);
 		}
 	}
 
-	void send(size_t from, uint32_t rank, const skh_engine_order_t &order)
+	void send_order(size_t coordinator_index, uint32_t rank, const skh_engine_order_t &order)
 	{
 		Event event;
 
-		event.order.coordinator = from;
+		event.order.coordinator = coordinator_index;
 		event.order.rank = rank;
 		event.order.order = order;
-		event.order.giver = giver_of(*coordinators[from], rank, order.op);
-		event.order.number = ++numbers;
-		coordinators[from]->under_way[rank] = numbers;
-		if (faulty && chance(0.25)) {
-			bool lost = chance(0.3);
-
-			// No answer: never carried out, carried out now, or seconds later.
-			event.order.answered = false;
-			if (!lost)
-				post(now + (chance(0.4) ? 2 * kMs : between(2000, 12000) * kMs),
-				     event);
+		event.order.sender_rank =
+			get_sender_rank(*coordinators[coordinator_index], rank, order.op);
+		event.order.id = ++n_orders;
+		coordinators[coordinator_index]->pending_ids[rank] = n_orders;
+		if (inject_faults && random_bool(0.25)) {
+			bool is_lost = random_bool(0.3);
+
+			// No response: never executed, executed now or seconds later.
+			event.order.has_response = false;
+			if (!is_lost)
+				schedule(now_us + (random_bool(0.4)
+							   ? 2 * kMs
+							   : random_between(2000, 12000) * kMs),
+					 event);
 		} else {
-			post(now + between(1, 15) * kMs, event);
+			schedule(now_us + random_between(1, 15) * kMs, event);
 		}
 		Event timeout = event;
 
 		timeout.kind = 1;
 		timeout.status = 0;
-		post(now + 160 * kMs, timeout);
+		schedule(now_us + 160 * kMs, timeout);
 	}
 
-	static uint32_t giver_of(const Coordinator &coordinator, uint32_t rank, skh_engine_op_t op)
+	static uint32_t get_sender_rank(const Coordinator &coordinator, uint32_t rank,
+					skh_engine_op_t op)
 	{
 		return op == SKH_ENGINE_HOLD ? coordinator.change.proxy_rank : rank;
 	}
 
-	// What a frozen instance was sent is read when it wakes up.
-	void arrive(const Event &event)
+	// A frozen instance processes the received orders when it resumes.
+	void receive_order(const Event &event)
 	{
 		Event reply = event;
 		uint32_t rank = event.order.rank;
-		uint32_t giver = event.order.giver;
+		uint32_t sender_rank = event.order.sender_rank;
 
-		if (is_frozen(rank) || is_frozen(giver)) {
-			post(std::max(frozen_till[rank], frozen_till[giver]) + kMs, event);
+		if (is_frozen(rank) || is_frozen(sender_rank)) {
+			schedule(std::max(frozen_until_us[rank], frozen_until_us[sender_rank]) +
+					 kMs,
+				 event);
 			return;
 		}
 		reply.kind = 1;
-		reply.status = carry_out(event.order);
+		reply.status = execute_order(event.order);
 		if (event.order.order.op == SKH_ENGINE_HOLD && reply.status == 202 &&
-		    holder_freezes) {
-			holder_freezes = false;
-			frozen_since = now;
-			freeze(giver, 4 * kS);
+		    proxy_freezes) {
+			proxy_freezes = false;
+			proxy_frozen_since_us = now_us;
+			freeze(sender_rank, 4 * kS);
 			return;
 		}
-		if (event.order.answered)
-			post(now + between(1, 15) * kMs, reply);
+		if (event.order.has_response)
+			schedule(now_us + random_between(1, 15) * kMs, reply);
 	}
 
-	void answer(const Event &event)
+	void receive_response(const Event &event)
 	{
 		Coordinator &coordinator = *coordinators[event.order.coordinator];
-		skh_engine_order_result_t answer = SKH_ENGINE_ORDER_CONFLICT;
+		skh_engine_order_result_t result = SKH_ENGINE_ORDER_CONFLICT;
 
-		if (!coordinator.alive || !coordinator.changing ||
-		    coordinator.under_way[event.order.rank] != event.order.number)
+		if (!coordinator.is_alive || !coordinator.is_changing ||
+		    coordinator.pending_ids[event.order.rank] != event.order.id)
 			return;
-		if (now < coordinator.frozen_till) {
-			post(coordinator.frozen_till + kMs, event);
+		if (now_us < coordinator.frozen_until_us) {
+			schedule(coordinator.frozen_until_us + kMs, event);
 			return;
 		}
-		coordinator.under_way[event.order.rank] = 0;
+		coordinator.pending_ids[event.order.rank] = 0;
 		if (event.status == 200 || event.status == 202)
-			answer = SKH_ENGINE_ORDER_ACCEPTED;
+			result = SKH_ENGINE_ORDER_ACCEPTED;
 		else if (event.status == 412)
-			answer = SKH_ENGINE_ORDER_FENCED;
+			result = SKH_ENGINE_ORDER_FENCED;
 		else if (event.status == 0)
-			answer = SKH_ENGINE_ORDER_NO_ANSWER;
-		skh_mapchange_record_result(&coordinator.change, event.order.rank, answer, now);
+			result = SKH_ENGINE_ORDER_NO_ANSWER;
+		skh_mapchange_record_result(&coordinator.change, event.order.rank, result, now_us);
 		send_orders(event.order.coordinator);
 	}
 
 	void send_reports()
 	{
-		if (now % (50 * kMs) != 0)
+		if (now_us % (50 * kMs) != 0)
 			return;
 		for (size_t i = 0; i < coordinators.size(); i++) {
-			for (uint32_t rank = 0; coordinators[i]->alive && rank < engines.size();
+			for (uint32_t rank = 0; coordinators[i]->is_alive && rank < engines.size();
 			     rank++) {
 				Event event;
-				bool own = coordinators[i]->own == rank;
+				bool own = coordinators[i]->own_rank == rank;
 
-				if (is_frozen(rank) || (!own && faulty && chance(0.2)))
+				if (is_frozen(rank) || (!own && inject_faults && random_bool(0.2)))
 					continue;
 				event.kind = 2;
 				event.order.coordinator = i;
 				event.order.rank = rank;
-				event.report = report_of(rank);
-				post(now + (own ? 0 : between(1, 400) * kMs), event);
+				event.report = make_report(rank);
+				schedule(now_us + (own ? 0 : random_between(1, 400) * kMs), event);
 			}
 		}
 	}
 
-	void take_report(const Event &event)
+	void receive_report(const Event &event)
 	{
 		Coordinator &coordinator = *coordinators[event.order.coordinator];
 
-		if (!coordinator.alive)
+		if (!coordinator.is_alive)
 			return;
-		if (now < coordinator.frozen_till) {
-			post(coordinator.frozen_till + kMs, event);
+		if (now_us < coordinator.frozen_until_us) {
+			schedule(coordinator.frozen_until_us + kMs, event);
 			return;
 		}
 		coordinator.reports[event.order.rank] = event.report;
-		coordinator.reported[event.order.rank] = true;
-		if (coordinator.changing)
+		coordinator.has_reported[event.order.rank] = true;
+		if (coordinator.is_changing)
 			skh_mapchange_record_report(&coordinator.change, event.order.rank,
-						    &event.report, now);
+						    &event.report, now_us);
 	}
 
 	// --- Coordinators ---
 
-	void elect()
+	void elect_coordinator()
 	{
 		bool held = false;
 
 		for (auto &coordinator : coordinators) {
-			if (faulty && coordinator->alive && chance(0.0015))
-				coordinator->frozen_till = now + between(200, 5000) * kMs;
-			if (faulty && coordinator->alive && chance(0.0008))
-				coordinator->alive = false;
-			if (coordinator->alive && now >= coordinator->frozen_till &&
-			    now < coordinator->holds_till)
-				coordinator->holds_till = now + 1000 * kMs;
-			held = held || now < coordinator->holds_till;
+			if (inject_faults && coordinator->is_alive && random_bool(0.0015))
+				coordinator->frozen_until_us =
+					now_us + random_between(200, 5000) * kMs;
+			if (inject_faults && coordinator->is_alive && random_bool(0.0008))
+				coordinator->is_alive = false;
+			if (coordinator->is_alive && now_us >= coordinator->frozen_until_us &&
+			    now_us < coordinator->lease_until_us)
+				coordinator->lease_until_us = now_us + 1000 * kMs;
+			held = held || now_us < coordinator->lease_until_us;
 		}
 		if (held)
 			return;
 		auto coordinator = std::make_unique<Coordinator>();
 
-		coordinator->lease = ++leases;
-		coordinator->holds_till = now + 1000 * kMs;
-		coordinator->own = static_cast<uint32_t>(between(0, engines.size() - 1));
+		coordinator->lease = ++n_leases;
+		coordinator->lease_until_us = now_us + 1000 * kMs;
+		coordinator->own_rank =
+			static_cast<uint32_t>(random_between(0, engines.size() - 1));
 		coordinator->reports.resize(engines.size());
-		coordinator->reported.resize(engines.size());
-		coordinator->under_way.resize(engines.size());
+		coordinator->has_reported.resize(engines.size());
+		coordinator->pending_ids.resize(engines.size());
 		coordinators.push_back(std::move(coordinator));
 	}
 
@@ -471,188 +482,189 @@
 		skh_engine_order_t order;
 
 		for (uint32_t rank = 0; rank < engines.size(); rank++) {
-			if (skh_mapchange_next_order(&coordinator.change, rank, now, &order))
-				send(index, rank, order);
+			if (skh_mapchange_next_order(&coordinator.change, rank, now_us, &order))
+				send_order(index, rank, order);
 		}
 	}
 
-	// A question to the deputy's engine, and its answer: 2 ms each way.
-	void ask_deputy(size_t index)
+	// Probe of the proxy rank's engine and its response, 2 ms each way.
+	void probe_proxy(size_t index)
 	{
 		Coordinator &coordinator = *coordinators[index];
-		uint32_t deputy = coordinator.change.proxy_rank;
+		uint32_t proxy_rank = coordinator.change.proxy_rank;
 
-		if (!skh_mapchange_is_proxy_probe_due(&coordinator.change) || is_frozen(deputy) ||
-		    (faulty && chance(0.1)))
+		if (!skh_mapchange_is_proxy_probe_due(&coordinator.change) ||
+		    is_frozen(proxy_rank) || (inject_faults && random_bool(0.1)))
 			return;
-		skh_mapchange_record_proxy_probe(&coordinator.change, now - 4 * kMs);
+		skh_mapchange_record_proxy_probe(&coordinator.change, now_us - 4 * kMs);
 		send_orders(index);
 	}
 
-	bool knows_group(const Coordinator &coordinator) const
+	bool has_complete_reports(const Coordinator &coordinator) const
 	{
 		for (uint32_t rank = 0; rank < engines.size(); rank++) {
-			if (!coordinator.reported[rank] ||
+			if (!coordinator.has_reported[rank] ||
 			    coordinator.reports[rank].epoch !=
-				    coordinator.reports[coordinator.own].epoch)
+				    coordinator.reports[coordinator.own_rank].epoch)
 				return false;
 		}
 		return true;
 	}
 
-	void begin(Coordinator &coordinator)
+	void start_change(Coordinator &coordinator)
 	{
-		int64_t fence = coordinator.lease * 4096 + coordinator.number;
+		int64_t fence = coordinator.lease * 4096 + coordinator.fence_offset;
 		skh_mapchange_options_t options = {};
 
-		coordinator.number += SKH_MAPCHANGE_MAX_FENCES;
+		coordinator.fence_offset += SKH_MAPCHANGE_MAX_FENCES;
 		options.n_ranks = static_cast<uint32_t>(engines.size());
-		options.own_rank = coordinator.own;
-		options.proxy_rank =
-			(coordinator.own + 1 + coordinator.number / 2 % (options.n_ranks - 1)) %
-			options.n_ranks;
-		options.epoch = coordinator.reports[coordinator.own].epoch;
+		options.own_rank = coordinator.own_rank;
+		options.proxy_rank = (coordinator.own_rank + 1 +
+				      coordinator.fence_offset / 2 % (options.n_ranks - 1)) %
+				     options.n_ranks;
+		options.epoch = coordinator.reports[coordinator.own_rank].epoch;
 		options.version = fence;
-		options.fence = planted == Planted::kSameFence ? 1 : fence;
-		skh_mapchange_init(&coordinator.change, &options, now);
-		coordinator.changing = true;
-		for (auto &number : coordinator.under_way)
-			number = 0;
+		options.fence = injected_fault == InjectedFault::kConstantFence ? 1 : fence;
+		skh_mapchange_init(&coordinator.change, &options, now_us);
+		coordinator.is_changing = true;
+		for (auto &id : coordinator.pending_ids)
+			id = 0;
 		for (uint32_t rank = 0; rank < engines.size(); rank++)
 			skh_mapchange_record_report(&coordinator.change, rank,
-						    &coordinator.reports[rank], now);
+						    &coordinator.reports[rank], now_us);
 	}
 
-	void plant(Coordinator &coordinator)
+	void inject_coordinator_fault(Coordinator &coordinator)
 	{
 		skh_mapchange_t &change = coordinator.change;
 
-		if (planted == Planted::kGoBeforeArmed && change.phase == SKH_MAPCHANGE_ARM &&
-		    change.ranks[0].armed)
+		if (injected_fault == InjectedFault::kReleaseBeforeArmed &&
+		    change.phase == SKH_MAPCHANGE_ARM && change.ranks[0].armed)
 			change.phase = SKH_MAPCHANGE_GO;
-		if (planted == Planted::kNoHold && change.phase == SKH_MAPCHANGE_HOLD)
+		if (injected_fault == InjectedFault::kArmWithoutHold &&
+		    change.phase == SKH_MAPCHANGE_HOLD)
 			change.phase = SKH_MAPCHANGE_ARM;
 	}
 
-	// A frozen coordinator that wakes up does not know it: it acts on once more.
-	void act(Coordinator &coordinator)
+	// A coordinator that resumes acts once more, because it does not know that its lease expired.
+	void run_coordinator(Coordinator &coordinator)
 	{
 		size_t index = 0;
-		bool woke =
-			now >= coordinator.frozen_till && now < coordinator.frozen_till + 50 * kMs;
+		bool woke = now_us >= coordinator.frozen_until_us &&
+			    now_us < coordinator.frozen_until_us + 50 * kMs;
 
 		while (coordinators[index].get() != &coordinator)
 			index++;
-		if (!coordinator.alive || now < coordinator.frozen_till ||
-		    (now >= coordinator.holds_till && !woke))
+		if (!coordinator.is_alive || now_us < coordinator.frozen_until_us ||
+		    (now_us >= coordinator.lease_until_us && !woke))
 			return;
-		if (!coordinator.changing) {
-			if (knows_group(coordinator) && chance(0.05))
-				begin(coordinator);
+		if (!coordinator.is_changing) {
+			if (has_complete_reports(coordinator) && random_bool(0.05))
+				start_change(coordinator);
 			else
 				return;
 		}
-		skh_mapchange_tick(&coordinator.change, now);
-		plant(coordinator);
+		skh_mapchange_tick(&coordinator.change, now_us);
+		inject_coordinator_fault(coordinator);
 		send_orders(index);
-		ask_deputy(index);
+		probe_proxy(index);
 		if (coordinator.change.phase == SKH_MAPCHANGE_DONE) {
-			coordinator.changing = false;
-			changes++;
+			coordinator.is_changing = false;
+			n_changes++;
 		} else if (coordinator.change.phase == SKH_MAPCHANGE_FAILED) {
-			coordinator.changing = false;
+			coordinator.is_changing = false;
 		}
 	}
 
 	std::mt19937 random;
-	Planted planted;
+	InjectedFault injected_fault;
 	std::vector<Engine> engines;
-	std::vector<int64_t> frozen_till; // an instance with its engine and process
+	std::vector<int64_t> frozen_until_us; // instance of each rank, with its engine and process
 	std::vector<std::unique_ptr<Coordinator>> coordinators;
 	std::multimap<int64_t, Event> events;
 	int64_t epoch = 1;
 	int64_t pass = 0;
-	int64_t next_pass = 0;
-	int64_t leases = 0;
-	uint64_t numbers = 0;
-	bool faulty = true;
-	bool holder_freezes = false;
-	int64_t held_since = 0;
+	int64_t next_pass_us = 0;
+	int64_t n_leases = 0;
+	uint64_t n_orders = 0;
+	bool inject_faults = true;
+	bool proxy_freezes = false;
+	int64_t held_since_us = 0;
 };
 
-uint32_t violations(Planted planted, uint32_t seeds)
+uint32_t count_violations(InjectedFault injected_fault, uint32_t seeds)
 {
-	uint32_t found = 0;
+	uint32_t n_found = 0;
 
 	for (uint32_t seed = 1; seed <= seeds; seed++) {
-		World world(seed, 2 + seed % 4, planted);
+		Simulation simulation(seed, 2 + seed % 4, injected_fault);
 
-		world.run(40 * kS, true);
-		found += !world.violation.empty();
+		simulation.run(40 * kS, true);
+		n_found += !simulation.violation.empty();
 	}
-	return found;
+	return n_found;
 }
 
 } // namespace
 
 TEST(MapChange, NoPassMixesMaps)
 {
-	int64_t changes = 0;
+	int64_t n_changes = 0;
 
 	for (uint32_t seed = 1; seed <= seeds_or(150); seed++) {
-		World world(seed, 2 + seed % 5, Planted::kNothing);
+		Simulation simulation(seed, 2 + seed % 5, InjectedFault::kNone);
 
-		world.run(40 * kS, true);
-		ASSERT_EQ(world.violation, "") << "seed " << seed;
-		changes += world.changes;
+		simulation.run(40 * kS, true);
+		ASSERT_EQ(simulation.violation, "") << "seed " << seed;
+		n_changes += simulation.n_changes;
 	}
-	EXPECT_GT(changes, 150);
+	EXPECT_GT(n_changes, 150);
 }
 
-TEST(MapChange, AfterFaultsTheGroupGoesOnAndChanges)
+TEST(MapChange, GroupRunsAndChangesMapsAfterFaults)
 {
 	for (uint32_t seed = 1; seed <= seeds_or(100); seed++) {
-		World world(seed, 2 + seed % 5, Planted::kNothing);
-		int64_t passes;
-		int64_t changes;
-
-		world.run(20 * kS, true);
-		ASSERT_EQ(world.violation, "") << "seed " << seed;
-		world.stop_coordinators();
-		// What is still under way is carried out within 12 s.
-		world.run(36 * kS, false);
-		passes = world.passes;
-		changes = world.changes;
-		world.run(50 * kS, false);
-		ASSERT_EQ(world.violation, "") << "seed " << seed;
-		EXPECT_GT(world.passes, passes + 50) << "seed " << seed;
-		EXPECT_GT(world.changes, changes) << "seed " << seed;
+		Simulation simulation(seed, 2 + seed % 5, InjectedFault::kNone);
+		int64_t n_passes;
+		int64_t n_changes;
+
+		simulation.run(20 * kS, true);
+		ASSERT_EQ(simulation.violation, "") << "seed " << seed;
+		simulation.stop_coordinators();
+		// Orders in flight are executed within 12 s.
+		simulation.run(36 * kS, false);
+		n_passes = simulation.n_passes;
+		n_changes = simulation.n_changes;
+		simulation.run(50 * kS, false);
+		ASSERT_EQ(simulation.violation, "") << "seed " << seed;
+		EXPECT_GT(simulation.n_passes, n_passes + 50) << "seed " << seed;
+		EXPECT_GT(simulation.n_changes, n_changes) << "seed " << seed;
 	}
 }
 
-// The instance from which a hold was placed freezes with it: others see to its end.
-TEST(MapChange, GroupIsNotHeldWhileItsHolderIsFrozen)
+// The instance that placed a hold freezes; the other ranks and the coordinator undo the hold.
+TEST(MapChange, GroupIsReleasedWhileProxyIsFrozen)
 {
 	for (uint32_t seed = 1; seed <= seeds_or(100); seed++) {
-		World world(seed, 3 + seed % 5, Planted::kNothing);
-		int64_t changes;
-
-		world.run(5 * kS, false);
-		world.freeze_holder();
-		world.run(10 * kS, false);
-		ASSERT_EQ(world.violation, "") << "seed " << seed;
-		ASSERT_GT(world.frozen_since, 0) << "seed " << seed;
-		EXPECT_LT(world.held_longest, 400 * kMs) << "seed " << seed;
-		changes = world.changes;
-		world.run(20 * kS, false);
-		ASSERT_EQ(world.violation, "") << "seed " << seed;
-		EXPECT_GT(world.changes, changes) << "seed " << seed;
+		Simulation simulation(seed, 3 + seed % 5, InjectedFault::kNone);
+		int64_t n_changes;
+
+		simulation.run(5 * kS, false);
+		simulation.freeze_next_proxy();
+		simulation.run(10 * kS, false);
+		ASSERT_EQ(simulation.violation, "") << "seed " << seed;
+		ASSERT_GT(simulation.proxy_frozen_since_us, 0) << "seed " << seed;
+		EXPECT_LT(simulation.max_hold_us, 400 * kMs) << "seed " << seed;
+		n_changes = simulation.n_changes;
+		simulation.run(20 * kS, false);
+		ASSERT_EQ(simulation.violation, "") << "seed " << seed;
+		EXPECT_GT(simulation.n_changes, n_changes) << "seed " << seed;
 	}
 }
 
-TEST(MapChange, PlantedFaultsAreCaught)
+TEST(MapChange, InjectedFaultsAreDetected)
 {
-	EXPECT_GT(violations(Planted::kGoBeforeArmed, 40), 0U);
-	EXPECT_GT(violations(Planted::kNoHold, 40), 0U);
-	EXPECT_GT(violations(Planted::kSameFence, 400), 0U);
+	EXPECT_GT(count_violations(InjectedFault::kReleaseBeforeArmed, 40), 0U);
+	EXPECT_GT(count_violations(InjectedFault::kArmWithoutHold, 40), 0U);
+	EXPECT_GT(count_violations(InjectedFault::kConstantFence, 400), 0U);
 }
