--- a/test/mapchange_test.cc
+++ b/test/mapchange_test.cc
@@ -546,7 +546,7 @@
 			change.phase = SKH_MAPCHANGE_ARM;
 	}
 
-	// A coordinator that resumes acts once more, because it does not know that its lease expired.
+	// A resumed coordinator acts once more, not knowing that its lease expired.
 	void run_coordinator(Coordinator &coordinator)
 	{
 		size_t index = 0;
