--- a/src/layout.h
+++ b/src/layout.h
@@ -42,10 +42,10 @@
 	double load[SKH_REBALANCE_MAX_RANKS];
 	double norm_term[SKH_REBALANCE_MAX_RANKS]; /* (load / mean load)^16 */
 	double norm;				   /* sum of norm_term over the live ranks */
-	double inverse_mean_load;		   /* 1 / mean load */
+	double inverse_mean_load;		   /* mean load: total work / total speed */
 	uint32_t n_live_ranks;
-	uint32_t copies_left
-		[SKH_REBALANCE_MAX_RANKS]; /* experts that may still be copied to each rank */
+	/* Experts that may still be copied to each rank; UINT32_MAX without a limit. */
+	uint32_t copies_left[SKH_REBALANCE_MAX_RANKS];
 } skh_layout_t;
 
 /** struct skh_layout_trial - rank loads after a change that has not been made */
@@ -130,7 +130,7 @@
 /**
  * skh_layout_trial_add_load() - add work to a rank in a trial
  * @layout: layout that the trial starts from
- * @trial: zero-initialised before its first change
+ * @trial: trial to change; zero-initialised when new
  * @rank: live rank
  * @work: token share to add; negative to remove
  */
@@ -140,7 +140,7 @@
 /**
  * skh_layout_trial_change_hosts() - replace the hosts of an expert in a trial
  * @layout: layout that the trial starts from
- * @trial: zero-initialised before its first change
+ * @trial: trial to change; zero-initialised when new
  * @expert: expert whose load moves
  * @before: ranks that hold it before the change, as bits
  * @after: ranks that hold it after the change, as bits
--- a/src/mapchange.c
+++ b/src/mapchange.c
@@ -130,8 +130,8 @@
 }
 
 /*
- * The proxy rank needs a recent probe: if it froze before the order arrives, nobody could tell
- * whether it is armed.
+ * The proxy rank needs a recently answered probe: if it freezes before the arm order arrives, it
+ * is unknown whether it is armed.
  */
 static bool can_arm_proxy(const skh_mapchange_t *change, int64_t now_us)
 {
