--- a/src/mapchange.h
+++ b/src/mapchange.h
@@ -159,8 +159,8 @@
 /**
  * skh_mapchange_can_withdraw() - check whether another change can replace this one
  *
- * Return: true when the change has at most had experts copied and has not placed a
- * hold.
+ * Return: true when the ranks only prepare or copy experts and the group is not held
+ * by this change.
  */
 bool skh_mapchange_can_withdraw(const skh_mapchange_t *change);
 
