--- a/src/coordinator.c
+++ b/src/coordinator.c
@@ -17,113 +17,119 @@
 
 #define PART		 "group"
 #define ORDER_TIMEOUT_US (100 * SKH_US_PER_MS)
-/* Longer: the process hands an order to its engine again and again for 180 ms. */
+/* Longer than ORDER_TIMEOUT_US because the relay retries an order at its engine for 180 ms. */
 #define RELAY_TIMEOUT_US (220 * SKH_US_PER_MS)
-/* Shorter: the group may stand still for it. Three ways of a millisecond, and slow processes. */
+/*
+ * Shorter because the group may be stopped until the hold is confirmed. Covers three network
+ * hops of one millisecond and slow processes.
+ */
 #define HOLD_TIMEOUT_US (60 * SKH_US_PER_MS)
 /*
- * A change is not begun for less skew than this while passes are long, and for
- * much more while they are short: then copies cost more than they bring.
+ * Minimum excess skew of the map in use, and minimum skew that a plan must remove, for a change
+ * to start. Much higher while passes are short because copies then cost more than they gain.
+ */
+#define MIN_SKEW_GAIN		   0.15
+#define MIN_SKEW_GAIN_SHORT_PASSES 0.9
+/* A plan leaves sets below this skew alone, for long and for short passes. */
+#define TARGET_SKEW		 1.08
+#define TARGET_SKEW_SHORT_PASSES 1.6
+/*
+ * Target of the first change after a shift. It is less strict because every further copy makes
+ * the map longer to send.
  */
-#define LEAST_GAIN	0.15
-#define LEAST_GAIN_IDLE 0.9
-/* Skew of a set that a plan leaves alone, in the same two cases ... */
-#define SKEW_TARGET	 1.08
-#define SKEW_TARGET_IDLE 1.6
-/* ... and that a first change after a shift does: each load of more takes longer to tell. */
-#define RELIEF_TARGET 1.45
-/* Passes are short below this part of a pass with every slot in use. */
-#define SHORT_PASS_PART 0.75
-/* Copies make passes longer: so much of a set's skew is one of them worth. */
-#define LOAD_COST 0.006
+#define RELIEF_TARGET_SKEW 1.45
+/* Passes are short below this ratio of a pass with every request slot in use. */
+#define SHORT_PASS_RATIO 0.75
+/* Copying lengthens passes, so a plan charges each copied expert this much skew of its set. */
+#define COPY_COST_SKEW 0.006
 /*
- * Above this skew a first change brings what can be copied within about half a
- * pass, an expert a rank at least: waiting for more costs more than a second change.
+ * Above this skew the first change is limited to what a rank can copy in about half a pass, but
+ * at least one expert per rank: waiting for more copies costs more than a second change.
  */
-#define RELIEF_SKEW  1.8
-#define RELIEF_MS    45.0
-#define RELIEF_LEAST 1
-/* Later changes may take longer, as passes are shorter by then. */
-#define COPY_MS	   100.0
-#define COPY_LEAST 4
-/* A rank that takes less than this many times as long as usual is not slow. */
-#define SLOW_PACE 1.25
-/* A pace that changes by this part is worth another plan. */
-#define PACE_NEWS 0.2
-#define MOST_NEW  64.0
-/* Places in a map up to which the best one is searched for in a small share of a core. */
-#define SEARCH_PLACES 600
-/* A plan takes milliseconds of a small share of a core, for a gain that is seldom there. */
-#define PLAN_PAUSE_US (60 * SKH_US_PER_MS)
-/* A new holder hears all ranks before it decides. */
-#define TAKEOVER_US (400 * SKH_US_PER_MS)
-
-/* How orders reach one rank. */
-typedef struct way {
-	bool direct;	  /* its process did not answer the last order */
-	bool wants_whole; /* its process does not know the map in use */
-} way_t;
-
-/* A deputy is a rank whose process was heard of within this. */
-#define DEPUTY_HEARD_US (300 * SKH_US_PER_MS)
+#define RELIEF_MIN_SKEW	  1.8
+#define RELIEF_COPY_MS	  45.0
+#define RELIEF_MIN_COPIES 1
+/* Later changes may copy for longer because passes are shorter by then. */
+#define MAX_COPY_MS 100.0
+#define MIN_COPIES  4
+/* A rank whose slowdown is at most this ratio is treated as normal. */
+#define MIN_SLOWDOWN_RATIO 1.25
+/* A slowdown that differs from the planned one by more than this ratio makes a new plan due. */
+#define SLOWDOWN_CHANGE_RATIO 0.2
+#define MAX_COPIES_PER_RANK   64.0
+/* Largest map, in slots, that the full search can handle in a small share of a core. */
+#define MAX_SEARCH_SLOTS 600
+/* Planning takes milliseconds of a small share of a core and seldom finds a gain. */
+#define MIN_PLAN_INTERVAL_US (60 * SKH_US_PER_MS)
+/* A new lease holder waits for reports of all ranks before it decides. */
+#define TAKEOVER_DELAY_US (400 * SKH_US_PER_MS)
+
+/* How the next order is sent to one rank. */
+typedef struct order_route {
+	bool is_direct;		 /* bypass the relay, which did not respond to the last order */
+	bool needs_complete_map; /* the relay lacks the map that differences refer to */
+} order_route_t;
+
+/* Only a rank whose process has sent a report within this time is selected as proxy. */
+#define PROXY_MAX_SILENCE_US (300 * SKH_US_PER_MS)
 
 struct skh_coordinator {
 	skh_coordinator_options_t options;
 	skh_groupview_t view;
 	skh_demand_t *demand;
-	double *counts;			       /* of one report, [sets][experts] */
-	double paces[SKH_MAPCHANGE_MAX_RANKS]; /* that the last plan was made for */
-	way_t ways[SKH_MAPCHANGE_MAX_RANKS];
-	bool holds_itself; /* the deputy did not answer the last order to hold */
-	uint32_t deputy;   /* of the last change */
+	double *counts;				   /* decoded from one report, [sets][experts] */
+	double slowdowns[SKH_MAPCHANGE_MAX_RANKS]; /* used by the last plan */
+	order_route_t routes[SKH_MAPCHANGE_MAX_RANKS];
+	bool bypass_proxy;	  /* the proxy did not respond to the last hold order */
+	uint32_t last_proxy_rank; /* proxy of the last change */
 	skh_mapchange_t change;
 	skh_mapplan_result_t plan;
-	uint32_t change_number; /* tells answers to its orders from those of changes before */
-	int64_t decide_us;
-	int64_t plan_us; /* not before, unless demand has shifted */
-	int64_t change_since_us;
+	uint32_t change_number; /* separates responses to orders of this change from earlier ones */
+	int64_t next_decision_us;
+	int64_t next_plan_us; /* earliest time of the next plan unless demand has shifted */
+	int64_t change_started_us;
 	skh_fence_t fences;
-	int64_t fence;	   /* of the lease; 0 while it is not held */
-	bool fresh_counts; /* the shares have changed since the last decision */
-	bool shifted;	   /* demand has shifted since the last plan */
-	bool changing;
-	bool outdated;
-	bool repair; /* the last change failed: its leavings must go */
+	int64_t fence;		 /* fencing token of the lease; 0 while it is not held */
+	bool has_fresh_counts;	 /* the shares have changed since the last decision */
+	bool has_demand_shifted; /* demand has shifted since the last plan */
+	bool is_changing;
+	bool was_fenced;
+	bool needs_repair; /* the last change failed and may have left ranks armed or held */
 };
 
 static void send_orders(skh_coordinator_t *coordinator, int64_t now_us);
 
-static void on_state(void *context, uint32_t rank, int64_t asked_us, int64_t now_us)
+static void on_rank_state(void *context, uint32_t rank, int64_t poll_started_us, int64_t now_us)
 {
 	skh_coordinator_t *coordinator = context;
 
-	if (!coordinator->changing)
+	if (!coordinator->is_changing)
 		return;
-	if (asked_us > 0 && rank == coordinator->change.proxy_rank)
-		skh_mapchange_record_proxy_probe(&coordinator->change, asked_us);
+	if (poll_started_us > 0 && rank == coordinator->change.proxy_rank)
+		skh_mapchange_record_proxy_probe(&coordinator->change, poll_started_us);
 	skh_mapchange_record_report(&coordinator->change, rank,
 				    &coordinator->view.ranks[rank].report, now_us);
 	send_orders(coordinator, now_us);
 }
 
 skh_coordinator_t *skh_coordinator_new(const skh_coordinator_options_t *options,
-				       const skh_engine_spec_t *shape)
+				       const skh_engine_spec_t *spec)
 {
 	skh_coordinator_t *coordinator = g_new0(skh_coordinator_t, 1);
 	const skh_groupview_options_t view_options = {
 		.loop = options->loop,
 		.dialect = options->dialect,
 		.pool_options = options->pool_options,
-		.on_state = on_state,
+		.on_state = on_rank_state,
 		.context = coordinator,
 	};
 
 	coordinator->options = *options;
 	for (uint32_t rank = 0; rank < SKH_MAPCHANGE_MAX_RANKS; rank++)
-		coordinator->paces[rank] = 1.0;
-	coordinator->demand = skh_demand_new(shape);
-	coordinator->counts = g_new0(double, (size_t)shape->expert_sets * shape->experts_per_set);
-	skh_groupview_init(&coordinator->view, &view_options, shape);
+		coordinator->slowdowns[rank] = 1.0;
+	coordinator->demand = skh_demand_new(spec);
+	coordinator->counts = g_new0(double, (size_t)spec->expert_sets * spec->experts_per_set);
+	skh_groupview_init(&coordinator->view, &view_options, spec);
 	return coordinator;
 }
 
@@ -142,29 +148,30 @@
 	coordinator->options.cost_weight = cost_weight;
 }
 
-static void consider(skh_coordinator_t *coordinator, int64_t now_us);
+static void maybe_change_map(skh_coordinator_t *coordinator, int64_t now_us);
 
 void skh_coordinator_handle_sample(skh_coordinator_t *coordinator,
 				   const skh_demand_sample_t *sample, int64_t now_us)
 {
-	skh_demand_update_t news = skh_demand_add_sample(coordinator->demand, sample, now_us);
+	skh_demand_update_t update = skh_demand_add_sample(coordinator->demand, sample, now_us);
 
-	if (news == SKH_DEMAND_SHIFTED || news == SKH_DEMAND_SHIFTED_MID_SAMPLE) {
-		skh_log(SKH_LOG_INFO, PART, "Demand shifts.",
+	if (update == SKH_DEMAND_SHIFTED || update == SKH_DEMAND_SHIFTED_MID_SAMPLE) {
+		skh_log(SKH_LOG_INFO, PART, "Expert demand shifted.",
 			"after_pass=%" PRId64 " up_to_pass=%" PRId64 " whole=%d", sample->from_pass,
-			sample->to_pass, news == SKH_DEMAND_SHIFTED);
-		coordinator->shifted = true;
+			sample->to_pass, update == SKH_DEMAND_SHIFTED);
+		coordinator->has_demand_shifted = true;
 	}
-	coordinator->fresh_counts = coordinator->fresh_counts || news != SKH_DEMAND_IGNORED;
+	coordinator->has_fresh_counts =
+		coordinator->has_fresh_counts || update != SKH_DEMAND_IGNORED;
 	if (coordinator->fence != 0)
-		consider(coordinator, now_us);
+		maybe_change_map(coordinator, now_us);
 }
 
-static void take_counts(skh_coordinator_t *coordinator, const Skh__RankReport *message,
-			int64_t now_us)
+static void decode_counts(skh_coordinator_t *coordinator, const Skh__RankReport *message,
+			  int64_t now_us)
 {
-	const skh_engine_spec_t *shape = &coordinator->view.engine_spec;
-	size_t n = (size_t)shape->expert_sets * shape->experts_per_set;
+	const skh_engine_spec_t *spec = &coordinator->view.engine_spec;
+	size_t n_counts = (size_t)spec->expert_sets * spec->experts_per_set;
 	const skh_demand_sample_t sample = {
 		.counts = coordinator->counts,
 		.epoch = message->epoch,
@@ -172,24 +179,25 @@
 		.to_pass = message->to_pass,
 	};
 
-	if (message->n_counts != n || message->counts.len != skh_count_codec_encoded_size(n))
+	if (message->n_counts != n_counts ||
+	    message->counts.len != skh_count_codec_encoded_size(n_counts))
 		return;
-	memset(coordinator->counts, 0, n * sizeof(double));
-	skh_count_codec_decode_add(message->counts.data, n, message->greatest_count,
+	memset(coordinator->counts, 0, n_counts * sizeof(double));
+	skh_count_codec_decode_add(message->counts.data, n_counts, message->greatest_count,
 				   coordinator->counts);
 	skh_coordinator_handle_sample(coordinator, &sample, now_us);
 }
 
 void skh_coordinator_handle_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
-				   bool own, int64_t now_us)
+				   bool is_own_rank, int64_t now_us)
 {
-	if (skh_groupview_handle_report(&coordinator->view, message, own, now_us))
-		take_counts(coordinator, message, now_us);
+	if (skh_groupview_handle_report(&coordinator->view, message, is_own_rank, now_us))
+		decode_counts(coordinator, message, now_us);
 }
 
 bool skh_coordinator_is_changing_map(const skh_coordinator_t *coordinator)
 {
-	return coordinator->changing;
+	return coordinator->is_changing;
 }
 
 bool skh_coordinator_has_unknown_ranks(const skh_coordinator_t *coordinator)
@@ -216,7 +224,7 @@
 	return names[op];
 }
 
-static skh_engine_order_result_t answer_of(int32_t status)
+static skh_engine_order_result_t order_result_from_status(int32_t status)
 {
 	switch (status) {
 	case 200:
@@ -235,53 +243,59 @@
 	}
 }
 
-static bool is_by_deputy(const skh_coordinator_t *coordinator, skh_engine_op_t op)
+static bool is_sent_by_proxy(const skh_coordinator_t *coordinator, skh_engine_op_t op)
 {
 	return op == SKH_ENGINE_HOLD &&
 	       coordinator->change.proxy_rank != coordinator->change.own_rank &&
-	       !coordinator->holds_itself;
+	       !coordinator->bypass_proxy;
 }
 
-static void note_way(skh_coordinator_t *coordinator, uint32_t rank, int32_t status)
+static void update_route(skh_coordinator_t *coordinator, uint32_t rank, int32_t status)
 {
-	way_t *way = &coordinator->ways[rank];
-	bool no_answer = answer_of(status) == SKH_ENGINE_ORDER_NO_ANSWER;
+	order_route_t *route = &coordinator->routes[rank];
+	bool timed_out = order_result_from_status(status) == SKH_ENGINE_ORDER_NO_ANSWER;
 
-	if (is_by_deputy(coordinator, coordinator->change.ranks[rank].order_op)) {
-		coordinator->holds_itself = no_answer;
+	if (is_sent_by_proxy(coordinator, coordinator->change.ranks[rank].order_op)) {
+		coordinator->bypass_proxy = timed_out;
 		return;
 	}
-	/* A process that is gone or frozen must not keep its engine from the order. */
-	way->wants_whole = status == SKH_RANKRELAY_STATUS_NO_BASE;
-	way->direct = no_answer && !way->wants_whole && !way->direct;
+	/*
+	 * Without a response the next order takes the other route: an exited or frozen relay must
+	 * not keep orders from its engine.
+	 */
+	route->needs_complete_map = status == SKH_RANKRELAY_STATUS_NO_BASE;
+	route->is_direct = timed_out && !route->needs_complete_map && !route->is_direct;
 }
 
-/* Orders outlive their change: an answer must not be taken for one of the next. */
-static uint32_t tag_of(const skh_coordinator_t *coordinator, uint32_t rank)
+/*
+ * An order can outlive its change; the change number keeps its response from being taken for
+ * one to the next change.
+ */
+static uint32_t order_tag(const skh_coordinator_t *coordinator, uint32_t rank)
 {
 	return coordinator->change_number * SKH_MAPCHANGE_MAX_RANKS + rank;
 }
 
-static void on_order_answer(void *context, uint32_t tag, int32_t status, skh_chunk_t body)
+static void on_order_response(void *context, uint32_t tag, int32_t status, skh_chunk_t body)
 {
 	skh_coordinator_t *coordinator = context;
 	int64_t now_us = skh_clock_boot_us();
-	skh_engine_order_result_t answer = answer_of(status);
+	skh_engine_order_result_t result = order_result_from_status(status);
 	uint32_t rank = tag % SKH_MAPCHANGE_MAX_RANKS;
 
 	(void)body;
-	if (tag != tag_of(coordinator, rank))
+	if (tag != order_tag(coordinator, rank))
 		return;
-	note_way(coordinator, rank, status);
-	if (answer != SKH_ENGINE_ORDER_ACCEPTED)
-		skh_log(SKH_LOG_INFO, PART, "Order not done.",
+	update_route(coordinator, rank, status);
+	if (result != SKH_ENGINE_ORDER_ACCEPTED)
+		skh_log(SKH_LOG_INFO, PART, "Order to a rank failed.",
 			"rank=%u op=%s status=%d version=%" PRId64 " direct=%d", rank,
 			op_name(coordinator->change.ranks[rank].order_op), status,
-			coordinator->change.version, coordinator->ways[rank].direct);
-	if (!coordinator->changing)
+			coordinator->change.version, coordinator->routes[rank].is_direct);
+	if (!coordinator->is_changing)
 		return;
-	skh_mapchange_record_result(&coordinator->change, rank, answer, now_us);
-	coordinator->outdated = coordinator->outdated || answer == SKH_ENGINE_ORDER_FENCED;
+	skh_mapchange_record_result(&coordinator->change, rank, result, now_us);
+	coordinator->was_fenced = coordinator->was_fenced || result == SKH_ENGINE_ORDER_FENCED;
 	send_orders(coordinator, now_us);
 }
 
@@ -293,15 +307,16 @@
 	skh_engine_client_post(coordinator->view.ranks[rank].engine,
 			       coordinator->options.dialect->order_path,
 			       skh_chunk_from_string(body), ORDER_TIMEOUT_US,
-			       tag_of(coordinator, rank), on_order_answer, coordinator);
+			       order_tag(coordinator, rank), on_order_response, coordinator);
 	free(body);
 }
 
 /*
- * The process of @giver hands the order on. A rank's own gets a map in a small form
- * and has the engine beside it; the deputy reaches the coordinator's engine.
+ * Sends the order through the relay of @relay_rank. A rank's own relay receives the map as
+ * differences and has the engine beside it; the proxy's relay sends the order to the
+ * coordinator's engine over the network.
  */
-static void send_relayed(skh_coordinator_t *coordinator, uint32_t rank, uint32_t giver,
+static void send_relayed(skh_coordinator_t *coordinator, uint32_t rank, uint32_t relay_rank,
 			 const skh_engine_order_t *order)
 {
 	skh_buffer_t body = SKH_BUFFER_INIT;
@@ -309,13 +324,14 @@
 	const skh_versioned_map_t base = { view->ranks[rank].report.map_version,
 					   skh_groupview_map_size(view), view->map };
 
-	skh_rankrelay_pack(
-		order, coordinator->ways[rank].wants_whole ? NULL : &base,
-		giver == rank ? NULL : skh_engine_client_address(view->ranks[rank].engine), &body);
-	skh_engine_client_post(view->ranks[giver].relay, SKH_RANKRELAY_PATH,
+	skh_rankrelay_pack(order, coordinator->routes[rank].needs_complete_map ? NULL : &base,
+			   relay_rank == rank ? NULL
+					      : skh_engine_client_address(view->ranks[rank].engine),
+			   &body);
+	skh_engine_client_post(view->ranks[relay_rank].relay, SKH_RANKRELAY_PATH,
 			       skh_buffer_chunk(&body),
-			       giver == rank ? RELAY_TIMEOUT_US : HOLD_TIMEOUT_US,
-			       tag_of(coordinator, rank), on_order_answer, coordinator);
+			       relay_rank == rank ? RELAY_TIMEOUT_US : HOLD_TIMEOUT_US,
+			       order_tag(coordinator, rank), on_order_response, coordinator);
 	skh_buffer_free(&body);
 }
 
@@ -327,13 +343,13 @@
 	order->n_sets = view->engine_spec.expert_sets;
 	order->n_ranks = view->n_ranks;
 	order->n_slots = view->engine_spec.expert_slots;
-	skh_log(SKH_LOG_DEBUG, PART, "Order sent.",
+	skh_log(SKH_LOG_DEBUG, PART, "Sent an order to a rank.",
 		"rank=%u op=%s version=%" PRId64 " pass=%" PRId64, rank, op_name(order->op),
 		order->map_version, order->pass);
 	skh_metrics_add(SKH_COUNT_ENGINE_ORDERS, 1);
-	if (is_by_deputy(coordinator, order->op))
+	if (is_sent_by_proxy(coordinator, order->op))
 		send_relayed(coordinator, rank, coordinator->change.proxy_rank, order);
-	else if (view->ranks[rank].relay && !coordinator->ways[rank].direct)
+	else if (view->ranks[rank].relay && !coordinator->routes[rank].is_direct)
 		send_relayed(coordinator, rank, rank, order);
 	else
 		send_direct(coordinator, rank, order);
@@ -343,27 +359,28 @@
 {
 	skh_engine_order_t order;
 
-	for (uint32_t rank = 0; coordinator->changing && rank < coordinator->view.n_ranks; rank++) {
+	for (uint32_t rank = 0; coordinator->is_changing && rank < coordinator->view.n_ranks;
+	     rank++) {
 		if (coordinator->view.ranks[rank].engine &&
 		    skh_mapchange_next_order(&coordinator->change, rank, now_us, &order))
 			send_order(coordinator, rank, &order);
 	}
-	if (coordinator->changing && skh_mapchange_is_proxy_probe_due(&coordinator->change))
+	if (coordinator->is_changing && skh_mapchange_is_proxy_probe_due(&coordinator->change))
 		skh_groupview_poll_rank(&coordinator->view, coordinator->change.proxy_rank, now_us);
 }
 
 /* --- Decisions --- */
 
-/* Another one each time; the own rank when no other is heard of. */
-static uint32_t choose_deputy(const skh_coordinator_t *coordinator, int64_t now_us)
+/* Selects a different rank each time; the own rank if no other has reported recently. */
+static uint32_t select_proxy_rank(const skh_coordinator_t *coordinator, int64_t now_us)
 {
 	const skh_groupview_t *view = &coordinator->view;
 
 	for (uint32_t i = 1; i <= view->n_ranks; i++) {
-		uint32_t rank = (coordinator->deputy + i) % view->n_ranks;
+		uint32_t rank = (coordinator->last_proxy_rank + i) % view->n_ranks;
 
 		if (rank != view->own_rank && view->ranks[rank].relay &&
-		    now_us - view->ranks[rank].last_received_us < DEPUTY_HEARD_US)
+		    now_us - view->ranks[rank].last_received_us < PROXY_MAX_SILENCE_US)
 			return rank;
 	}
 	return view->own_rank;
@@ -378,22 +395,22 @@
 	const skh_mapchange_options_t options = {
 		.n_ranks = view->n_ranks,
 		.own_rank = view->own_rank,
-		.proxy_rank = choose_deputy(coordinator, now_us),
+		.proxy_rank = select_proxy_rank(coordinator, now_us),
 		.epoch = epoch,
-		/* Fences only grow, from holder to holder, and so do versions named after them. */
+		/* Fences only increase from holder to holder, so versions equal to the fence do too. */
 		.version = fence,
 		.fence = fence,
 	};
 
 	skh_mapchange_init(&coordinator->change, &options, now_us);
 	coordinator->change_number++;
-	coordinator->deputy = options.proxy_rank;
-	coordinator->holds_itself = false;
+	coordinator->last_proxy_rank = options.proxy_rank;
+	coordinator->bypass_proxy = false;
 	view->next_epoch = epoch;
 	view->next_version = fence;
 	view->switch_pass = 0;
-	coordinator->changing = true;
-	coordinator->change_since_us = now_us;
+	coordinator->is_changing = true;
+	coordinator->change_started_us = now_us;
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
 		if (view->ranks[rank].has_report)
 			skh_mapchange_record_report(&coordinator->change, rank,
@@ -404,44 +421,46 @@
 		" most_new=%u repair=%d",
 		fence, epoch, coordinator->plan.skew_before, coordinator->plan.skew_after,
 		coordinator->plan.n_copies, coordinator->plan.max_copies_per_rank,
-		coordinator->repair);
+		coordinator->needs_repair);
 	send_orders(coordinator, now_us);
 }
 
-/* Experts that a rank can copy in @time_ms; @least at least. */
-static uint32_t copies_in(const skh_engine_spec_t *shape, double time_ms, double least)
+/* Number of experts that a rank can copy in @time_ms, but at least @min_copies. */
+static uint32_t copies_within(const skh_engine_spec_t *spec, double time_ms, double min_copies)
 {
-	double bits = shape->expert_mb * 8.0e6;
-	double copy_ms = shape->link_mbps > 0.0 ? bits / (shape->link_mbps * 1000.0) : 0.0;
-	double most = copy_ms > 0.0 ? (time_ms + copy_ms / 2.0) / copy_ms : MOST_NEW;
+	double bits = spec->expert_mb * 8.0e6;
+	double copy_ms = spec->link_mbps > 0.0 ? bits / (spec->link_mbps * 1000.0) : 0.0;
+	double max_copies =
+		copy_ms > 0.0 ? (time_ms + copy_ms / 2.0) / copy_ms : MAX_COPIES_PER_RANK;
 
-	return (uint32_t)CLAMP(most, least, MOST_NEW);
+	return (uint32_t)CLAMP(max_copies, min_copies, MAX_COPIES_PER_RANK);
 }
 
 static bool has_short_passes(const skh_groupview_t *view)
 {
-	const skh_engine_spec_t *shape = &view->engine_spec;
-	double full_ms = (double)shape->steps_per_pass *
-			 (shape->step_ms + (double)shape->slots * shape->step_ms_per_request);
+	const skh_engine_spec_t *spec = &view->engine_spec;
+	double full_ms = (double)spec->steps_per_pass *
+			 (spec->step_ms + (double)spec->slots * spec->step_ms_per_request);
 	double pass_ms = (double)view->pass_us / (double)SKH_US_PER_MS;
 
-	return pass_ms > 0.0 && pass_ms < SHORT_PASS_PART * full_ms;
+	return pass_ms > 0.0 && pass_ms < SHORT_PASS_RATIO * full_ms;
 }
 
-/* Time that a rank takes for its part, 1 is usual. */
-static double pace_of(const skh_coordinator_t *coordinator, uint32_t rank)
+/* Slowdown of a rank; 1 is normal. */
+static double rank_slowdown(const skh_coordinator_t *coordinator, uint32_t rank)
 {
-	double pace = coordinator->view.ranks[rank].report.slowdown;
+	double slowdown = coordinator->view.ranks[rank].report.slowdown;
 
-	return pace > SLOW_PACE ? pace : 1.0;
+	return slowdown > MIN_SLOWDOWN_RATIO ? slowdown : 1.0;
 }
 
-static bool has_pace_changed(const skh_coordinator_t *coordinator)
+static bool has_slowdown_changed(const skh_coordinator_t *coordinator)
 {
 	for (uint32_t rank = 0; rank < coordinator->view.n_ranks; rank++) {
-		double planned = coordinator->paces[rank];
+		double planned = coordinator->slowdowns[rank];
 
-		if (fabs(pace_of(coordinator, rank) - planned) > PACE_NEWS * planned)
+		if (fabs(rank_slowdown(coordinator, rank) - planned) >
+		    SLOWDOWN_CHANGE_RATIO * planned)
 			return true;
 	}
 	return false;
@@ -453,165 +472,170 @@
 	GString *text = g_string_new(NULL);
 
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
-		double pace = pace_of(coordinator, rank);
+		double slowdown = rank_slowdown(coordinator, rank);
 
-		if (pace > 1.0 && view->ranks[rank].engine)
+		if (slowdown > 1.0 && view->ranks[rank].engine)
 			g_string_append_printf(text, "%s %.1f\n",
 					       skh_engine_client_address(view->ranks[rank].engine),
-					       pace);
+					       slowdown);
 	}
 	return g_string_free(text, FALSE);
 }
 
-/* Plans the next map from fresh counts, unless the one in use is good enough. */
-static void plan(skh_coordinator_t *coordinator, bool idle)
+/* Plans the next map unless the skew of the current one is too small to be worth a change. */
+static void plan_next_map(skh_coordinator_t *coordinator, bool short_passes)
 {
 	skh_groupview_t *view = &coordinator->view;
 	const double *shares = skh_demand_shares(coordinator->demand);
 	double skew;
-	bool relief;
-	skh_mapplan_options_t weights;
+	bool is_relief;
+	skh_mapplan_options_t plan_options;
 
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++)
-		coordinator->paces[rank] = pace_of(coordinator, rank);
-	skew = skh_mapplan_skew(&view->engine_spec, view->n_ranks, shares, coordinator->paces,
+		coordinator->slowdowns[rank] = rank_slowdown(coordinator, rank);
+	skew = skh_mapplan_skew(&view->engine_spec, view->n_ranks, shares, coordinator->slowdowns,
 				view->map);
-	relief = skew > RELIEF_SKEW;
-	weights = (skh_mapplan_options_t){
-		.greedy_target_skew = idle     ? SKEW_TARGET_IDLE
-				      : relief ? RELIEF_TARGET
-					       : SKEW_TARGET,
+	is_relief = skew > RELIEF_MIN_SKEW;
+	plan_options = (skh_mapplan_options_t){
+		.greedy_target_skew = short_passes ? TARGET_SKEW_SHORT_PASSES
+				      : is_relief  ? RELIEF_TARGET_SKEW
+						   : TARGET_SKEW,
 		.skew_weight = coordinator->options.skew_weight,
 		.cost_weight = coordinator->options.cost_weight,
-		.copy_cost = LOAD_COST,
-		.max_new_per_rank = relief ? copies_in(&view->engine_spec, RELIEF_MS, RELIEF_LEAST)
-					   : copies_in(&view->engine_spec, COPY_MS, COPY_LEAST),
-		.greedy_only = relief || skh_groupview_map_size(view) > SEARCH_PLACES,
-		.slowdowns = coordinator->paces,
+		.copy_cost = COPY_COST_SKEW,
+		.max_new_per_rank =
+			is_relief ? copies_within(&view->engine_spec, RELIEF_COPY_MS,
+						  RELIEF_MIN_COPIES)
+				  : copies_within(&view->engine_spec, MAX_COPY_MS, MIN_COPIES),
+		.greedy_only = is_relief || skh_groupview_map_size(view) > MAX_SEARCH_SLOTS,
+		.slowdowns = coordinator->slowdowns,
 	};
 
-	/* Whether more pays depends on how long passes are now. */
-	if (!relief && view->pass_us == 0)
+	/* Without relief, the minimum gain depends on the pass length, which is not known yet. */
+	if (!is_relief && view->pass_us == 0)
 		return;
-	if (skew - 1.0 < (idle ? LEAST_GAIN_IDLE : LEAST_GAIN))
+	if (skew - 1.0 < (short_passes ? MIN_SKEW_GAIN_SHORT_PASSES : MIN_SKEW_GAIN))
 		return;
-	skh_mapplan_make(&view->engine_spec, view->n_ranks, &weights, shares, view->next_map,
+	skh_mapplan_make(&view->engine_spec, view->n_ranks, &plan_options, shares, view->next_map,
 			 &coordinator->plan);
 }
 
 static bool is_plan_due(skh_coordinator_t *coordinator, int64_t now_us)
 {
-	return (coordinator->fresh_counts || has_pace_changed(coordinator)) &&
-	       (coordinator->shifted || now_us >= coordinator->plan_us) &&
+	return (coordinator->has_fresh_counts || has_slowdown_changed(coordinator)) &&
+	       (coordinator->has_demand_shifted || now_us >= coordinator->next_plan_us) &&
 	       skh_demand_has_enough_counts(coordinator->demand, now_us);
 }
 
-static void decide(skh_coordinator_t *coordinator, int64_t now_us)
+static void decide_change(skh_coordinator_t *coordinator, int64_t now_us)
 {
 	skh_groupview_t *view = &coordinator->view;
-	bool idle = has_short_passes(view);
-	bool repair = coordinator->repair || skh_groupview_is_held_too_long(view, now_us);
-	bool judged = is_plan_due(coordinator, now_us);
-	double gain;
+	bool short_passes = has_short_passes(view);
+	bool needs_repair =
+		coordinator->needs_repair || skh_groupview_is_held_too_long(view, now_us);
+	bool is_planned = is_plan_due(coordinator, now_us);
+	double skew_gain;
 
-	if (!judged && !repair)
+	if (!is_planned && !needs_repair)
 		return;
 	memcpy(view->next_map, view->map, skh_groupview_map_size(view) * sizeof(uint32_t));
 	coordinator->plan = (skh_mapplan_result_t){ 0 };
-	if (judged) {
-		coordinator->fresh_counts = false;
-		coordinator->shifted = false;
-		coordinator->plan_us = now_us + PLAN_PAUSE_US;
-		plan(coordinator, idle);
+	if (is_planned) {
+		coordinator->has_fresh_counts = false;
+		coordinator->has_demand_shifted = false;
+		coordinator->next_plan_us = now_us + MIN_PLAN_INTERVAL_US;
+		plan_next_map(coordinator, short_passes);
 	}
 	if (!skh_mapplan_is_valid(&view->engine_spec, view->n_ranks, view->next_map)) {
-		skh_log(SKH_LOG_ERROR, PART, "Plan is no map.", "judged=%d", judged);
+		skh_log(SKH_LOG_ERROR, PART, "Planned map is invalid; keeping the current map.",
+			"judged=%d", is_planned);
 		return;
 	}
-	gain = coordinator->plan.skew_before - coordinator->plan.skew_after;
-	if (repair ||
-	    (coordinator->plan.n_copies > 0 && gain >= (idle ? LEAST_GAIN_IDLE : LEAST_GAIN)))
+	skew_gain = coordinator->plan.skew_before - coordinator->plan.skew_after;
+	if (needs_repair ||
+	    (coordinator->plan.n_copies > 0 &&
+	     skew_gain >= (short_passes ? MIN_SKEW_GAIN_SHORT_PASSES : MIN_SKEW_GAIN)))
 		begin_change(coordinator, now_us);
 }
 
-/* What ranks are copying was planned for a demand that is gone. */
+/* The copies in progress were planned for demand that no longer exists. */
 static void withdraw_change(skh_coordinator_t *coordinator, int64_t now_us)
 {
-	coordinator->changing = false;
-	skh_log(SKH_LOG_INFO, PART, "Map change withdrawn.",
+	coordinator->is_changing = false;
+	skh_log(SKH_LOG_INFO, PART, "Map change withdrawn because demand shifted.",
 		"version=%" PRId64 " took_ms=%" PRId64 " reason=shift", coordinator->change.version,
-		(now_us - coordinator->change_since_us) / SKH_US_PER_MS);
+		(now_us - coordinator->change_started_us) / SKH_US_PER_MS);
 }
 
-static void consider(skh_coordinator_t *coordinator, int64_t now_us)
+static void maybe_change_map(skh_coordinator_t *coordinator, int64_t now_us)
 {
-	if (now_us < coordinator->decide_us ||
+	if (now_us < coordinator->next_decision_us ||
 	    !skh_groupview_is_complete(&coordinator->view, now_us))
 		return;
-	if (coordinator->changing) {
-		if (!coordinator->shifted || !is_plan_due(coordinator, now_us) ||
+	if (coordinator->is_changing) {
+		if (!coordinator->has_demand_shifted || !is_plan_due(coordinator, now_us) ||
 		    !skh_mapchange_can_withdraw(&coordinator->change))
 			return;
 		withdraw_change(coordinator, now_us);
 	}
-	decide(coordinator, now_us);
+	decide_change(coordinator, now_us);
 }
 
-static int64_t spent_ms(const skh_mapchange_t *change, skh_mapchange_phase_t phase)
+static int64_t phase_ms(const skh_mapchange_t *change, skh_mapchange_phase_t phase)
 {
 	return change->spent_us[phase] / SKH_US_PER_MS;
 }
 
-static void end_change(skh_coordinator_t *coordinator, int64_t now_us)
+static void finish_change(skh_coordinator_t *coordinator, int64_t now_us)
 {
 	const skh_mapchange_t *change = &coordinator->change;
-	bool done = change->phase == SKH_MAPCHANGE_DONE;
+	bool succeeded = change->phase == SKH_MAPCHANGE_DONE;
 
-	if (!done && change->phase != SKH_MAPCHANGE_FAILED)
+	if (!succeeded && change->phase != SKH_MAPCHANGE_FAILED)
 		return;
-	coordinator->changing = false;
-	if (done)
+	coordinator->is_changing = false;
+	if (succeeded)
 		skh_groupview_adopt_next_map(&coordinator->view, change->switch_pass, now_us);
-	/* A rank may be left armed or holding. */
-	coordinator->repair = !done && change->held_since_us != 0;
-	skh_log(SKH_LOG_INFO, PART, done ? "Map changed." : "Map change failed.",
+	/* A rank may be left armed or held. */
+	coordinator->needs_repair = !succeeded && change->held_since_us != 0;
+	skh_log(SKH_LOG_INFO, PART, succeeded ? "Map changed." : "Map change failed.",
 		"version=%" PRId64 " took_ms=%" PRId64 " prepare_ms=%" PRId64 " copy_ms=%" PRId64
 		" hold_ms=%" PRId64 " arm_ms=%" PRId64 " go_ms=%" PRId64 " settle_ms=%" PRId64
 		" reason=%s",
-		change->version, (now_us - coordinator->change_since_us) / SKH_US_PER_MS,
-		spent_ms(change, SKH_MAPCHANGE_PREPARE), spent_ms(change, SKH_MAPCHANGE_COPY),
-		spent_ms(change, SKH_MAPCHANGE_HOLD), spent_ms(change, SKH_MAPCHANGE_ARM),
-		spent_ms(change, SKH_MAPCHANGE_GO), spent_ms(change, SKH_MAPCHANGE_SETTLE),
-		done ? "-" : change->cause);
-	skh_metrics_add(done ? SKH_COUNT_MAP_CHANGES : SKH_COUNT_MAP_FAILURES, 1);
+		change->version, (now_us - coordinator->change_started_us) / SKH_US_PER_MS,
+		phase_ms(change, SKH_MAPCHANGE_PREPARE), phase_ms(change, SKH_MAPCHANGE_COPY),
+		phase_ms(change, SKH_MAPCHANGE_HOLD), phase_ms(change, SKH_MAPCHANGE_ARM),
+		phase_ms(change, SKH_MAPCHANGE_GO), phase_ms(change, SKH_MAPCHANGE_SETTLE),
+		succeeded ? "-" : change->cause);
+	skh_metrics_add(succeeded ? SKH_COUNT_MAP_CHANGES : SKH_COUNT_MAP_FAILURES, 1);
 }
 
-/* Another holder's change must not be taken for one's own. */
-static void follow_lease(skh_coordinator_t *coordinator, int64_t fence, int64_t now_us)
+/* A change of another lease holder must not be continued as one of this holder. */
+static void update_lease(skh_coordinator_t *coordinator, int64_t fence, int64_t now_us)
 {
 	if (fence == coordinator->fence)
 		return;
-	if (coordinator->changing)
-		skh_log(SKH_LOG_INFO, PART, "Map change left.", "version=%" PRId64,
-			coordinator->change.version);
+	if (coordinator->is_changing)
+		skh_log(SKH_LOG_INFO, PART, "Map change abandoned because the lease changed.",
+			"version=%" PRId64, coordinator->change.version);
 	coordinator->fence = fence;
-	coordinator->changing = false;
-	coordinator->outdated = false;
-	coordinator->repair = false;
-	coordinator->decide_us = now_us + TAKEOVER_US;
+	coordinator->is_changing = false;
+	coordinator->was_fenced = false;
+	coordinator->needs_repair = false;
+	coordinator->next_decision_us = now_us + TAKEOVER_DELAY_US;
 }
 
 bool skh_coordinator_tick(skh_coordinator_t *coordinator, int64_t fence, int64_t now_us)
 {
-	follow_lease(coordinator, fence, now_us);
+	update_lease(coordinator, fence, now_us);
 	if (fence == 0)
 		return true;
 	skh_groupview_poll_silent_ranks(&coordinator->view, now_us);
-	if (coordinator->changing) {
+	if (coordinator->is_changing) {
 		skh_mapchange_tick(&coordinator->change, now_us);
 		send_orders(coordinator, now_us);
-		end_change(coordinator, now_us);
+		finish_change(coordinator, now_us);
 	}
-	consider(coordinator, now_us);
-	return !coordinator->outdated;
+	maybe_change_map(coordinator, now_us);
+	return !coordinator->was_fenced;
 }
--- a/src/coordinator.h
+++ b/src/coordinator.h
@@ -2,11 +2,12 @@
 #define SKH_COORDINATOR_H
 
 /**
- * DOC: Coordinator of a group
+ * DOC: Expert map coordinator of a group
  *
- * Gathers what the ranks report, decides when another expert map pays
- * (mapplan.h) and brings the group to it (mapchange.h), while this process holds
- * the lease. Runs on the event loop's thread.
+ * Collects the reports of all ranks, decides when a new expert map is worth its cost
+ * (mapplan.h) and switches the group to it (mapchange.h) while this process holds the
+ * group's lease. Owns the clients of the ranks' engines and relays. All calls are made on
+ * the event loop's thread; times are microseconds of the boot clock.
  */
 
 #include "demand.h"
@@ -17,7 +18,7 @@
 extern "C" {
 #endif
 
-/** struct skh_coordinator_options - what it is made from */
+/** struct skh_coordinator_options - copied; the pointers must outlive the coordinator */
 typedef struct skh_coordinator_options {
 	uv_loop_t *loop;
 	const skh_dialect_t *dialect;
@@ -28,42 +29,64 @@
 
 typedef struct skh_coordinator skh_coordinator_t;
 
+/**
+ * skh_coordinator_new() - create a coordinator that does not hold the lease
+ * @spec: sets, experts and slots of the group's engines; copied
+ * Return: owned by the caller; free with skh_coordinator_free().
+ */
 skh_coordinator_t *skh_coordinator_new(const skh_coordinator_options_t *options,
-				       const skh_engine_spec_t *shape);
+				       const skh_engine_spec_t *spec);
 void skh_coordinator_free(skh_coordinator_t *coordinator);
 
-/** skh_coordinator_set_weights() - for the plans to come */
+/** skh_coordinator_set_weights() - replace the weights that later plans use */
 void skh_coordinator_set_weights(skh_coordinator_t *coordinator, double skew_weight,
 				 double cost_weight);
 
-/** skh_coordinator_handle_report() - a rank's report, @message; @own when it is the rank beside this process */
+/**
+ * skh_coordinator_handle_report() - record a rank's state, map and expert counts
+ * @message: borrowed; ignored if it is invalid or older than the last one of its sender
+ * @is_own_rank: the report is from the rank beside this process
+ */
 void skh_coordinator_handle_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
-				   bool own, int64_t now_us);
+				   bool is_own_rank, int64_t now_us);
 
-/** skh_coordinator_handle_sample() - what the rank beside this process has counted */
+/**
+ * skh_coordinator_handle_sample() - add expert counts to the demand estimate
+ * @sample: counts of any rank; borrowed
+ *
+ * Plans and starts a map change if one is due and the lease is held.
+ */
 void skh_coordinator_handle_sample(skh_coordinator_t *coordinator,
 				   const skh_demand_sample_t *sample, int64_t now_us);
 
-/** skh_coordinator_is_changing_map() - a change of the map is under way */
+/** skh_coordinator_is_changing_map() - whether a map change is in progress */
 bool skh_coordinator_is_changing_map(const skh_coordinator_t *coordinator);
 
-/** skh_coordinator_slow_ranks() - "address pace" of each, a line each; free with g_free() */
+/**
+ * skh_coordinator_slow_ranks() - list the ranks that take longer than usual for a pass
+ * Return: one line "host:port slowdown" for each slow rank, "" if there is none; free with g_free().
+ */
 char *skh_coordinator_slow_ranks(const skh_coordinator_t *coordinator);
 
-/** skh_coordinator_has_unknown_ranks() - the address of some rank's engine is not known */
+/** skh_coordinator_has_unknown_ranks() - whether the engine address of some rank is unknown */
 bool skh_coordinator_has_unknown_ranks(const skh_coordinator_t *coordinator);
 
 /**
- * skh_coordinator_probe_engine() - an engine of the service is at @address: ask it who it is
- * Return: true when @address needs no asking or is being asked now; false to offer it again.
+ * skh_coordinator_probe_engine() - ask an engine of the service for its rank
+ * @address: "host:port"
+ *
+ * One probe runs at a time.
+ *
+ * Return: true if the engine is already known or the probe was sent; false if another probe
+ * is in progress and the caller should retry later.
  */
 bool skh_coordinator_probe_engine(skh_coordinator_t *coordinator, const char *address,
 				  int64_t now_us);
 
 /**
- * skh_coordinator_tick() - decide and order
- * @fence: of the lease; 0 while it is not held
- * Return: false when a later holder has spoken.
+ * skh_coordinator_tick() - poll silent ranks, advance the map change and decide on a new one
+ * @fence: fencing token of the lease; 0 while the lease is not held
+ * Return: false if a rank has rejected an order because a later lease holder exists.
  */
 bool skh_coordinator_tick(skh_coordinator_t *coordinator, int64_t fence, int64_t now_us);
 
