--- a/src/groupview.h
+++ b/src/groupview.h
@@ -2,11 +2,12 @@
 #define SKH_GROUPVIEW_H
 
 /**
- * DOC: What a coordinator knows of its group
+ * DOC: Coordinator's view of its group
  *
- * Gathers what the ranks' processes report, and asks engines whose process is
- * silent. Knows each rank's state and the map in use, and whether all of it fits
- * together. Runs on the event loop's thread.
+ * Holds the last known state of each rank and the expert map in use, from the reports that the
+ * ranks' processes send and from polls of engines whose process is silent, and tells whether
+ * the state is complete and consistent. Owns the clients of engines and relays. All calls are
+ * made on the event loop's thread; times are microseconds of the boot clock.
  */
 
 #include "engine_client.h"
@@ -17,34 +18,39 @@
 extern "C" {
 #endif
 
-/** struct skh_groupview_rank - one rank as it was last heard of */
+/** struct skh_groupview_rank - last known state of one rank */
 typedef struct skh_groupview_rank {
-	skh_engine_client_t *engine; /* NULL before its address is known */
-	skh_engine_client_t *relay;  /* its process, which hands orders on */
+	skh_engine_client_t *engine; /* NULL while the address is unknown */
+	skh_engine_client_t *relay;  /* relay for orders in the rank's process, or NULL */
 	bool has_report;
-	int64_t last_received_us; /* of its process */
-	int64_t state_updated_us; /* of its state, by its process or itself */
+	int64_t last_received_us; /* time of the last report of the rank's process */
+	int64_t state_updated_us; /* time of the last report or poll response */
 	uint64_t sender_id;
 	uint64_t sequence;
 	skh_engine_report_t report;
 	bool map_known;
 	bool poll_pending;
 	int64_t poll_started_us;
-	int64_t next_poll_us; /* not before */
+	int64_t next_poll_us; /* earliest time of the next poll */
 	int64_t held_since_us;
 } skh_groupview_rank_t;
 
-/** struct skh_groupview_options - what it is made from */
+/** struct skh_groupview_options - copied; the pointers must outlive the view */
 typedef struct skh_groupview_options {
 	uv_loop_t *loop;
 	const skh_dialect_t *dialect;
 	const skh_upstream_pool_options_t *pool_options;
-	/* What @rank says of itself is newer; @asked_us is 0 unless its engine was asked. */
-	void (*on_state)(void *context, uint32_t rank, int64_t asked_us, int64_t now_us);
+	/* Called after the state of @rank was updated; @poll_started_us is 0 if not by a poll. */
+	void (*on_state)(void *context, uint32_t rank, int64_t poll_started_us, int64_t now_us);
 	void *context;
 } skh_groupview_options_t;
 
-/** struct skh_groupview - read by the coordinator; written by groupview.c but for "next" */
+/**
+ * struct skh_groupview - state of the group
+ *
+ * The coordinator reads all fields before the private ones and writes only @next_map,
+ * @next_epoch, @next_version and @switch_pass.
+ */
 typedef struct skh_groupview {
 	skh_groupview_options_t options;
 	skh_engine_spec_t engine_spec;
@@ -52,54 +58,66 @@
 	uint32_t n_ranks;
 	uint32_t own_rank; /* the rank beside this process */
 	bool has_own_rank;
-	int64_t pass_us; /* length of a pass under the map in use; 0 when unknown */
-	uint32_t *map;	 /* in use, [sets][ranks][placements] */
-	/* The coordinator's: a rank that says it uses this version has this map. */
+	int64_t pass_us; /* duration of a pass under the map in use; 0 when unknown */
+	uint32_t *map;	 /* map in use, [sets][ranks][slots] */
+	/* Written by the coordinator: a rank that reports @next_version has @next_map. */
 	uint32_t *next_map;
 	int64_t next_epoch;
 	int64_t next_version;
-	int64_t switch_pass; /* in which the group changed to it */
+	int64_t switch_pass; /* pass in which the group switched to @next_map */
 	/* Private: */
-	int64_t last_pass; /* own rank's, at pass_seen_us */
+	int64_t last_pass; /* pass of the own rank at @last_pass_us */
 	int64_t last_pass_us;
-	skh_engine_client_t *probe_client; /* an engine that is asked for its rank, or NULL */
+	skh_engine_client_t *probe_client; /* engine probed for its rank, or NULL */
 	int64_t probe_started_us;
 	int64_t last_logged_us;
 } skh_groupview_t;
 
+/**
+ * skh_groupview_init() - start with an empty view
+ * @spec: sets, experts and slots of the group's engines; copied
+ */
 void skh_groupview_init(skh_groupview_t *view, const skh_groupview_options_t *options,
-			const skh_engine_spec_t *shape);
+			const skh_engine_spec_t *spec);
 void skh_groupview_clear(skh_groupview_t *view);
 
 /**
- * skh_groupview_handle_report() - a rank's report; @own when it is the rank beside this process
- * Return: false when it is older than another, or can't be one.
+ * skh_groupview_handle_report() - record the state and map in a rank's report
+ * @message: borrowed
+ * @is_own_rank: the report is from the rank beside this process
+ * Return: false if the report is invalid or not newer than the last one of its sender.
  */
-bool skh_groupview_handle_report(skh_groupview_t *view, const Skh__RankReport *message, bool own,
-				 int64_t now_us);
+bool skh_groupview_handle_report(skh_groupview_t *view, const Skh__RankReport *message,
+				 bool is_own_rank, int64_t now_us);
 
-/** skh_groupview_has_unknown_ranks() - the address of some rank's engine is not known */
+/** skh_groupview_has_unknown_ranks() - whether the engine address of some rank is unknown */
 bool skh_groupview_has_unknown_ranks(const skh_groupview_t *view);
 
-/** skh_groupview_probe_engine() - as skh_coordinator_probe_engine() */
+/** skh_groupview_probe_engine() - see skh_coordinator_probe_engine() */
 bool skh_groupview_probe_engine(skh_groupview_t *view, const char *address, int64_t now_us);
 
-/** skh_groupview_poll_silent_ranks() - ask engines whose process was not heard of for long */
+/** skh_groupview_poll_silent_ranks() - poll engines whose process has not reported lately */
 void skh_groupview_poll_silent_ranks(skh_groupview_t *view, int64_t now_us);
 
-/** skh_groupview_poll_rank() - ask the engine of @rank for its state, unless it is being asked */
+/** skh_groupview_poll_rank() - poll the engine of @rank unless a poll is pending */
 void skh_groupview_poll_rank(skh_groupview_t *view, uint32_t rank, int64_t now_us);
 
-/** skh_groupview_adopt_next_map() - the group has changed to the next map, all ranks in @pass */
+/**
+ * skh_groupview_adopt_next_map() - make @next_map the map in use of all ranks
+ * @pass: pass in which all ranks have switched
+ */
 void skh_groupview_adopt_next_map(skh_groupview_t *view, int64_t pass, int64_t now_us);
 
-/** skh_groupview_is_complete() - all that a decision needs is known of all ranks, and fits together */
+/**
+ * skh_groupview_is_complete() - whether a map change may be decided
+ * Return: true if the state of all ranks is known, recent, and of one epoch and map version.
+ */
 bool skh_groupview_is_complete(skh_groupview_t *view, int64_t now_us);
 
-/** skh_groupview_is_held_too_long() - some rank holds the group for longer than a change needs */
+/** skh_groupview_is_held_too_long() - whether a rank is held for longer than a change needs */
 bool skh_groupview_is_held_too_long(const skh_groupview_t *view, int64_t now_us);
 
-/** skh_groupview_map_size() - places of a whole map */
+/** skh_groupview_map_size() - number of slots in a complete map */
 size_t skh_groupview_map_size(const skh_groupview_t *view);
 
 #ifdef __cplusplus
