--- a/src/election.h
+++ b/src/election.h
@@ -4,10 +4,11 @@
 /**
  * DOC: Election of a group's coordinator
  *
- * A thread that takes, renews and watches a lease in the store. The store's
- * revision at which the lease was taken is the fence of everything that its
- * holder orders, so a later holder's is higher. A paused holder may act after
- * its lease has lapsed; the fence makes that harmless.
+ * A thread that acquires, renews and watches the group's lease in the store. The store revision
+ * at which the lease was acquired is the fencing token of all orders of its holder, so a later
+ * holder always has a higher one. A paused holder may act after its lease has expired; the
+ * fencing token makes such orders harmless. All functions may be called from any thread.
+ * Failed store requests are logged, counted and retried.
  */
 
 #include "dialect.h"
@@ -16,55 +17,59 @@
 extern "C" {
 #endif
 
-/** struct skh_election_options - texts are borrowed for the election's life */
+/** struct skh_election_options - copied; the pointers must outlive the election */
 typedef struct skh_election_options {
-	skh_store_t *store;	    /* of the election's own */
-	skh_store_t *release_store; /* another, as a watch may occupy the first */
+	skh_store_t *store;	    /* used by the election's thread only */
+	skh_store_t *release_store; /* used on stop because a watch may occupy @store */
 	const skh_dialect_t *dialect;
-	const char *prefix;	/* of the group's keys; ends with a slash */
-	const char *notice_key; /* of what gateways are told of the group */
-	const char *address;	/* where the holder hears the others */
-	const char *service;	/* whose engines are coordinated */
+	const char *prefix;	/* prefix of the group's keys; ends with a slash */
+	const char *notice_key; /* key of the notice to gateways */
+	const char *address;	/* "host:port" where this process receives reports */
+	const char *service;	/* service whose engines are coordinated */
 } skh_election_options_t;
 
-/** struct skh_election_view - what is known of the lease */
+/** struct skh_election_view - known state of the lease */
 typedef struct skh_election_view {
 	bool is_holder;
-	int64_t fence;		      /* of this process's lease */
-	int64_t lease_deadline_us;    /* boot clock; it acts only before */
-	char coordinator_address[64]; /* address, "" when not known */
+	int64_t fence;		      /* fencing token of this process's lease */
+	int64_t lease_deadline_us;    /* boot clock; the holder must not act later */
+	char coordinator_address[64]; /* "host:port" of the lease holder, "" if unknown */
 	bool has_engine_spec;
-	skh_engine_spec_t engine_spec; /* by the configuration */
+	skh_engine_spec_t engine_spec; /* from the configuration in the store */
 } skh_election_view_t;
 
 typedef struct skh_election skh_election_t;
 
+/** skh_election_start() - start the thread; end it with skh_election_stop() */
 skh_election_t *skh_election_start(const skh_election_options_t *options);
 
 /**
- * skh_election_stop() - gives the lease up, so that another takes over at once
+ * skh_election_stop() - release the lease so that another process takes over at once
  *
- * Does not wait for the thread, which may be in a long poll: only for the end of
- * the process.
+ * Blocks for one store request if the lease is held. Does not wait for the thread, which may be
+ * in a long poll, and frees nothing: only for use at the end of the process.
  */
 void skh_election_stop(skh_election_t *election);
+
+/** skh_election_get_view() - copy the known state to @view */
 void skh_election_get_view(skh_election_t *election, skh_election_view_t *view);
 
 /**
- * skh_election_get_servers() - addresses of the service's servers, read while asked for
- * @wanted: whether they are needed now
- * Return: "host:port" each; free with g_ptr_array_unref().
+ * skh_election_get_servers() - addresses of the service's backend servers as last read
+ * @wanted: keep reading the list from the store while this process holds the lease
+ * Return: strings "host:port"; release with g_ptr_array_unref().
  */
 GPtrArray *skh_election_get_servers(skh_election_t *election, bool wanted);
 
 /**
- * skh_election_set_notice() - what the holder tells gateways of its group, in the store
+ * skh_election_set_notice() - set the notice about the group that gateways read from the store
+ * @text: copied; "" deletes the notice
  *
- * Kept under the holder's lease: it is gone when the holder is. "" takes it back.
+ * The notice is written after the next renewal, under the lease, and expires with it.
  */
 void skh_election_set_notice(skh_election_t *election, const char *text);
 
-/** skh_election_resign() - a later holder exists: forget the lease */
+/** skh_election_resign() - stop acting as the holder because a later holder exists */
 void skh_election_resign(skh_election_t *election);
 
 #ifdef __cplusplus
