--- a/src/fence.h
+++ b/src/fence.h
@@ -2,11 +2,11 @@
 #define SKH_FENCE_H
 
 /**
- * DOC: Fences of one holder's changes
+ * DOC: Fencing tokens for the changes of one lease holder
  *
- * Pure. A lease gives its holder one number from the store; each change that the
- * holder makes needs a fence higher than all before it, its own included, also
- * when the lease seemed lost for a while and was not.
+ * Derives increasing fencing tokens from the store revision of a lease. Each change needs a fence
+ * higher than all earlier ones, including those of the same holder, even if the holder
+ * temporarily took its lease for lost. No I/O; the owner of the struct serialises calls.
  */
 
 #include <stdint.h>
@@ -15,27 +15,29 @@
 extern "C" {
 #endif
 
-/* Changes that one lease has room for; a change takes a quarter of a second at least. */
+/* Fences available under one lease; a change takes at least a quarter of a second. */
 #define SKH_FENCE_MAX_PER_LEASE ((int64_t)1 << 20)
 
-/** struct skh_fence - zeroed before its first use */
+/** struct skh_fence - fences reserved under one lease; zeroed before its first use */
 typedef struct skh_fence {
 	int64_t lease_revision;
 	int64_t n_reserved;
 } skh_fence_t;
 
 /**
- * skh_fence_reserve() - the first of @n fences for a new change under @lease
- * @lease: the store's number
+ * skh_fence_reserve() - reserve @n_fences consecutive fences for a new change
+ * @lease_revision: store revision at which the lease was acquired
+ * Return: the first of the fences.
  */
-static inline int64_t skh_fence_reserve(skh_fence_t *fence, int64_t lease, int64_t n)
+static inline int64_t skh_fence_reserve(skh_fence_t *fence, int64_t lease_revision,
+					int64_t n_fences)
 {
 	int64_t first;
 
-	if (lease != fence->lease_revision)
-		*fence = (skh_fence_t){ lease, 0 };
-	first = lease * SKH_FENCE_MAX_PER_LEASE + fence->n_reserved + 1;
-	fence->n_reserved += n;
+	if (lease_revision != fence->lease_revision)
+		*fence = (skh_fence_t){ lease_revision, 0 };
+	first = lease_revision * SKH_FENCE_MAX_PER_LEASE + fence->n_reserved + 1;
+	fence->n_reserved += n_fences;
 	return first;
 }
 
--- a/src/leader.h
+++ b/src/leader.h
@@ -2,13 +2,13 @@
 #define SKH_LEADER_H
 
 /**
- * DOC: Leader of a group
+ * DOC: Leader election among the sidecars of a group
  *
- * Which sidecar of a group coordinates it is decided by a lease in the
- * key-value service; the store's revision at which the lease was taken is the
- * fence of its orders. This thread takes and renews the lease and reads who
- * the group's ranks are. A paused holder may act after its lease has lapsed;
- * the fence makes that harmless.
+ * A thread that registers this sidecar's rank, acquires and renews the leader's lease in the
+ * key-value service, and reads the registered ranks. The store revision at which the lease was
+ * acquired is the fencing token of the leader's orders. A paused holder may act after its lease
+ * has expired; the fencing token makes such orders harmless. Functions may be called from any
+ * thread; failed store requests are logged, counted and retried.
  */
 
 #include "settings.h"
@@ -20,26 +20,34 @@
 
 #define SKH_LEADER_MAX_RANKS 1024
 
-/** struct skh_leader_rank - where one rank's sidecar is; "" when not known */
+/** struct skh_leader_rank - ID and address of one rank's sidecar; "" if unknown */
 typedef struct skh_leader_rank {
 	char id[256];
 	char link_address[256];
 } skh_leader_rank_t;
 
-/** struct skh_leader_view - what the thread knows; free @ranks with g_free() */
+/** struct skh_leader_view - state last read from the store; free @ranks with g_free() */
 typedef struct skh_leader_view {
-	bool has_fence_floor;	   /* @fence_floor is known */
-	uint64_t fence_floor;	   /* no fence given out before the start is higher */
-	uint64_t fence;		   /* of this sidecar's lease; 0 when it holds none */
-	int64_t lease_deadline_us; /* monotonic; it acts only before */
+	bool has_fence_floor;	   /* whether @fence_floor is known */
+	uint64_t fence_floor;	   /* no fence issued before the start is higher */
+	uint64_t fence;		   /* fencing token of this sidecar's lease; 0 if it holds none */
+	int64_t lease_deadline_us; /* monotonic clock; the leader must not act later */
 	size_t n_ranks;
 	skh_leader_rank_t *ranks;
 } skh_leader_view_t;
 
 typedef struct skh_leader skh_leader_t;
 
+/**
+ * skh_leader_start() - start the thread
+ * @store: used by the thread only; borrowed, like @settings, until skh_leader_stop()
+ */
 skh_leader_t *skh_leader_start(skh_store_t *store, const skh_settings_t *settings);
+
+/** skh_leader_stop() - join the thread and free @leader; the lease expires by itself */
 void skh_leader_stop(skh_leader_t *leader);
+
+/** skh_leader_get_view() - copy the known state to @view */
 void skh_leader_get_view(skh_leader_t *leader, skh_leader_view_t *view);
 
 #ifdef __cplusplus
