--- a/src/leader.c
+++ b/src/leader.c
@@ -12,9 +12,9 @@
 #define PART		  "leader"
 #define LEASE_TTL_S	  6
 #define RENEW_INTERVAL_US (2 * SKH_US_PER_S)
-#define GROUP_READ_INTERVAL_US                                                                     \
-	(500 * SKH_US_PER_MS) /* between two reads by any rank of the group */
-#define REGISTER_RETRY_US (200 * SKH_US_PER_MS)
+/* Interval between two reads of the group by any of its ranks. */
+#define GROUP_READ_INTERVAL_US (500 * SKH_US_PER_MS)
+#define REGISTER_RETRY_US      (200 * SKH_US_PER_MS)
 
 struct skh_leader {
 	skh_store_t *store;
--- a/src/rank.c
+++ b/src/rank.c
@@ -9,7 +9,7 @@
 	rank->may_be_held = true;
 }
 
-static bool is_done(const skh_rank_t *rank, const skh_order_t *order)
+static bool is_already_done(const skh_rank_t *rank, const skh_order_t *order)
 {
 	switch (order->step) {
 	case SKH_STEP_PREPARE:
@@ -23,22 +23,22 @@
 	}
 }
 
-static bool may_follow(const skh_rank_t *rank, const skh_order_t *order)
+static bool is_in_sequence(const skh_rank_t *rank, const skh_order_t *order)
 {
-	bool held = rank->hold_fence == order->fence;
+	bool is_held = rank->hold_fence == order->fence;
 
 	switch (order->step) {
 	case SKH_STEP_SET:
-		return held && rank->prepared_version == order->version;
+		return is_held && rank->prepared_version == order->version;
 	case SKH_STEP_GO:
-		return held && rank->version == order->version;
+		return is_held && rank->version == order->version;
 	default:
 		return true;
 	}
 }
 
-/* A repeated release finds the engine running with the map that was set. */
-static bool is_repeated_go(const skh_rank_t *rank, const skh_order_t *order)
+/* After a release, a retry of it finds the engine running with the map that was set. */
+static bool is_retried_release(const skh_rank_t *rank, const skh_order_t *order)
 {
 	return order->step == SKH_STEP_GO && rank->hold_fence == 0 &&
 	       rank->engine_order.step == SKH_STEP_GO && rank->engine_order.fence == order->fence &&
@@ -52,9 +52,9 @@
 	rank->highest_fence = order->fence;
 	if (rank->order_pending)
 		return SKH_ORDER_BUSY;
-	if (is_done(rank, order) || is_repeated_go(rank, order))
+	if (is_already_done(rank, order) || is_retried_release(rank, order))
 		return SKH_ORDER_DONE;
-	if (!may_follow(rank, order))
+	if (!is_in_sequence(rank, order))
 		return SKH_ORDER_OUT_OF_SEQUENCE;
 	rank->order_pending = true;
 	rank->engine_order = *order;
@@ -73,7 +73,7 @@
 
 	rank->order_pending = false;
 	if (!succeeded) {
-		/* What the engine did is not known: only a fresh hold is safe. */
+		/* The engine's state is unknown, so the switch can only continue with a new hold. */
 		rank->hold_fence = 0;
 		rank->may_be_held = true;
 		if (order->step == SKH_STEP_SET)
--- a/src/rank.h
+++ b/src/rank.h
@@ -2,16 +2,18 @@
 #define SKH_RANK_H
 
 /**
- * DOC: Rank
+ * DOC: Rank side of an expert map switch
  *
- * The sidecar's side of a switch of its group's expert map, as pure state.
- * Orders reach the engine only through here, so an engine that ignores fences
- * is as safe as one that checks them.
+ * State machine in a rank's sidecar that checks each order of a map switch before it is sent to
+ * the engine. All orders pass through it, so an engine that ignores fencing tokens is as safe as
+ * one that checks them. No I/O and no errors; the owner of the struct serialises calls.
  *
- * Rules: an order with a lower fence than one seen before is refused. The map
- * is set only while the engine is held under the same fence, and the engine is
- * released only with the map that this fence has set. One order is at the
- * engine at a time.
+ * Rules:
+ *
+ * - An order with a lower fence than one received before is rejected.
+ * - The map is set only while the engine is held under the same fence.
+ * - The engine is released only with the map that was set under the same fence.
+ * - One order at a time is pending at the engine.
  */
 
 #include <stdbool.h>
@@ -23,51 +25,59 @@
 
 /** enum skh_order_step - the steps of a switch, in order */
 typedef enum skh_order_step {
-	SKH_STEP_PREPARE, /* load what the new map needs */
-	SKH_STEP_HOLD,	  /* begin no further step */
+	SKH_STEP_PREPARE, /* load the experts that the new map needs */
+	SKH_STEP_HOLD,	  /* start no further engine step */
 	SKH_STEP_SET,	  /* use the new map */
-	SKH_STEP_GO,	  /* go on */
+	SKH_STEP_GO,	  /* release the engine */
 	SKH_STEP_COUNT
 } skh_order_step_t;
 
+/** struct skh_order - one order of a coordinator to one rank */
 typedef struct skh_order {
-	uint64_t fence;
+	uint64_t fence; /* fencing token of the coordinator's lease */
 	skh_order_step_t step;
-	uint64_t version;
+	uint64_t version; /* version of the map to switch to */
 } skh_order_t;
 
+/** enum skh_order_outcome - result of checking an order */
 typedef enum skh_order_outcome {
-	SKH_ORDER_DONE,		  /* it is so */
-	SKH_ORDER_FORWARD,	  /* hand it to the engine, then call skh_rank_complete_order() */
-	SKH_ORDER_BUSY,		  /* another order is at the engine: send it again */
-	SKH_ORDER_FENCED,	  /* a later coordinator has spoken */
-	SKH_ORDER_OUT_OF_SEQUENCE /* a step before it is missing: start again from the first */
+	SKH_ORDER_DONE,		  /* the rank is already in the ordered state */
+	SKH_ORDER_FORWARD,	  /* send it to the engine, then call skh_rank_complete_order() */
+	SKH_ORDER_BUSY,		  /* another order is pending at the engine; retry */
+	SKH_ORDER_FENCED,	  /* rejected: an order with a higher fence was received */
+	SKH_ORDER_OUT_OF_SEQUENCE /* an earlier step is missing; restart from the first */
 } skh_order_outcome_t;
 
-/** struct skh_rank - zero-initialised but for what skh_rank_init() is given */
+/** struct skh_rank - state of one rank; initialised by skh_rank_init() */
 typedef struct skh_rank {
-	uint64_t highest_fence;	   /* highest seen */
-	uint64_t prepared_version; /* map version that is loaded */
+	uint64_t highest_fence;	   /* highest fence received */
+	uint64_t prepared_version; /* map version whose experts are loaded */
 	uint64_t version;	   /* map version in use; 0 when not known */
 	uint64_t hold_fence;	   /* fence under which the engine is held; 0 when it may run */
 	bool may_be_held;	   /* an earlier order may have left the engine held */
 	bool order_pending;
-	skh_order_t engine_order;
+	skh_order_t engine_order; /* order that was sent to the engine last */
 } skh_rank_t;
 
 /**
- * skh_rank_init() - state after the start of the sidecar
- * @fence: a number no lower than any fence given out before the start
+ * skh_rank_init() - set the state after the start of the sidecar
+ * @fence: no lower than any fence issued before the start
  */
 void skh_rank_init(skh_rank_t *rank, uint64_t fence);
 
-/** skh_rank_handle_order() - what to do with @order */
+/**
+ * skh_rank_handle_order() - check an order and decide what to do with it
+ * Return: what the caller must do; after SKH_ORDER_FORWARD the order is pending.
+ */
 skh_order_outcome_t skh_rank_handle_order(skh_rank_t *rank, const skh_order_t *order);
 
-/** skh_rank_is_running_version() - the engine runs, and with map @version */
+/** skh_rank_is_running_version() - whether the engine is known to run with map @version */
 bool skh_rank_is_running_version(const skh_rank_t *rank, uint64_t version);
 
-/** skh_rank_complete_order() - the engine has answered the order that it had */
+/**
+ * skh_rank_complete_order() - record the engine's response to the pending order
+ * @succeeded: false also if there was no response, when the engine's state is unknown
+ */
 void skh_rank_complete_order(skh_rank_t *rank, bool succeeded);
 
 #ifdef __cplusplus
