--- a/src/rankrelay.h
+++ b/src/rankrelay.h
@@ -2,12 +2,13 @@
 #define SKH_RANKRELAY_H
 
 /**
- * DOC: Relay of a coordinator's orders
+ * DOC: HTTP relay for a coordinator's orders
  *
- * Takes orders from the group's coordinator over HTTP and hands them to the
- * engine beside this process. A map is small on the way and large only there.
- * The answer is the engine's own; the fence in the order is checked there. As a
- * deputy it hands an order to the coordinator's engine, over the network.
+ * Accepts orders of the group's coordinator over HTTP and sends them to the engine beside this
+ * process, so that a map crosses the network in a compact form and is expanded only here. The
+ * response has the engine's status; the engine checks the fencing token. As the proxy rank of a
+ * map change it sends an order over the network to the coordinator's engine instead. Owns the
+ * listener and the maps of recent orders; runs on the event loop's thread.
  */
 
 #include "dialect.h"
@@ -22,53 +23,66 @@
 
 typedef struct skh_rankrelay skh_rankrelay_t;
 
-/** skh_rankrelay_start() - listen on "address:port"; NULL with @err */
+/**
+ * skh_rankrelay_start() - listen for orders
+ * @address: "address:port" to listen on
+ * @engine: client of the engine beside this process; borrowed, like @dialect and @pool_options
+ * Return: the relay, which stays until the end of the process; NULL with @err set if the address
+ * cannot be used.
+ */
 skh_rankrelay_t *skh_rankrelay_start(uv_loop_t *loop, const char *address,
 				     skh_engine_client_t *engine, const skh_dialect_t *dialect,
 				     const skh_upstream_pool_options_t *pool_options,
 				     skh_error_t *err);
 
-/** skh_rankrelay_last_prepared() - the last map that the rank was told to prepare, and *@since_us when */
-int64_t skh_rankrelay_last_prepared(const skh_rankrelay_t *relay, int64_t *since_us);
+/**
+ * skh_rankrelay_last_prepared() - version of the map in the last prepare order
+ * @prepared_us: set to the time of that order, boot clock in microseconds
+ * Return: 0 if there was none.
+ */
+int64_t skh_rankrelay_last_prepared(const skh_rankrelay_t *relay, int64_t *prepared_us);
 
-/* Status of an order whose map is told by its differences from one that is not known. */
+/* Status of an order whose map is encoded as differences from a map that is not cached. */
 #define SKH_RANKRELAY_STATUS_NO_BASE 428
 
-/** struct skh_versioned_map - a whole map with the version that names it */
+/** struct skh_versioned_map - a complete map and its version */
 typedef struct skh_versioned_map {
 	int64_t version;
 	size_t n_slots;
-	uint32_t *map; /* owned; NULL before the first */
+	uint32_t *map; /* owned; NULL in an unused entry */
 } skh_versioned_map_t;
 
-/* Versions of maps that the next may be told from: changes may fail or be withdrawn. */
+/* Maps kept as bases for differences; more than one because changes may fail or be withdrawn. */
 #define SKH_RANKRELAY_MAX_MAPS 4
 
-/** struct skh_map_cache - the last maps that a relay was told; zeroed before its first use */
+/** struct skh_map_cache - the last maps that a relay received; zeroed before its first use */
 typedef struct skh_map_cache {
 	skh_versioned_map_t entries[SKH_RANKRELAY_MAX_MAPS];
-	uint32_t next_index; /* the one that is replaced next */
+	uint32_t next_index; /* entry that is replaced next */
 } skh_map_cache_t;
 
-/** skh_map_cache_find() - the map of @version, or NULL */
-const skh_versioned_map_t *skh_map_cache_find(const skh_map_cache_t *maps, int64_t version);
-void skh_map_cache_clear(skh_map_cache_t *maps);
+/**
+ * skh_map_cache_find() - look up the map with @version
+ * Return: borrowed from the cache, or NULL.
+ */
+const skh_versioned_map_t *skh_map_cache_find(const skh_map_cache_t *cache, int64_t version);
+void skh_map_cache_clear(skh_map_cache_t *cache);
 
 /**
- * skh_rankrelay_pack() - append @order as the relay takes it
- * @base: a map that the relay knows, so that only differences are sent; or NULL
- * @engine: address of the engine that gets it; NULL for the one beside the relay
+ * skh_rankrelay_pack() - append @order to @out in the relay's wire format
+ * @base: map that the relay has, so that only differences are sent; NULL for a complete map
+ * @engine: "host:port" of the engine that gets the order; NULL for the one beside the relay
  */
 void skh_rankrelay_pack(const skh_engine_order_t *order, const skh_versioned_map_t *base,
 			const char *engine, skh_buffer_t *out);
 
 /**
- * skh_rankrelay_unpack() - the order in @bytes
- * @known: the order's map is added, and then borrowed by @order
- * @engine: as in skh_rankrelay_pack(); set to NULL or a copy to free
- * Return: 200, or the status that refuses it.
+ * skh_rankrelay_unpack() - decode the order in @bytes
+ * @cache: gets the order's map, which @order then borrows
+ * @engine: as in skh_rankrelay_pack(); set to NULL or to a copy to free with g_free()
+ * Return: 200, or the HTTP status with which to reject the order.
  */
-int32_t skh_rankrelay_unpack(skh_chunk_t bytes, skh_map_cache_t *known, skh_engine_order_t *order,
+int32_t skh_rankrelay_unpack(skh_chunk_t bytes, skh_map_cache_t *cache, skh_engine_order_t *order,
 			     char **engine);
 
 #ifdef __cplusplus
