--- a/src/balancer.c
+++ b/src/balancer.c
@@ -20,24 +20,24 @@
 #include <string.h>
 
 #define PART "balancer"
-/* Orders and reports are looked after this often ... */
-#define TICK_MS 20
-/* ... and while a change of the map is under way: the group may stand still for it. */
-#define BUSY_TICK_MS 8
-/* The rank's state changes by orders, which are followed closely, or seldom. */
-#define REPORT_US      (150 * SKH_US_PER_MS)
-#define BUSY_REPORT_US (8 * SKH_US_PER_MS)
-/* A rank that copies for longer than this is no longer watched closely. */
-#define COPYING_US (600 * SKH_US_PER_MS)
-/* The control budget of 2 KB a second, less what the store takes. */
-#define BYTES_PER_S    1500
-#define DATAGRAM_BYTES 42
-/* The coordinator hears of each rank this often, news or none. */
-#define ALIVE_US	   (500 * SKH_US_PER_MS)
-#define MAX_DATAGRAM	   16384
-#define CONNECT_TIMEOUT_US (300 * SKH_US_PER_MS)
-#define SILENCE_TIMEOUT_US (1 * SKH_US_PER_S)
-#define MAX_IDLE_US	   (4 * SKH_US_PER_S)
+/* Interval at which due orders and reports are sent. */
+#define TICK_INTERVAL_MS 20
+/* Shorter during a map change because the group may be stopped meanwhile. */
+#define MAP_CHANGE_TICK_INTERVAL_MS 8
+/* The rank's state changes by orders, so it is polled often during a map change only. */
+#define POLL_INTERVAL_US	    (150 * SKH_US_PER_MS)
+#define MAP_CHANGE_POLL_INTERVAL_US (8 * SKH_US_PER_MS)
+/* A rank that copies experts for longer than this is polled at the normal interval again. */
+#define MAX_PREPARE_US (600 * SKH_US_PER_MS)
+/* The control budget is 2 KB per second, less the traffic to the store. */
+#define REPORT_BYTES_PER_S	1500
+#define DATAGRAM_OVERHEAD_BYTES 42
+/* A report is sent to the coordinator at least this often, even if nothing has changed. */
+#define HEARTBEAT_INTERVAL_US (500 * SKH_US_PER_MS)
+#define MAX_DATAGRAM_BYTES    16384
+#define CONNECT_TIMEOUT_US    (300 * SKH_US_PER_MS)
+#define UNACKED_TIMEOUT_US    (1 * SKH_US_PER_S)
+#define IDLE_TIMEOUT_US	      (4 * SKH_US_PER_S)
 
 typedef struct balancer {
 	const skh_settings_t *settings;
@@ -51,21 +51,21 @@
 	skh_admin_t *admin;
 	skh_election_t *election;
 	skh_engine_client_t *engine;
-	skh_rank_poller_t *watch;
+	skh_rank_poller_t *poller;
 	skh_rankrelay_t *relay;
-	skh_settings_watcher_t *reload;
+	skh_settings_watcher_t *settings_watcher;
 	char *notice_key;
-	skh_coordinator_t *coordinator; /* NULL before the engines' shape is known */
+	skh_coordinator_t *coordinator; /* NULL until the engine spec is known */
 	skh_election_view_t lease;
-	guint offer_next; /* index of the server that is asked next for its rank */
-	uint64_t sender;
-	uint64_t number;
-	skh_count_reporter_t *counts; /* NULL before the engines' shape is known */
-	int64_t told_us;
-	bool tell_now; /* the rank's state has changed */
-	bool busy;     /* a change of the map is under way here */
-	char coordinated_by[64];
-	bool stopping;
+	guint next_probe_index; /* index of the server that is probed next for its rank */
+	uint64_t sender_id;
+	uint64_t report_number;
+	skh_count_reporter_t *count_reporter; /* NULL until the engine spec is known */
+	int64_t last_report_us;
+	bool report_now;      /* the rank's state or the coordinator has changed */
+	bool is_changing_map; /* a map change is in progress here */
+	char last_coordinator[64];
+	bool is_stopping;
 } balancer_t;
 
 static bool is_ready(void *context)
@@ -74,7 +74,7 @@
 	return true;
 }
 
-static json_t *status(void *context)
+static json_t *get_status(void *context)
 {
 	balancer_t *balancer = context;
 	skh_election_view_t lease;
@@ -86,31 +86,33 @@
 			 "coordinator", lease.coordinator_address);
 }
 
-static const skh_admin_ops_t admin_ops = { .is_ready = is_ready, .get_status = status };
+static const skh_admin_ops_t admin_ops = { .is_ready = is_ready, .get_status = get_status };
 
-static bool holds_lease(const balancer_t *balancer, int64_t now_us)
+static bool has_valid_lease(const balancer_t *balancer, int64_t now_us)
 {
 	return balancer->lease.is_holder && now_us < balancer->lease.lease_deadline_us;
 }
 
 static void pack_counts(const balancer_t *balancer, Skh__RankReport *message)
 {
-	const skh_engine_spec_t *shape = &balancer->lease.engine_spec;
-	const skh_demand_sample_t *sample = skh_count_reporter_pending_sample(balancer->counts);
-	size_t n = (size_t)shape->expert_sets * shape->experts_per_set;
+	const skh_engine_spec_t *spec = &balancer->lease.engine_spec;
+	const skh_demand_sample_t *sample =
+		skh_count_reporter_pending_sample(balancer->count_reporter);
+	size_t n_counts = (size_t)spec->expert_sets * spec->experts_per_set;
 
-	message->counts.len = skh_count_codec_encoded_size(n);
+	message->counts.len = skh_count_codec_encoded_size(n_counts);
 	message->counts.data = g_malloc0(message->counts.len + 1);
-	message->n_counts = (uint32_t)n;
+	message->n_counts = (uint32_t)n_counts;
 	message->from_pass = sample->from_pass;
 	message->to_pass = sample->to_pass;
-	message->greatest_count = skh_count_codec_encode(sample->counts, n, message->counts.data);
+	message->greatest_count =
+		skh_count_codec_encode(sample->counts, n_counts, message->counts.data);
 }
 
-static void fill_report(balancer_t *balancer, const skh_rank_snapshot_t *news, bool with_counts,
+static void fill_report(balancer_t *balancer, const skh_rank_snapshot_t *snapshot, bool with_counts,
 			Skh__RankReport *message)
 {
-	const skh_engine_report_t *report = &news->report;
+	const skh_engine_report_t *report = &snapshot->report;
 
 	message->service = (char *)balancer->settings->backend_service;
 	message->engine = (char *)balancer->settings->engine_address;
@@ -124,12 +126,12 @@
 	message->armed = report->armed_version;
 	message->held = report->held_pass;
 	message->pace = report->slowdown;
-	message->sender = balancer->sender;
-	message->number = ++balancer->number;
+	message->sender = balancer->sender_id;
+	message->number = ++balancer->report_number;
 	message->relay = (char *)balancer->settings->gossip_listen;
-	message->map_known = news->has_map;
-	message->n_map = news->has_map ? news->n_map : 0;
-	message->map = news->map;
+	message->map_known = snapshot->has_map;
+	message->n_map = snapshot->has_map ? snapshot->n_map : 0;
+	message->map = snapshot->map;
 	if (with_counts)
 		pack_counts(balancer, message);
 }
@@ -137,103 +139,106 @@
 static size_t send_report(balancer_t *balancer, const Skh__RankReport *message)
 {
 	uint8_t *packed;
-	struct sockaddr_in to;
+	struct sockaddr_in destination;
 	uv_buf_t buffer;
 	size_t len;
 
-	/* Nobody coordinates, or it is not known who. */
-	if (!skh_address_parse(balancer->lease.coordinator_address, &to))
+	/* There is no coordinator, or its address is unknown. */
+	if (!skh_address_parse(balancer->lease.coordinator_address, &destination))
 		return 0;
 	packed = g_malloc(skh__rank_report__get_packed_size(message) + 1);
 	len = skh__rank_report__pack(message, packed);
 	buffer = uv_buf_init((char *)packed, (unsigned int)len);
-	/* A report that does not go out is made good by the next. */
-	(void)uv_udp_try_send(&balancer->udp, &buffer, 1, (const struct sockaddr *)&to);
+	/* A failed send is ignored because the next report replaces this one. */
+	(void)uv_udp_try_send(&balancer->udp, &buffer, 1, (const struct sockaddr *)&destination);
 	g_free(packed);
 	skh_metrics_add(SKH_COUNT_CONTROL_BYTES_OUT, len);
-	return len + DATAGRAM_BYTES;
+	return len + DATAGRAM_OVERHEAD_BYTES;
 }
 
-static bool coordinates(const balancer_t *balancer, int64_t now_us)
+static bool is_coordinating(const balancer_t *balancer, int64_t now_us)
 {
-	return balancer->coordinator && holds_lease(balancer, now_us);
+	return balancer->coordinator && has_valid_lease(balancer, now_us);
 }
 
-/* This process coordinates: it sees its own rank each time. */
-static void tell_oneself(balancer_t *balancer, int64_t now_us)
+/* Passes the state of the own rank to the coordinator in this process on every tick. */
+static void handle_own_report(balancer_t *balancer, int64_t now_us)
 {
-	const skh_rank_snapshot_t *news = skh_rank_poller_snapshot(balancer->watch);
+	const skh_rank_snapshot_t *snapshot = skh_rank_poller_snapshot(balancer->poller);
 	Skh__RankReport message = SKH__RANK_REPORT__INIT;
 
-	if (!news->has_report)
+	if (!snapshot->has_report)
 		return;
-	fill_report(balancer, news, false, &message);
+	fill_report(balancer, snapshot, false, &message);
 	skh_coordinator_handle_report(balancer->coordinator, &message, true, now_us);
 }
 
-/* Tells another process, which coordinates, of the rank. */
-static void tell(balancer_t *balancer, int64_t now_us)
+/* Sends the rank's report to the coordinator in another process if one is due. */
+static void report_if_due(balancer_t *balancer, int64_t now_us)
 {
-	const skh_rank_snapshot_t *news = skh_rank_poller_snapshot(balancer->watch);
-	bool with_counts = balancer->counts && skh_count_reporter_is_due(balancer->counts, now_us);
+	const skh_rank_snapshot_t *snapshot = skh_rank_poller_snapshot(balancer->poller);
+	bool with_counts = balancer->count_reporter &&
+			   skh_count_reporter_is_due(balancer->count_reporter, now_us);
 	Skh__RankReport message = SKH__RANK_REPORT__INIT;
-	size_t sent;
+	size_t n_sent_bytes;
 
-	if (!news->has_report || coordinates(balancer, now_us) ||
-	    (!with_counts && !balancer->tell_now && now_us - balancer->told_us < ALIVE_US))
+	if (!snapshot->has_report || is_coordinating(balancer, now_us) ||
+	    (!with_counts && !balancer->report_now &&
+	     now_us - balancer->last_report_us < HEARTBEAT_INTERVAL_US))
 		return;
-	fill_report(balancer, news, with_counts, &message);
-	sent = send_report(balancer, &message);
+	fill_report(balancer, snapshot, with_counts, &message);
+	n_sent_bytes = send_report(balancer, &message);
 	g_free(message.counts.data);
-	if (sent == 0)
+	if (n_sent_bytes == 0)
 		return;
-	balancer->tell_now = false;
-	balancer->told_us = now_us;
-	if (balancer->counts)
-		skh_count_reporter_record_sent(balancer->counts, sent, with_counts, now_us);
+	balancer->report_now = false;
+	balancer->last_report_us = now_us;
+	if (balancer->count_reporter)
+		skh_count_reporter_record_sent(balancer->count_reporter, n_sent_bytes, with_counts,
+					       now_us);
 }
 
-static void on_rank_changed(void *context)
+static void on_rank_change(void *context)
 {
 	balancer_t *balancer = context;
 	int64_t now_us = skh_clock_boot_us();
 
-	balancer->tell_now = true;
-	if (coordinates(balancer, now_us))
-		tell_oneself(balancer, now_us);
+	balancer->report_now = true;
+	if (is_coordinating(balancer, now_us))
+		handle_own_report(balancer, now_us);
 	else
-		tell(balancer, now_us);
+		report_if_due(balancer, now_us);
 }
 
-static void on_look(void *context, const skh_demand_sample_t *sample)
+static void on_counts(void *context, const skh_demand_sample_t *sample)
 {
 	balancer_t *balancer = context;
 	int64_t now_us = skh_clock_boot_us();
 
-	if (coordinates(balancer, now_us))
+	if (is_coordinating(balancer, now_us))
 		skh_coordinator_handle_sample(balancer->coordinator, sample, now_us);
-	/* Also there: it may lose the lease. */
-	if (balancer->counts)
-		(void)skh_count_reporter_add_sample(balancer->counts, sample, now_us);
-	tell(balancer, now_us);
+	/* Also while coordinating because the lease may be lost. */
+	if (balancer->count_reporter)
+		(void)skh_count_reporter_add_sample(balancer->count_reporter, sample, now_us);
+	report_if_due(balancer, now_us);
 }
 
-static const skh_rank_poller_ops_t watch_ops = {
-	.on_change = on_rank_changed,
-	.on_counts = on_look,
+static const skh_rank_poller_ops_t poller_ops = {
+	.on_change = on_rank_change,
+	.on_counts = on_counts,
 };
 
-static void on_datagram(uv_udp_t *udp, ssize_t n, const uv_buf_t *buffer,
+static void on_datagram(uv_udp_t *udp, ssize_t n_bytes, const uv_buf_t *buffer,
 			const struct sockaddr *from, unsigned int flags)
 {
 	balancer_t *balancer = udp->data;
 	Skh__RankReport *message;
 
 	(void)flags;
-	if (n <= 0 || !from || !balancer->coordinator)
+	if (n_bytes <= 0 || !from || !balancer->coordinator)
 		return;
-	skh_metrics_add(SKH_COUNT_CONTROL_BYTES_IN, (uint64_t)n);
-	message = skh__rank_report__unpack(NULL, (size_t)n, (const uint8_t *)buffer->base);
+	skh_metrics_add(SKH_COUNT_CONTROL_BYTES_IN, (uint64_t)n_bytes);
+	message = skh__rank_report__unpack(NULL, (size_t)n_bytes, (const uint8_t *)buffer->base);
 	if (!message) {
 		skh_metrics_add(SKH_COUNT_BAD_FRAMES, 1);
 		return;
@@ -244,16 +249,16 @@
 	skh__rank_report__free_unpacked(message, NULL);
 }
 
-static void give_buffer(uv_handle_t *handle, size_t wanted, uv_buf_t *buffer)
+static void alloc_buffer(uv_handle_t *handle, size_t size_hint, uv_buf_t *buffer)
 {
-	static char bytes[MAX_DATAGRAM];
+	static char bytes[MAX_DATAGRAM_BYTES];
 
 	(void)handle;
-	(void)wanted;
+	(void)size_hint;
 	*buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
-static void follow_shape(balancer_t *balancer)
+static void apply_engine_spec(balancer_t *balancer)
 {
 	const skh_coordinator_options_t options = {
 		.loop = &balancer->loop,
@@ -266,100 +271,105 @@
 	if (balancer->coordinator || !balancer->lease.has_engine_spec ||
 	    balancer->lease.engine_spec.expert_sets == 0)
 		return;
-	skh_rank_poller_set_engine_spec(balancer->watch, &balancer->lease.engine_spec);
-	balancer->counts =
-		skh_count_reporter_new(&balancer->lease.engine_spec, BYTES_PER_S, skh_random_u64());
+	skh_rank_poller_set_engine_spec(balancer->poller, &balancer->lease.engine_spec);
+	balancer->count_reporter = skh_count_reporter_new(&balancer->lease.engine_spec,
+							  REPORT_BYTES_PER_S, skh_random_u64());
 	balancer->coordinator = skh_coordinator_new(&options, &balancer->lease.engine_spec);
 }
 
-/* Ranks whose own process never spoke are found in the list of servers. */
-static void find_ranks(balancer_t *balancer, int64_t now_us)
+/* Ranks whose own process has sent no report are found through the server list. */
+static void probe_unknown_ranks(balancer_t *balancer, int64_t now_us)
 {
-	bool wanted = balancer->coordinator && holds_lease(balancer, now_us) &&
-		      skh_coordinator_has_unknown_ranks(balancer->coordinator);
-	GPtrArray *servers = skh_election_get_servers(balancer->election, wanted);
+	bool probe_wanted = balancer->coordinator && has_valid_lease(balancer, now_us) &&
+			    skh_coordinator_has_unknown_ranks(balancer->coordinator);
+	GPtrArray *servers = skh_election_get_servers(balancer->election, probe_wanted);
 
-	/* In turn, as an entry where nobody answers must not keep the others out. */
-	for (guint i = 0; wanted && i < servers->len; i++) {
-		guint at = balancer->offer_next % servers->len;
+	/* Round-robin, so that an address that does not respond cannot block the others. */
+	for (guint i = 0; probe_wanted && i < servers->len; i++) {
+		guint index = balancer->next_probe_index % servers->len;
 
 		if (!skh_coordinator_probe_engine(balancer->coordinator,
-						  g_ptr_array_index(servers, at), now_us))
+						  g_ptr_array_index(servers, index), now_us))
 			break;
-		balancer->offer_next = at + 1;
+		balancer->next_probe_index = index + 1;
 	}
 	g_ptr_array_unref(servers);
 }
 
-/* Gateways send less to a rank that all others wait for. */
-static void tell_slow_ranks(balancer_t *balancer)
+/* Gateways send fewer requests to a slow rank because all other ranks wait for it. */
+static void publish_slow_ranks(balancer_t *balancer)
 {
 	g_autofree char *text = skh_coordinator_slow_ranks(balancer->coordinator);
 
 	skh_election_set_notice(balancer->election, text);
 }
 
-static void coordinate(balancer_t *balancer, int64_t now_us)
+static void run_coordinator(balancer_t *balancer, int64_t now_us)
 {
-	int64_t fence = holds_lease(balancer, now_us) ? balancer->lease.fence : 0;
+	int64_t fence = has_valid_lease(balancer, now_us) ? balancer->lease.fence : 0;
 
-	find_ranks(balancer, now_us);
+	probe_unknown_ranks(balancer, now_us);
 
 	if (balancer->coordinator && !skh_coordinator_tick(balancer->coordinator, fence, now_us)) {
-		skh_log(SKH_LOG_WARNING, PART, "A later coordinator exists.", "fence=%" PRId64,
-			fence);
+		skh_log(SKH_LOG_WARNING, PART, "A later coordinator exists; resigning the lease.",
+			"fence=%" PRId64, fence);
 		skh_election_resign(balancer->election);
 	}
-	if (coordinates(balancer, now_us))
-		tell_slow_ranks(balancer);
+	if (is_coordinating(balancer, now_us))
+		publish_slow_ranks(balancer);
 }
 
-static void close_all(balancer_t *balancer)
+static void begin_stop(balancer_t *balancer)
 {
-	skh_log(SKH_LOG_INFO, PART, "Planned stop.", "coordinates=%d", balancer->lease.is_holder);
-	balancer->stopping = true;
+	skh_log(SKH_LOG_INFO, PART, "Planned stop begins.", "coordinates=%d",
+		balancer->lease.is_holder);
+	balancer->is_stopping = true;
 	uv_stop(&balancer->loop);
 }
 
-static void follow_settings(balancer_t *balancer, int64_t now_us)
+static void apply_settings(balancer_t *balancer, int64_t now_us)
 {
-	const skh_settings_t *fresh = skh_settings_watcher_poll(balancer->reload, now_us);
+	const skh_settings_t *settings =
+		skh_settings_watcher_poll(balancer->settings_watcher, now_us);
 
-	if (!fresh)
+	if (!settings)
 		return;
-	balancer->settings = fresh;
+	balancer->settings = settings;
 	if (balancer->coordinator)
-		skh_coordinator_set_weights(balancer->coordinator, (double)fresh->skew_weight,
-					    (double)fresh->cost_weight);
+		skh_coordinator_set_weights(balancer->coordinator, (double)settings->skew_weight,
+					    (double)settings->cost_weight);
 }
 
-/* Who coordinates from now on knows nothing yet. */
-static void follow_lease(balancer_t *balancer, int64_t now_us)
+/* A new coordinator knows nothing about this rank, so the next report is sent at once. */
+static void update_lease(balancer_t *balancer, int64_t now_us)
 {
 	skh_election_get_view(balancer->election, &balancer->lease);
-	if (strcmp(balancer->coordinated_by, balancer->lease.coordinator_address) == 0)
+	if (strcmp(balancer->last_coordinator, balancer->lease.coordinator_address) == 0)
 		return;
-	(void)g_strlcpy(balancer->coordinated_by, balancer->lease.coordinator_address,
-			sizeof(balancer->coordinated_by));
-	balancer->tell_now = true;
-	if (balancer->counts)
-		skh_count_reporter_expedite(balancer->counts, now_us);
+	(void)g_strlcpy(balancer->last_coordinator, balancer->lease.coordinator_address,
+			sizeof(balancer->last_coordinator));
+	balancer->report_now = true;
+	if (balancer->count_reporter)
+		skh_count_reporter_expedite(balancer->count_reporter, now_us);
 }
 
-static void follow_pace(balancer_t *balancer, int64_t now_us)
+static void update_intervals(balancer_t *balancer, int64_t now_us)
 {
-	const skh_engine_report_t *report = &skh_rank_poller_snapshot(balancer->watch)->report;
-	int64_t since_us = 0;
-	int64_t version = skh_rankrelay_last_prepared(balancer->relay, &since_us);
-	bool copying = version > report->prepared_version && version > report->map_version &&
-		       now_us - since_us < COPYING_US;
-	bool busy = copying || (coordinates(balancer, now_us) &&
-				skh_coordinator_is_changing_map(balancer->coordinator));
-
-	skh_rank_poller_set_report_period(balancer->watch, busy ? BUSY_REPORT_US : REPORT_US);
-	if (busy != balancer->busy)
-		uv_timer_set_repeat(&balancer->tick, busy ? BUSY_TICK_MS : TICK_MS);
-	balancer->busy = busy;
+	const skh_engine_report_t *report = &skh_rank_poller_snapshot(balancer->poller)->report;
+	int64_t prepared_us = 0;
+	int64_t version = skh_rankrelay_last_prepared(balancer->relay, &prepared_us);
+	bool is_preparing = version > report->prepared_version && version > report->map_version &&
+			    now_us - prepared_us < MAX_PREPARE_US;
+	bool is_changing_map =
+		is_preparing || (is_coordinating(balancer, now_us) &&
+				 skh_coordinator_is_changing_map(balancer->coordinator));
+
+	skh_rank_poller_set_report_period(
+		balancer->poller, is_changing_map ? MAP_CHANGE_POLL_INTERVAL_US : POLL_INTERVAL_US);
+	if (is_changing_map != balancer->is_changing_map)
+		uv_timer_set_repeat(&balancer->tick, is_changing_map ? MAP_CHANGE_TICK_INTERVAL_MS
+								     : TICK_INTERVAL_MS);
+	balancer->is_changing_map = is_changing_map;
 }
 
 static void on_tick(uv_timer_t *timer)
@@ -368,35 +378,36 @@
 	int64_t now_us = skh_clock_boot_us();
 
 	if (skh_process_stop_requests() > 0) {
-		close_all(balancer);
+		begin_stop(balancer);
 		return;
 	}
-	follow_settings(balancer, now_us);
-	follow_lease(balancer, now_us);
-	follow_shape(balancer);
-	follow_pace(balancer, now_us);
-	skh_rank_poller_tick(balancer->watch, now_us);
-	if (coordinates(balancer, now_us))
-		tell_oneself(balancer, now_us);
+	apply_settings(balancer, now_us);
+	update_lease(balancer, now_us);
+	apply_engine_spec(balancer);
+	update_intervals(balancer, now_us);
+	skh_rank_poller_tick(balancer->poller, now_us);
+	if (is_coordinating(balancer, now_us))
+		handle_own_report(balancer, now_us);
 	else
-		tell(balancer, now_us);
-	coordinate(balancer, now_us);
+		report_if_due(balancer, now_us);
+	run_coordinator(balancer, now_us);
 }
 
 static bool open_udp(balancer_t *balancer, skh_error_t *err)
 {
 	const char *address = balancer->settings->gossip_listen;
-	struct sockaddr_in own;
-	int code = skh_address_parse(address, &own) ? 0 : UV_EINVAL;
+	struct sockaddr_in own_address;
+	int result = skh_address_parse(address, &own_address) ? 0 : UV_EINVAL;
 
 	(void)uv_udp_init(&balancer->loop, &balancer->udp);
 	balancer->udp.data = balancer;
-	if (code == 0)
-		code = uv_udp_bind(&balancer->udp, (const struct sockaddr *)&own, 0);
-	if (code == 0)
-		code = uv_udp_recv_start(&balancer->udp, give_buffer, on_datagram);
-	return code == 0 || skh_error_set(err, SKH_CONFIG_INVALID, "can't use UDP %s: %s", address,
-					  uv_strerror(code));
+	if (result == 0)
+		result = uv_udp_bind(&balancer->udp, (const struct sockaddr *)&own_address, 0);
+	if (result == 0)
+		result = uv_udp_recv_start(&balancer->udp, alloc_buffer, on_datagram);
+	return result == 0 ||
+	       skh_error_set(err, SKH_CONFIG_INVALID, "cannot listen on UDP address %s: %s",
+			     address, uv_strerror(result));
 }
 
 static void start_election(balancer_t *balancer, char *prefix)
@@ -421,13 +432,13 @@
 {
 	const skh_settings_t *settings = balancer->settings;
 
-	balancer->sender = skh_random_u64();
+	balancer->sender_id = skh_random_u64();
 	balancer->notice_key = g_strconcat(SKH_RANK_NOTICE_PREFIX, settings->backend_service, NULL);
 	balancer->pool_options = (skh_upstream_pool_options_t){
 		.attempt_id_header = "",
 		.connect_timeout_us = CONNECT_TIMEOUT_US,
-		.unacked_timeout_us = SILENCE_TIMEOUT_US,
-		.idle_timeout_us = MAX_IDLE_US,
+		.unacked_timeout_us = UNACKED_TIMEOUT_US,
+		.idle_timeout_us = IDLE_TIMEOUT_US,
 		.max_idle_connections = 2,
 	};
 	(void)uv_loop_init(&balancer->loop);
@@ -435,8 +446,8 @@
 		return false;
 	balancer->engine = skh_engine_client_new(&balancer->loop, settings->engine_address,
 						 &balancer->pool_options);
-	balancer->watch =
-		skh_rank_poller_new(balancer->engine, balancer->dialect, &watch_ops, balancer);
+	balancer->poller =
+		skh_rank_poller_new(balancer->engine, balancer->dialect, &poller_ops, balancer);
 	balancer->relay =
 		skh_rankrelay_start(&balancer->loop, settings->gossip_listen, balancer->engine,
 				    balancer->dialect, &balancer->pool_options, err);
@@ -452,8 +463,8 @@
 	start_election(balancer, prefix);
 	(void)uv_timer_init(&balancer->loop, &balancer->tick);
 	balancer->tick.data = balancer;
-	(void)uv_timer_start(&balancer->tick, on_tick, TICK_MS, TICK_MS);
-	skh_log(SKH_LOG_INFO, PART, "Balancer runs.", "id=%s engine=%s service=%s", settings->id,
+	(void)uv_timer_start(&balancer->tick, on_tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS);
+	skh_log(SKH_LOG_INFO, PART, "Balancer started.", "id=%s engine=%s service=%s", settings->id,
 		settings->engine_address, settings->backend_service);
 	return true;
 }
@@ -472,17 +483,17 @@
 	(void)uv_run(&balancer->loop, UV_RUN_DEFAULT);
 	skh_election_stop(balancer->election);
 	skh_admin_stop(balancer->admin);
-	skh_log(SKH_LOG_INFO, PART, "Balancer has stopped.", "id=%s", balancer->settings->id);
+	skh_log(SKH_LOG_INFO, PART, "Balancer stopped.", "id=%s", balancer->settings->id);
 	return 0;
 }
 
 int skh_balancer_main(const skh_settings_t *settings)
 {
-	/* Threads may use it up to the end of the process. */
+	/* Static because threads may use the state until the process ends. */
 	static balancer_t balancer;
 
 	skh_process_setup(settings);
 	balancer.settings = settings;
-	balancer.reload = skh_settings_watcher_new(settings);
+	balancer.settings_watcher = skh_settings_watcher_new(settings);
 	return run(&balancer);
 }
--- a/src/balancer.h
+++ b/src/balancer.h
@@ -2,11 +2,12 @@
 #define SKH_BALANCER_H
 
 /**
- * DOC: Balancer of experts
+ * DOC: Expert balancer of a rank
  *
- * The process beside a model server that is a rank of a group: it reads the
- * rank's state and counts, tells the group's coordinator, and coordinates while
- * it holds the group's lease.
+ * Main program of the process beside a model server that is a rank of a group. It polls the
+ * rank's state and expert counts, reports them to the group's coordinator over UDP, relays the
+ * coordinator's orders to the engine, and acts as the coordinator while it holds the group's
+ * lease. All work is done on one event loop except for the store requests of the election.
  */
 
 #include "settings.h"
@@ -15,7 +16,10 @@
 extern "C" {
 #endif
 
-/** skh_balancer_main() - run until SIGTERM or SIGINT; the exit status */
+/**
+ * skh_balancer_main() - run until SIGTERM or SIGINT
+ * Return: exit status of the process; 1 if the start failed.
+ */
 int skh_balancer_main(const skh_settings_t *settings);
 
 #ifdef __cplusplus
