--- a/test/map_test.cc
+++ b/test/map_test.cc
@@ -1,6 +1,7 @@
-// One expert map in every step, in virtual time: ranks, coordinators that die,
-// pause and overlap, and a network that delays, drops, repeats and reorders.
-// The history check is shown to catch planted faults.
+// Guards against a step in which ranks of a group use different expert maps. Such a step can come
+// about when coordinators exit, pause or overlap, when a sidecar restarts, when an engine fails an
+// order, or when messages are delayed, lost, duplicated or reordered. Runs these faults in virtual
+// time; planted faults show that the check detects a mixed step.
 #include "mapswitch.h"
 #include "rank.h"
 #include "seeds.h"
@@ -17,15 +18,15 @@
 namespace
 {
 
-enum class Planted {
+enum class PlantedFault {
 	kNothing,
 	kNoHold,
 	kNoFence,
 	kEarlyGo
 };
 
-// An engine as the brief gives it: it does what its sidecar orders and ignores
-// fences. A step begins on all ranks or on none; ranks end it at their own time.
+// An engine as specified: it carries out every order of its sidecar and ignores fences. A step
+// starts on all ranks or on none; each rank ends it at its own time.
 struct Engine {
 	bool held = false;
 	bool in_step = false;
@@ -50,11 +51,11 @@
 									       skh_mapswitch_free };
 };
 
-class World
+class Simulation
 {
       public:
-	World(uint32_t seed, size_t n, Planted planted)
-	    : random(seed), planted(planted), ranks(n), engines(n)
+	Simulation(uint32_t seed, size_t n, PlantedFault planted_fault)
+	    : random(seed), planted_fault(planted_fault), ranks(n), engines(n)
 	{
 		for (auto &rank : ranks) {
 			skh_rank_init(&rank, 0);
@@ -65,20 +66,20 @@
 	void run(int events)
 	{
 		for (int i = 0; i < events && violation.empty(); i++)
-			event();
+			run_random_event();
 	}
 
-	// No faults any more: a last coordinator must bring the group to its map.
-	bool settle()
+	// Stops all faults; returns whether a last coordinator completes its switch.
+	bool finish_without_faults()
 	{
 		for (auto &coordinator : coordinators)
 			coordinator.alive = false;
 		messages.clear();
-		late.clear();
-		elect();
-		faulty = false;
+		delayed.clear();
+		elect_coordinator();
+		has_faults = false;
 		for (int i = 0; i < 20000 && violation.empty(); i++) {
-			event();
+			run_random_event();
 			if (skh_mapswitch_is_done(coordinators.back().state.get()))
 				return true;
 		}
@@ -90,35 +91,35 @@
 	std::map<uint64_t, int> versions_used;
 
       private:
-	int chance(int n)
+	int random_below(int n)
 	{
 		return static_cast<int>(random() % static_cast<uint32_t>(n));
 	}
 
-	void elect()
+	void elect_coordinator()
 	{
-		Coordinator fresh;
+		Coordinator coordinator;
 
-		last_fence += 1 + static_cast<uint64_t>(chance(3));
+		last_fence += 1 + static_cast<uint64_t>(random_below(3));
 		last_version++;
-		fresh.state.reset(skh_mapswitch_new(ranks.size(), last_fence, last_version));
-		coordinators.push_back(std::move(fresh));
+		coordinator.state.reset(skh_mapswitch_new(ranks.size(), last_fence, last_version));
+		coordinators.push_back(std::move(coordinator));
 	}
 
-	void event()
+	void run_random_event()
 	{
-		switch (chance(10)) {
+		switch (random_below(10)) {
 		case 0:
-			if (faulty && chance(40) == 0)
-				elect();
+			if (has_faults && random_below(40) == 0)
+				elect_coordinator();
 			break;
 		case 1:
-			if (faulty && !coordinators.empty())
-				disturb(coordinators[random() % coordinators.size()]);
+			if (has_faults && !coordinators.empty())
+				fail_or_pause(coordinators[random() % coordinators.size()]);
 			break;
 		case 2:
-			if (faulty && chance(30) == 0)
-				restart(random() % ranks.size());
+			if (has_faults && random_below(30) == 0)
+				restart_sidecar(random() % ranks.size());
 			break;
 		case 3:
 		case 4:
@@ -126,27 +127,27 @@
 			break;
 		case 5:
 		case 6:
-			deliver();
+			deliver_message();
 			break;
 		case 7:
-			engine_acts(random() % engines.size());
+			run_engine(random() % engines.size());
 			break;
 		default:
-			advance_step();
+			advance_engines();
 			break;
 		}
 	}
 
-	void disturb(Coordinator &coordinator)
+	void fail_or_pause(Coordinator &coordinator)
 	{
-		if (chance(20) == 0)
+		if (random_below(20) == 0)
 			coordinator.alive = false;
-		coordinator.paused = chance(2) == 0;
+		coordinator.paused = random_below(2) == 0;
 	}
 
-	// The sidecar forgets everything; the engine goes on as it was. The fence it
-	// reads back is no lower than any that was given out.
-	void restart(size_t rank)
+	// The sidecar loses its state while the engine keeps running. The fence that the sidecar reads
+	// back is no lower than any that was issued.
+	void restart_sidecar(size_t rank)
 	{
 		if (engines[rank].has_order)
 			return;
@@ -167,8 +168,8 @@
 			return;
 		if (!skh_mapswitch_next_order(coordinator.state.get(), rank, &message.order))
 			return;
-		if (planted == Planted::kEarlyGo && message.order.step == SKH_STEP_SET &&
-		    chance(2) == 0)
+		if (planted_fault == PlantedFault::kEarlyGo && message.order.step == SKH_STEP_SET &&
+		    random_below(2) == 0)
 			message.order.step = SKH_STEP_GO;
 		message.to_rank = true;
 		message.coordinator = c;
@@ -176,46 +177,47 @@
 		messages.push_back(message);
 	}
 
-	void deliver()
+	void deliver_message()
 	{
-		/* Some messages come again after a long time. */
-		if (faulty && !late.empty() && chance(6) == 0) {
-			const size_t which = random() % late.size();
+		/* Some messages are delivered again after a long delay. */
+		if (has_faults && !delayed.empty() && random_below(6) == 0) {
+			const size_t index = random() % delayed.size();
 
-			messages.push_back(late[which]);
-			late.erase(late.begin() + static_cast<long>(which));
+			messages.push_back(delayed[index]);
+			delayed.erase(delayed.begin() + static_cast<long>(index));
 		}
 		if (messages.empty())
 			return;
-		const size_t at = faulty ? random() % messages.size() : 0;
-		const Message message = messages[at];
-
-		if (!faulty || chance(8) != 0)
-			messages.erase(messages.begin() + static_cast<long>(at));
-		if (faulty && chance(4) == 0)
-			late.push_back(message);
-		if (faulty && chance(8) == 0)
+		const size_t index = has_faults ? random() % messages.size() : 0;
+		const Message message = messages[index];
+
+		if (!has_faults || random_below(8) != 0)
+			messages.erase(messages.begin() + static_cast<long>(index));
+		if (has_faults && random_below(4) == 0)
+			delayed.push_back(message);
+		if (has_faults && random_below(8) == 0)
 			return;
 		if (message.to_rank)
-			arrive(message);
+			handle_at_rank(message);
 		else
 			skh_mapswitch_record_reply(coordinators[message.coordinator].state.get(),
 						   message.rank, &message.order, message.outcome,
 						   message.in_place);
 	}
 
-	void arrive(const Message &message)
+	void handle_at_rank(const Message &message)
 	{
 		skh_rank_t &rank = ranks[message.rank];
 		skh_order_t order = message.order;
 		Message reply = message;
 
-		if (planted == Planted::kEarlyGo && order.step == SKH_STEP_GO)
+		if (planted_fault == PlantedFault::kEarlyGo && order.step == SKH_STEP_GO)
 			rank.version = order.version;
 		reply.to_rank = false;
-		reply.outcome = planted == Planted::kNoFence ? take_unfenced(message.rank, order)
-							     : skh_rank_handle_order(&rank, &order);
-		if (planted == Planted::kNoHold && reply.outcome == SKH_ORDER_FORWARD &&
+		reply.outcome = planted_fault == PlantedFault::kNoFence
+					? handle_order_unfenced(message.rank, order)
+					: skh_rank_handle_order(&rank, &order);
+		if (planted_fault == PlantedFault::kNoHold && reply.outcome == SKH_ORDER_FORWARD &&
 		    order.step == SKH_STEP_HOLD) {
 			skh_rank_complete_order(&rank, true);
 			reply.outcome = SKH_ORDER_DONE;
@@ -229,8 +231,8 @@
 		messages.push_back(reply);
 	}
 
-	// A rank that passes every order on, whoever gives it.
-	skh_order_outcome_t take_unfenced(size_t index, const skh_order_t &order)
+	// A rank that forwards every order without checking its fence.
+	skh_order_outcome_t handle_order_unfenced(size_t index, const skh_order_t &order)
 	{
 		const Engine &engine = engines[index];
 
@@ -246,15 +248,15 @@
 		return SKH_ORDER_FORWARD;
 	}
 
-	void engine_acts(size_t index)
+	void run_engine(size_t index)
 	{
 		Engine &engine = engines[index];
 
-		/* An engine that holds first ends the step that it is in. */
+		/* An engine ends its current step before it carries out a hold. */
 		if (!engine.has_order || (engine.order.step == SKH_STEP_HOLD && engine.in_step))
 			return;
 		engine.has_order = false;
-		if (faulty && chance(20) == 0) {
+		if (has_faults && random_below(20) == 0) {
 			skh_rank_complete_order(&ranks[index], false);
 			return;
 		}
@@ -267,18 +269,18 @@
 		skh_rank_complete_order(&ranks[index], true);
 	}
 
-	void advance_step()
+	void advance_engines()
 	{
-		bool idle = true;
-		bool free_to_run = true;
+		bool all_idle = true;
+		bool none_held = true;
 
 		for (auto &engine : engines) {
-			if (engine.in_step && chance(2) == 0)
+			if (engine.in_step && random_below(2) == 0)
 				engine.in_step = false;
-			idle = idle && !engine.in_step;
-			free_to_run = free_to_run && !engine.held;
+			all_idle = all_idle && !engine.in_step;
+			none_held = none_held && !engine.held;
 		}
-		if (!idle || !free_to_run)
+		if (!all_idle || !none_held)
 			return;
 		steps++;
 		versions_used[engines[0].version]++;
@@ -292,19 +294,19 @@
 	}
 
 	std::mt19937 random;
-	Planted planted;
-	bool faulty = true;
+	PlantedFault planted_fault;
+	bool has_faults = true;
 	std::vector<skh_rank_t> ranks;
 	std::vector<Engine> engines;
 	std::vector<Coordinator> coordinators;
 	std::vector<Message> messages;
-	std::vector<Message> late;
+	std::vector<Message> delayed;
 	uint64_t last_fence = 0;
 	uint64_t last_version = 1;
 };
 
 const uint32_t kSeeds = seeds_or(400);
-constexpr int kEvents = 6000;
+constexpr int kEventsPerRun = 6000;
 
 TEST(ExpertMap, NoStepMixesTwoMapsUnderAnyFault)
 {
@@ -312,30 +314,30 @@
 	size_t switches = 0;
 
 	for (uint32_t seed = 1; seed <= kSeeds; seed++) {
-		World world(seed, 2 + seed % 5, Planted::kNothing);
+		Simulation simulation(seed, 2 + seed % 5, PlantedFault::kNothing);
 
-		world.run(kEvents);
-		ASSERT_EQ(world.violation, "") << "seed " << seed;
-		steps += world.steps;
-		switches += world.versions_used.size();
+		simulation.run(kEventsPerRun);
+		ASSERT_EQ(simulation.violation, "") << "seed " << seed;
+		steps += simulation.steps;
+		switches += simulation.versions_used.size();
 	}
-	/* The runs must have done something worth checking. */
+	/* Guards against runs with too few steps or switches to check. */
 	EXPECT_GT(steps, 10000);
 	EXPECT_GT(switches, kSeeds);
 }
 
-TEST(ExpertMap, OnceFaultsEndASuccessorBringsTheGroupToItsMap)
+TEST(ExpertMap, ASuccessorCompletesItsSwitchOnceFaultsEnd)
 {
 	for (uint32_t seed = 1; seed <= kSeeds; seed++) {
-		World world(seed, 2 + seed % 5, Planted::kNothing);
+		Simulation simulation(seed, 2 + seed % 5, PlantedFault::kNothing);
 
-		world.run(kEvents / 4);
-		EXPECT_TRUE(world.settle()) << "seed " << seed;
-		EXPECT_EQ(world.violation, "") << "seed " << seed;
+		simulation.run(kEventsPerRun / 4);
+		EXPECT_TRUE(simulation.finish_without_faults()) << "seed " << seed;
+		EXPECT_EQ(simulation.violation, "") << "seed " << seed;
 	}
 }
 
-TEST(ExpertMap, ARankThatJoinsDuringASwitchIsGivenNoOrderOfIt)
+TEST(ExpertMap, ARankThatJoinsDuringASwitchReceivesNoOrder)
 {
 	std::unique_ptr<skh_mapswitch_t, decltype(&skh_mapswitch_free)> mapswitch(
 		skh_mapswitch_new(2, 1, 7), skh_mapswitch_free);
@@ -347,16 +349,17 @@
 
 TEST(ExpertMap, TheCheckCatchesPlantedFaults)
 {
-	for (Planted planted : { Planted::kNoHold, Planted::kNoFence, Planted::kEarlyGo }) {
+	for (PlantedFault planted_fault :
+	     { PlantedFault::kNoHold, PlantedFault::kNoFence, PlantedFault::kEarlyGo }) {
 		int caught = 0;
 
 		for (uint32_t seed = 1; seed <= kSeeds; seed++) {
-			World world(seed, 2 + seed % 5, planted);
+			Simulation simulation(seed, 2 + seed % 5, planted_fault);
 
-			world.run(kEvents);
-			caught += !world.violation.empty();
+			simulation.run(kEventsPerRun);
+			caught += !simulation.violation.empty();
 		}
-		EXPECT_GT(caught, 0) << "planted fault " << static_cast<int>(planted);
+		EXPECT_GT(caught, 0) << "planted fault " << static_cast<int>(planted_fault);
 	}
 }
 
