--- a/src/coordinator.c
+++ b/src/coordinator.c
@@ -288,7 +288,7 @@
 		return;
 	update_route(coordinator, rank, status);
 	if (result != SKH_ENGINE_ORDER_ACCEPTED)
-		skh_log(SKH_LOG_INFO, PART, "Order to a rank failed.",
+		skh_log(SKH_LOG_INFO, PART, "Order was not done by the rank.",
 			"rank=%u op=%s status=%d version=%" PRId64 " direct=%d", rank,
 			op_name(coordinator->change.ranks[rank].order_op), status,
 			coordinator->change.version, coordinator->routes[rank].is_direct);
@@ -343,7 +343,7 @@
 	order->n_sets = view->engine_spec.expert_sets;
 	order->n_ranks = view->n_ranks;
 	order->n_slots = view->engine_spec.expert_slots;
-	skh_log(SKH_LOG_DEBUG, PART, "Sent an order to a rank.",
+	skh_log(SKH_LOG_DEBUG, PART, "Order sent to a rank.",
 		"rank=%u op=%s version=%" PRId64 " pass=%" PRId64, rank, op_name(order->op),
 		order->map_version, order->pass);
 	skh_metrics_add(SKH_COUNT_ENGINE_ORDERS, 1);
--- a/src/election.c
+++ b/src/election.c
@@ -48,7 +48,7 @@
 	return __atomic_load_n(&election->stop_requested, __ATOMIC_ACQUIRE);
 }
 
-/* Adds jitter because all ranks see a lapse of the lease at the same time. */
+/* Adds jitter because all ranks see the expiry of the lease at the same time. */
 static void sleep_with_jitter(const skh_election_t *election, int64_t delay_us)
 {
 	int64_t jitter_us = (int64_t)(skh_random_u64() % (uint64_t)delay_us) / 2;
@@ -169,7 +169,7 @@
 	return true;
 }
 
-/* Waits for a change of the holder; times out so that a missed lapse is noticed soon. */
+/* Waits for a change of the holder; times out so that a missed expiry is noticed soon. */
 static bool watch_holder(skh_election_t *election, bool *is_held, skh_error_t *err)
 {
 	skh_store_t *store = election->options.store;
@@ -199,7 +199,7 @@
 	if (succeeded && *is_held)
 		succeeded = watch_holder(election, is_held, &err);
 	if (succeeded && !*is_held) {
-		/* All ranks see the lapse at once; the jittered delay spreads their attempts. */
+		/* All ranks see the expiry at once; the jittered delay spreads their attempts. */
 		sleep_with_jitter(election, RETRY_DELAY_US);
 		succeeded = read_holder(election, is_held, &err) &&
 			    (*is_held || acquire_lease(election, &err));
--- a/src/leader.c
+++ b/src/leader.c
@@ -33,7 +33,7 @@
 static bool record_store_failure(const skh_error_t *err)
 {
 	skh_metrics_add(SKH_COUNT_STORE_FAILED, 1);
-	skh_log(SKH_LOG_WARNING, PART, "Request to the key-value service failed.", "reason=%s",
+	skh_log(SKH_LOG_WARNING, PART, "The key-value service did not answer.", "reason=%s",
 		err->text);
 	return false;
 }
--- a/src/rankrelay.c
+++ b/src/rankrelay.c
@@ -318,7 +318,7 @@
 		start_order(relay, conn, &order, engine);
 		return;
 	}
-	skh_log(SKH_LOG_INFO, PART, "Coordinator's order rejected.", "status=%d bytes=%zu", status,
+	skh_log(SKH_LOG_INFO, PART, "Order rejected.", "status=%d bytes=%zu", status,
 		request->body.len);
 	respond(conn, status);
 }
