--- a/src/instances.c
+++ b/src/instances.c
@@ -8,50 +8,54 @@
 
 #define MAX_TEXT_BYTES 255
 
-typedef struct raw_member {
+/* Fields of the JSON object of one instance; the texts are borrowed from the parsed document. */
+typedef struct instance_fields {
 	const char *role;
 	const char *link;
 	const char *admin;
 	const char *failure_domain;
 	int32_t state;
-} raw_member_t;
+} instance_fields_t;
 
 static const char *const state_choices[] = { "live", "leaving", NULL };
 
-#define TEXT(key, required)                                                                        \
+#define TEXT_FIELD(key, required)                                                                  \
 	{                                                                                          \
-#key, SKH_FIELD_TEXT, required, offsetof(raw_member_t, key), 0, MAX_TEXT_BYTES,    \
-			NULL                                                                       \
+#key, SKH_FIELD_TEXT, required, offsetof(instance_fields_t, key), 0,               \
+			MAX_TEXT_BYTES, NULL                                                       \
 	}
 
-static const skh_field_t member_fields[] = {
-	TEXT(role, true),
-	TEXT(link, false),
-	TEXT(admin, false),
-	TEXT(failure_domain, true),
-	{ "state", SKH_FIELD_CHOICE, true, offsetof(raw_member_t, state), 0, 0, state_choices },
+static const skh_field_t instance_schema[] = {
+	TEXT_FIELD(role, true),
+	TEXT_FIELD(link, false),
+	TEXT_FIELD(admin, false),
+	TEXT_FIELD(failure_domain, true),
+	{ "state", SKH_FIELD_CHOICE, true, offsetof(instance_fields_t, state), 0, 0,
+	  state_choices },
 };
 
-static bool read_member(const char *id, const char *value, skh_instance_t *member)
+static bool parse_instance(const char *id, const char *value, skh_instance_t *instance)
 {
 	skh_error_t err;
 	skh_doc_node_t *node = skh_doc_node_from_json(skh_chunk_from_string(value), &err);
-	skh_validation_errors_t *faults = skh_validation_errors_new();
-	raw_member_t raw = { "", "", "", "", 0 };
-	bool good;
+	skh_validation_errors_t *errors = skh_validation_errors_new();
+	instance_fields_t fields = { "", "", "", "", 0 };
+	bool is_valid;
 
 	if (node)
-		skh_schema_read(node, "", 0, member_fields, G_N_ELEMENTS(member_fields), &raw,
-				faults);
-	good = node && skh_validation_errors_count(faults) == 0;
-	if (good)
-		*member = (skh_instance_t){
-			g_strdup(id),	     g_strdup(raw.role),	   g_strdup(raw.link),
-			g_strdup(raw.admin), g_strdup(raw.failure_domain), raw.state == 1
-		};
-	skh_validation_errors_free(faults);
+		skh_schema_read(node, "", 0, instance_schema, G_N_ELEMENTS(instance_schema),
+				&fields, errors);
+	is_valid = node && skh_validation_errors_count(errors) == 0;
+	if (is_valid)
+		*instance = (skh_instance_t){ g_strdup(id),
+					      g_strdup(fields.role),
+					      g_strdup(fields.link),
+					      g_strdup(fields.admin),
+					      g_strdup(fields.failure_domain),
+					      fields.state == 1 };
+	skh_validation_errors_free(errors);
 	skh_doc_node_free(node);
-	return good;
+	return is_valid;
 }
 
 static int compare_ids(const void *a, const void *b)
@@ -59,62 +63,64 @@
 	return strcmp(((const skh_instance_t *)a)->id, ((const skh_instance_t *)b)->id);
 }
 
-skh_instances_t *skh_instances_parse(const skh_kv_pairs_t *pairs, const char *prefix, size_t *n_bad)
+skh_instances_t *skh_instances_parse(const skh_kv_pairs_t *pairs, const char *prefix,
+				     size_t *n_invalid)
 {
-	skh_instances_t *members = g_new0(skh_instances_t, 1);
+	skh_instances_t *instances = g_new0(skh_instances_t, 1);
 
-	*n_bad = 0;
-	members->list = g_new0(skh_instance_t, pairs->count);
+	*n_invalid = 0;
+	instances->list = g_new0(skh_instance_t, pairs->count);
 	for (size_t i = 0; i < pairs->count; i++) {
 		const char *id = pairs->list[i].key + strlen(prefix);
 
-		if (read_member(id, pairs->list[i].value, &members->list[members->count]))
-			members->count++;
+		if (parse_instance(id, pairs->list[i].value, &instances->list[instances->count]))
+			instances->count++;
 		else
-			(*n_bad)++;
+			(*n_invalid)++;
 	}
-	if (members->count > 0)
-		qsort(members->list, members->count, sizeof(skh_instance_t), compare_ids);
-	return members;
+	if (instances->count > 0)
+		qsort(instances->list, instances->count, sizeof(skh_instance_t), compare_ids);
+	return instances;
 }
 
-const skh_instance_t *skh_instances_find(const skh_instances_t *members, const char *id)
+const skh_instance_t *skh_instances_find(const skh_instances_t *instances, const char *id)
 {
-	const skh_instance_t wanted = { .id = (char *)id };
+	const skh_instance_t key = { .id = (char *)id };
 
-	if (members->count == 0)
+	if (instances->count == 0)
 		return NULL;
-	return bsearch(&wanted, members->list, members->count, sizeof(skh_instance_t), compare_ids);
+	return bsearch(&key, instances->list, instances->count, sizeof(skh_instance_t),
+		       compare_ids);
 }
 
-size_t skh_instances_count_role(const skh_instances_t *members, const char *role)
+size_t skh_instances_count_role(const skh_instances_t *instances, const char *role)
 {
 	size_t count = 0;
 
-	for (size_t i = 0; i < members->count; i++)
-		count += strcmp(members->list[i].role, role) == 0 && !members->list[i].leaving;
+	for (size_t i = 0; i < instances->count; i++)
+		count += strcmp(instances->list[i].role, role) == 0 && !instances->list[i].leaving;
 	return count;
 }
 
-void skh_instances_clear(skh_instances_t *members)
+void skh_instances_clear(skh_instances_t *instances)
 {
-	for (size_t i = 0; i < members->count; i++) {
-		skh_instance_t *member = &members->list[i];
-
-		g_free(member->id);
-		g_free(member->role);
-		g_free(member->link_address);
-		g_free(member->admin_address);
-		g_free(member->failure_domain);
+	for (size_t i = 0; i < instances->count; i++) {
+		skh_instance_t *instance = &instances->list[i];
+
+		g_free(instance->id);
+		g_free(instance->role);
+		g_free(instance->link_address);
+		g_free(instance->admin_address);
+		g_free(instance->failure_domain);
 	}
-	g_free(members->list);
-	*members = (skh_instances_t){ 0 };
+	g_free(instances->list);
+	*instances = (skh_instances_t){ 0 };
 }
 
-void skh_instances_free(skh_instances_t *members)
+void skh_instances_free(skh_instances_t *instances)
 {
-	if (!members)
+	if (!instances)
 		return;
-	skh_instances_clear(members);
-	g_free(members);
+	skh_instances_clear(instances);
+	g_free(instances);
 }
