--- a/src/rank_liveness.c
+++ b/src/rank_liveness.c
@@ -1,19 +1,22 @@
 #include "rank_liveness.h"
 
-/* Other ranks moved within this: a pass lasts 50 to 300 ms. */
-#define GROUP_MOVES_US ((int64_t)350000)
-/* A stream gets an event in each pass; callers give it up after 2 s without one. */
-#define STREAM_SILENT_US ((int64_t)800000)
-/* A request that has not begun may wait for its turn at the rank. */
-#define REQUEST_SILENT_US ((int64_t)1400000)
+/* Another rank must have sent data within this time; a pass takes 50 to 300 ms. */
+#define MAX_GROUP_SILENCE_US ((int64_t)350000)
+/* A stream receives an event in each pass; callers time out after 2 s without one. */
+#define MAX_STREAM_SILENCE_US ((int64_t)800000)
+/* A request without any response data may still be queued at the rank, so it gets more time. */
+#define MAX_REQUEST_SILENCE_US ((int64_t)1400000)
 
 bool skh_rank_liveness_is_unreachable(const skh_rank_liveness_view_t *view)
 {
-	int64_t since_us = view->last_received_us > view->busy_since_us ? view->last_received_us
-									: view->busy_since_us;
-	int64_t patience_us = view->streaming > 0 ? STREAM_SILENT_US : REQUEST_SILENT_US;
+	int64_t silent_since_us = view->last_received_us > view->busy_since_us
+					  ? view->last_received_us
+					  : view->busy_since_us;
+	int64_t max_silence_us =
+		view->streaming > 0 ? MAX_STREAM_SILENCE_US : MAX_REQUEST_SILENCE_US;
 
-	if (view->running == 0 || view->now_us - view->group_last_received_us > GROUP_MOVES_US)
+	if (view->running == 0 ||
+	    view->now_us - view->group_last_received_us > MAX_GROUP_SILENCE_US)
 		return false;
-	return view->now_us - since_us > patience_us;
+	return view->now_us - silent_since_us > max_silence_us;
 }
--- a/src/rank_liveness.h
+++ b/src/rank_liveness.h
@@ -2,13 +2,17 @@
 #define SKH_RANK_LIVENESS_H
 
 /**
- * DOC: A rank that went silent while its group goes on
+ * DOC: Rank liveness
  *
- * Pure. Answers the load pattern of an instance that freezes or is cut off: its
- * engine still takes part in every pass, so that the group goes on, but nothing
- * comes from it. Ranks of a lock-step group begin each pass together; a rank
- * whose streams stand still while those of others move is out of reach, not
- * slow. Its streams go on elsewhere before their callers give them up.
+ * Detects a rank of a lock-step group that has become unreachable while its
+ * group continues. Stateless; callable from any thread.
+ *
+ * The failure is an instance that freezes or loses its network connection: its
+ * engine still takes part in every pass, so the group makes progress, but the
+ * gateway receives nothing from the rank. The ranks of a lock-step group begin
+ * each pass together, so a rank whose streams are silent while streams of other
+ * ranks receive events is unreachable rather than slow. Early detection lets
+ * the streams resume on other ranks before their callers time out.
  */
 
 #include <stdbool.h>
@@ -18,17 +22,23 @@
 extern "C" {
 #endif
 
-/** struct skh_rank_liveness_view - one rank as a gateway sees it */
+/** struct skh_rank_liveness_view - one rank as seen by a gateway; all times on one clock */
 typedef struct skh_rank_liveness_view {
-	uint32_t running;		/* requests of this gateway's there */
-	uint32_t streaming;		/* of these, such that have begun to answer */
-	int64_t last_received_us;	/* the last bytes of any answer of the rank's */
-	int64_t busy_since_us;		/* it has had some request of ours since */
-	int64_t group_last_received_us; /* the last event from any other rank */
+	uint32_t running;		/* requests of this gateway at the rank */
+	uint32_t streaming;		/* requests among @running whose response has begun */
+	int64_t last_received_us;	/* last bytes of any response from the rank */
+	int64_t busy_since_us;		/* since when the rank has had requests of this gateway */
+	int64_t group_last_received_us; /* last bytes of any response from any other rank */
 	int64_t now_us;
 } skh_rank_liveness_view_t;
 
-/** skh_rank_liveness_is_unreachable() - the rank is out of reach: what it has goes on elsewhere */
+/**
+ * skh_rank_liveness_is_unreachable() - whether a rank with requests has been silent for too long
+ * @view: the rank and its group at @view->now_us
+ *
+ * Return: true if the requests of the rank should be moved to other ranks; false if the rank
+ * has no requests or if its whole group is silent.
+ */
 bool skh_rank_liveness_is_unreachable(const skh_rank_liveness_view_t *view);
 
 #ifdef __cplusplus
