--- a/src/rank_poller.c
+++ b/src/rank_poller.c
@@ -6,106 +6,111 @@
 #include <math.h>
 #include <string.h>
 
-#define PART	   "rank"
-#define TIMEOUT_US (400 * SKH_US_PER_MS)
-#define LISTS_US   (50 * SKH_US_PER_MS)
-/* A look that came before the end of its pass is followed by another after this. */
-#define EARLY_US (15 * SKH_US_PER_MS)
-/* A pass lasts 50 to 300 ms; its length is followed over about so many. */
-#define FIRST_PASS_US (60 * SKH_US_PER_MS)
-#define MOST_PASS_US  (300 * SKH_US_PER_MS)
-#define PASS_MEMORY   4
+#define PART		   "rank"
+#define REQUEST_TIMEOUT_US (400 * SKH_US_PER_MS)
+/* Period at which the map is polled until it matches the report. */
+#define MAP_PERIOD_US (50 * SKH_US_PER_MS)
+/* Delay before counts are read again after a read that came before the end of a pass. */
+#define COUNTS_RETRY_US (15 * SKH_US_PER_MS)
+/* A pass takes 50 to 300 ms. Its duration is averaged over about PASS_WINDOW_PASSES passes. */
+#define INITIAL_PASS_US	   (60 * SKH_US_PER_MS)
+#define MAX_PASS_US	   (300 * SKH_US_PER_MS)
+#define PASS_WINDOW_PASSES 4
 
-typedef enum ask {
-	ASK_REPORT,
-	ASK_COUNTS,
-	ASK_LISTS,
-	ASK_KINDS
-} ask_t;
+typedef enum poll_kind {
+	POLL_REPORT,
+	POLL_COUNTS,
+	POLL_MAP,
+	POLL_KIND_COUNT
+} poll_kind_t;
 
 struct skh_rank_poller {
 	skh_engine_client_t *client;
 	const skh_dialect_t *dialect;
 	const skh_rank_poller_ops_t *ops;
 	void *context;
-	bool has_shape;
-	skh_engine_spec_t shape;
-	skh_rank_snapshot_t news;
-	double *seen; /* counts at the last look; NULL before the shape is known */
-	double *more; /* since the look before */
-	uint32_t n_seen;
-	bool has_seen;
-	int64_t seen_pass;
-	int64_t seen_epoch;
-	int64_t looked_us; /* when a pass was last seen to have ended */
-	int64_t pass_us;   /* about how long it lasts */
-	bool asked[ASK_KINDS];
-	int64_t next_us[ASK_KINDS];
-	int64_t report_us;
-	bool lost; /* the engine does not answer */
+	bool has_engine_spec;
+	skh_engine_spec_t engine_spec;
+	skh_rank_snapshot_t snapshot;
+	double *last_counts;  /* counts at the last read; NULL before the engine spec is known */
+	double *count_deltas; /* difference between the last two reads */
+	uint32_t n_counts;    /* entries of @last_counts and of @count_deltas */
+	bool has_last_counts;
+	int64_t last_counts_pass;
+	int64_t last_counts_epoch;
+	int64_t pass_end_seen_us; /* when a read last found that a pass had ended */
+	int64_t pass_duration_us; /* moving average */
+	bool is_in_flight[POLL_KIND_COUNT];
+	int64_t next_poll_us[POLL_KIND_COUNT];
+	int64_t report_period_us;
+	bool has_poll_failed; /* the last response was an error, or none arrived */
 };
 
 skh_rank_poller_t *skh_rank_poller_new(skh_engine_client_t *client, const skh_dialect_t *dialect,
 				       const skh_rank_poller_ops_t *ops, void *context)
 {
-	skh_rank_poller_t *watch = g_new0(skh_rank_poller_t, 1);
+	skh_rank_poller_t *poller = g_new0(skh_rank_poller_t, 1);
 
-	watch->client = client;
-	watch->dialect = dialect;
-	watch->ops = ops;
-	watch->context = context;
-	watch->pass_us = FIRST_PASS_US;
-	return watch;
+	poller->client = client;
+	poller->dialect = dialect;
+	poller->ops = ops;
+	poller->context = context;
+	poller->pass_duration_us = INITIAL_PASS_US;
+	return poller;
 }
 
-void skh_rank_poller_free(skh_rank_poller_t *watch)
+void skh_rank_poller_free(skh_rank_poller_t *poller)
 {
-	g_free(watch->news.map);
-	g_free(watch->seen);
-	g_free(watch->more);
-	g_free(watch);
+	g_free(poller->snapshot.map);
+	g_free(poller->last_counts);
+	g_free(poller->count_deltas);
+	g_free(poller);
 }
 
-void skh_rank_poller_set_engine_spec(skh_rank_poller_t *watch, const skh_engine_spec_t *shape)
+void skh_rank_poller_set_engine_spec(skh_rank_poller_t *poller, const skh_engine_spec_t *spec)
 {
-	if (watch->has_shape || shape->expert_sets == 0)
+	if (poller->has_engine_spec || spec->expert_sets == 0)
 		return;
-	watch->has_shape = true;
-	watch->shape = *shape;
-	watch->news.n_map = shape->expert_sets * shape->expert_slots;
-	watch->news.map = g_new0(uint32_t, watch->news.n_map);
-	watch->n_seen = shape->expert_sets * shape->experts_per_set;
-	watch->seen = g_new0(double, watch->n_seen);
-	watch->more = g_new0(double, watch->n_seen);
+	poller->has_engine_spec = true;
+	poller->engine_spec = *spec;
+	poller->snapshot.n_map = spec->expert_sets * spec->expert_slots;
+	poller->snapshot.map = g_new0(uint32_t, poller->snapshot.n_map);
+	poller->n_counts = spec->expert_sets * spec->experts_per_set;
+	poller->last_counts = g_new0(double, poller->n_counts);
+	poller->count_deltas = g_new0(double, poller->n_counts);
 }
 
-/* A rank's pace that changes by less is no news. */
-#define PACE_NEWS 0.1
+/* A smaller relative change of a rank's slowdown doesn't count as a change of its state. */
+#define SLOWDOWN_CHANGE_RATIO 0.1
 
-static bool differs(const skh_engine_report_t *a, const skh_engine_report_t *b)
+static bool has_state_changed(const skh_engine_report_t *a, const skh_engine_report_t *b)
 {
-	return fabs(a->slowdown - b->slowdown) > PACE_NEWS * b->slowdown || a->epoch != b->epoch ||
-	       a->group_open != b->group_open || a->map_version != b->map_version ||
-	       a->prepared_version != b->prepared_version || a->armed_version != b->armed_version ||
-	       a->held_pass != b->held_pass || a->rank != b->rank;
+	return fabs(a->slowdown - b->slowdown) > SLOWDOWN_CHANGE_RATIO * b->slowdown ||
+	       a->epoch != b->epoch || a->group_open != b->group_open ||
+	       a->map_version != b->map_version || a->prepared_version != b->prepared_version ||
+	       a->armed_version != b->armed_version || a->held_pass != b->held_pass ||
+	       a->rank != b->rank;
 }
 
-static void take_report(skh_rank_poller_t *watch, skh_chunk_t body)
+static void handle_report(skh_rank_poller_t *poller, skh_chunk_t body)
 {
 	skh_engine_report_t report;
 	skh_error_t err;
 	bool changed;
-	bool formed;
+	bool group_changed;
 
-	if (!watch->dialect->read_report(body, &report, &err)) {
-		skh_log(SKH_LOG_WARNING, PART, "Report not read.", "reason=%s", err.text);
+	if (!poller->dialect->read_report(body, &report, &err)) {
+		skh_log(SKH_LOG_WARNING, PART, "Engine report could not be parsed.", "reason=%s",
+			err.text);
 		return;
 	}
-	changed = !watch->news.has_report || differs(&report, &watch->news.report);
-	formed = !watch->news.has_report || report.epoch != watch->news.report.epoch ||
-		 report.group_open != watch->news.report.group_open;
+	changed = !poller->snapshot.has_report ||
+		  has_state_changed(&report, &poller->snapshot.report);
+	group_changed = !poller->snapshot.has_report ||
+			report.epoch != poller->snapshot.report.epoch ||
+			report.group_open != poller->snapshot.report.group_open;
 	if (changed)
-		skh_log(formed ? SKH_LOG_INFO : SKH_LOG_DEBUG, PART, "Engine's state.",
+		skh_log(group_changed ? SKH_LOG_INFO : SKH_LOG_DEBUG, PART, "Engine state changed.",
 			"group=%s rank=%u size=%u epoch=%" G_GINT64_FORMAT
 			" open=%d pass=%" G_GINT64_FORMAT " map=%" G_GINT64_FORMAT
 			" prepared=%" G_GINT64_FORMAT " armed=%" G_GINT64_FORMAT
@@ -114,153 +119,166 @@
 			report.epoch, report.group_open, report.pass, report.map_version,
 			report.prepared_version, report.armed_version, report.held_pass,
 			report.slowdown);
-	watch->news.has_report = true;
-	watch->news.report = report;
-	watch->news.reported_us = skh_clock_boot_us();
-	if (report.map_version != watch->news.map_version || report.epoch != watch->news.map_epoch)
-		watch->news.has_map = false;
+	poller->snapshot.has_report = true;
+	poller->snapshot.report = report;
+	poller->snapshot.reported_us = skh_clock_boot_us();
+	if (report.map_version != poller->snapshot.map_version ||
+	    report.epoch != poller->snapshot.map_epoch)
+		poller->snapshot.has_map = false;
 	if (changed)
-		watch->ops->on_change(watch->context);
+		poller->ops->on_change(poller->context);
 }
 
 /*
- * Counts are read once a pass, so that what is counted before a shift does not mix with
- * what is after. The next look is due when the next pass should have ended.
+ * Counts are read once per pass, so that a sample does not mix counts from before and after
+ * a demand shift. The next read is due when the next pass is expected to have ended.
  */
-static void plan_look(skh_rank_poller_t *watch, bool is_next, int64_t passes, int64_t now_us)
+static void schedule_counts_poll(skh_rank_poller_t *poller, bool has_sample, int64_t passes,
+				 int64_t now_us)
 {
-	int64_t span_us = now_us - watch->looked_us;
+	int64_t elapsed_us = now_us - poller->pass_end_seen_us;
 
-	if (!is_next) {
-		watch->next_us[ASK_COUNTS] = now_us + EARLY_US;
+	if (!has_sample) {
+		poller->next_poll_us[POLL_COUNTS] = now_us + COUNTS_RETRY_US;
 		return;
 	}
-	/* A group that stood still does not tell how long a pass lasts. */
-	if (span_us < passes * MOST_PASS_US)
-		watch->pass_us += (span_us / passes - watch->pass_us) / PASS_MEMORY;
-	watch->looked_us = now_us;
-	watch->next_us[ASK_COUNTS] = now_us + watch->pass_us;
+	/* A longer interval includes time in which the group was idle or held. */
+	if (elapsed_us < passes * MAX_PASS_US)
+		poller->pass_duration_us +=
+			(elapsed_us / passes - poller->pass_duration_us) / PASS_WINDOW_PASSES;
+	poller->pass_end_seen_us = now_us;
+	poller->next_poll_us[POLL_COUNTS] = now_us + poller->pass_duration_us;
 }
 
-/* What was counted since the last look; false for the first of an engine's start. */
-static bool find_more(skh_rank_poller_t *watch, const skh_engine_counts_t *counts)
+/*
+ * Computes the counts since the last read. Returns false if they are not usable: no pass has
+ * ended, or the last read is missing, of another epoch or from before a restart of the engine.
+ */
+static bool compute_count_deltas(skh_rank_poller_t *poller, const skh_engine_counts_t *counts)
 {
-	bool is_next = watch->has_seen && counts->epoch == watch->seen_epoch &&
-		       counts->pass > watch->seen_pass;
+	bool has_sample = poller->has_last_counts && counts->epoch == poller->last_counts_epoch &&
+			  counts->pass > poller->last_counts_pass;
 
-	for (uint32_t i = 0; i < watch->n_seen; i++) {
-		watch->more[i] = counts->counts[i] - watch->seen[i];
-		/* An engine that restarted counts from nothing. */
-		is_next = is_next && watch->more[i] >= 0.0;
-		watch->seen[i] = counts->counts[i];
+	for (uint32_t i = 0; i < poller->n_counts; i++) {
+		poller->count_deltas[i] = counts->counts[i] - poller->last_counts[i];
+		/* Counts of a restarted engine begin at 0. */
+		has_sample = has_sample && poller->count_deltas[i] >= 0.0;
+		poller->last_counts[i] = counts->counts[i];
 	}
-	return is_next;
+	return has_sample;
 }
 
-static void take_counts(skh_rank_poller_t *watch, skh_chunk_t body)
+static void handle_counts(skh_rank_poller_t *poller, skh_chunk_t body)
 {
 	skh_engine_counts_t counts;
 	skh_error_t err;
 
-	if (!watch->dialect->read_counts(body, &counts, &err)) {
-		skh_log(SKH_LOG_WARNING, PART, "Counts not read.", "reason=%s", err.text);
+	if (!poller->dialect->read_counts(body, &counts, &err)) {
+		skh_log(SKH_LOG_WARNING, PART, "Engine token counts could not be parsed.",
+			"reason=%s", err.text);
 		return;
 	}
-	if (counts.n == watch->n_seen) {
+	if (counts.n == poller->n_counts) {
 		skh_demand_sample_t sample = {
-			.counts = watch->more,
+			.counts = poller->count_deltas,
 			.epoch = counts.epoch,
-			.from_pass = watch->seen_pass,
+			.from_pass = poller->last_counts_pass,
 			.to_pass = counts.pass,
 		};
-		bool is_next = find_more(watch, &counts);
+		bool has_sample = compute_count_deltas(poller, &counts);
 
-		plan_look(watch, is_next, counts.pass - watch->seen_pass, skh_clock_boot_us());
-		watch->has_seen = true;
-		watch->seen_epoch = counts.epoch;
-		watch->seen_pass = counts.pass;
-		if (is_next)
-			watch->ops->on_counts(watch->context, &sample);
+		schedule_counts_poll(poller, has_sample, counts.pass - poller->last_counts_pass,
+				     skh_clock_boot_us());
+		poller->has_last_counts = true;
+		poller->last_counts_epoch = counts.epoch;
+		poller->last_counts_pass = counts.pass;
+		if (has_sample)
+			poller->ops->on_counts(poller->context, &sample);
 	} else {
-		skh_log(SKH_LOG_WARNING, PART, "Counts do not fit.", "counts=%u expected=%u",
-			counts.n, watch->n_seen);
+		skh_log(SKH_LOG_WARNING, PART,
+			"Engine token counts ignored: their number does not match the engine spec.",
+			"counts=%u expected=%u", counts.n, poller->n_counts);
 	}
 	g_free(counts.counts);
 }
 
-static void take_lists(skh_rank_poller_t *watch, skh_chunk_t body)
+static void handle_map(skh_rank_poller_t *poller, skh_chunk_t body)
 {
 	int64_t version;
 	skh_error_t err;
 
-	if (!watch->dialect->read_map(body, watch->shape.expert_sets, watch->shape.expert_slots,
-				      watch->news.map, &version, &err)) {
-		skh_log(SKH_LOG_WARNING, PART, "Map not read.", "reason=%s", err.text);
+	if (!poller->dialect->read_map(body, poller->engine_spec.expert_sets,
+				       poller->engine_spec.expert_slots, poller->snapshot.map,
+				       &version, &err)) {
+		skh_log(SKH_LOG_WARNING, PART, "Engine expert map could not be parsed.",
+			"reason=%s", err.text);
 		return;
 	}
-	/* The map may have changed between the report and now. */
-	if (version != watch->news.report.map_version)
+	/* The map has changed since the report was read; poll it again. */
+	if (version != poller->snapshot.report.map_version)
 		return;
-	watch->news.has_map = true;
-	watch->news.map_version = version;
-	watch->news.map_epoch = watch->news.report.epoch;
-	watch->ops->on_change(watch->context);
+	poller->snapshot.has_map = true;
+	poller->snapshot.map_version = version;
+	poller->snapshot.map_epoch = poller->snapshot.report.epoch;
+	poller->ops->on_change(poller->context);
 }
 
-static void on_answer(void *context, uint32_t tag, int32_t status, skh_chunk_t body);
+static void on_response(void *context, uint32_t tag, int32_t status, skh_chunk_t body);
 
-static void ask(skh_rank_poller_t *watch, ask_t what, const char *path, int64_t period_us,
-		int64_t now_us)
+static void poll_if_due(skh_rank_poller_t *poller, poll_kind_t kind, const char *path,
+			int64_t period_us, int64_t now_us)
 {
-	if (watch->asked[what] || now_us < watch->next_us[what])
+	if (poller->is_in_flight[kind] || now_us < poller->next_poll_us[kind])
 		return;
-	watch->asked[what] = true;
-	watch->next_us[what] = now_us + period_us;
-	skh_engine_client_get(watch->client, path, TIMEOUT_US, what, on_answer, watch);
+	poller->is_in_flight[kind] = true;
+	poller->next_poll_us[kind] = now_us + period_us;
+	skh_engine_client_get(poller->client, path, REQUEST_TIMEOUT_US, kind, on_response, poller);
 }
 
-static void on_answer(void *context, uint32_t tag, int32_t status, skh_chunk_t body)
+static void on_response(void *context, uint32_t tag, int32_t status, skh_chunk_t body)
 {
-	skh_rank_poller_t *watch = context;
+	skh_rank_poller_t *poller = context;
 
-	watch->asked[tag] = false;
+	poller->is_in_flight[tag] = false;
 	if (status != 200) {
-		if (!watch->lost)
-			skh_log(SKH_LOG_WARNING, PART, "Engine does not answer.", "status=%d",
+		if (!poller->has_poll_failed)
+			skh_log(SKH_LOG_WARNING, PART, "Engine poll failed; retrying.", "status=%d",
 				status);
-		watch->lost = true;
+		poller->has_poll_failed = true;
 		return;
 	}
-	if (watch->lost)
-		skh_log(SKH_LOG_INFO, PART, "Engine answers again.", "status=%d", status);
-	watch->lost = false;
-	if (tag == ASK_REPORT)
-		take_report(watch, body);
-	else if (tag == ASK_COUNTS)
-		take_counts(watch, body);
+	if (poller->has_poll_failed)
+		skh_log(SKH_LOG_INFO, PART, "Engine poll succeeded again.", "status=%d", status);
+	poller->has_poll_failed = false;
+	if (tag == POLL_REPORT)
+		handle_report(poller, body);
+	else if (tag == POLL_COUNTS)
+		handle_counts(poller, body);
 	else
-		take_lists(watch, body);
+		handle_map(poller, body);
 }
 
-void skh_rank_poller_set_report_period(skh_rank_poller_t *watch, int64_t report_us)
+void skh_rank_poller_set_report_period(skh_rank_poller_t *poller, int64_t period_us)
 {
-	/* What was to come late comes sooner. */
-	if (report_us < watch->report_us)
-		watch->next_us[ASK_REPORT] = 0;
-	watch->report_us = report_us;
+	/* Applies a shorter period at once instead of after the poll already scheduled. */
+	if (period_us < poller->report_period_us)
+		poller->next_poll_us[POLL_REPORT] = 0;
+	poller->report_period_us = period_us;
 }
 
-void skh_rank_poller_tick(skh_rank_poller_t *watch, int64_t now_us)
+void skh_rank_poller_tick(skh_rank_poller_t *poller, int64_t now_us)
 {
-	ask(watch, ASK_REPORT, watch->dialect->report_path, watch->report_us, now_us);
-	if (!watch->has_shape || !watch->news.has_report)
+	poll_if_due(poller, POLL_REPORT, poller->dialect->report_path, poller->report_period_us,
+		    now_us);
+	if (!poller->has_engine_spec || !poller->snapshot.has_report)
 		return;
-	ask(watch, ASK_COUNTS, watch->dialect->counts_path, watch->pass_us, now_us);
-	if (!watch->news.has_map)
-		ask(watch, ASK_LISTS, watch->dialect->map_path, LISTS_US, now_us);
+	poll_if_due(poller, POLL_COUNTS, poller->dialect->counts_path, poller->pass_duration_us,
+		    now_us);
+	if (!poller->snapshot.has_map)
+		poll_if_due(poller, POLL_MAP, poller->dialect->map_path, MAP_PERIOD_US, now_us);
 }
 
-const skh_rank_snapshot_t *skh_rank_poller_snapshot(const skh_rank_poller_t *watch)
+const skh_rank_snapshot_t *skh_rank_poller_snapshot(const skh_rank_poller_t *poller)
 {
-	return &watch->news;
+	return &poller->snapshot;
 }
