--- a/src/group_member.c
+++ b/src/group_member.c
@@ -206,7 +206,7 @@
 {
 	if (skh_mapswitch_is_done(member->mapswitch)) {
 		member->completed_version = skh_mapswitch_version(member->mapswitch);
-		skh_log(SKH_LOG_INFO, PART, "All ranks of the group run on the same map.",
+		skh_log(SKH_LOG_INFO, PART, "Every rank of the group runs on the same map.",
 			"group=%s version=%" PRIu64 " fence=%" PRIu64,
 			member->settings->backend_group, member->completed_version,
 			member->switch_fence);
