--- a/src/downstream.h
+++ b/src/downstream.h
@@ -4,9 +4,10 @@
 /**
  * DOC: Connections from callers
  *
- * Listens, reads one request at a time from each connection and hands it on
- * when it is whole. The connection is read on while the request is served, so
- * that a caller who leaves is seen at once. Runs on the event loop's thread.
+ * An HTTP/1.1 server: listens, reads one request at a time from each connection
+ * and hands complete requests to its callbacks. Owns the connections. Reading
+ * continues while a request is served, so that a caller that disconnects is
+ * noticed at once. Runs on the event loop's thread.
  */
 
 #include "http_message.h"
@@ -21,68 +22,89 @@
 typedef struct skh_listener skh_listener_t;
 typedef struct skh_caller_conn skh_caller_conn_t;
 
-/** struct skh_listener_ops - told by the listener */
+/** struct skh_listener_ops - callbacks of a listener; run on the loop's thread */
 typedef struct skh_listener_ops {
-	/* A whole request; its answer is due. Valid until the answer ends. */
+	/*
+	 * Request complete; a response is expected.
+	 * @conn, @request: valid until the response ends or on_disconnect() returns.
+	 */
 	void (*on_request)(void *context, skh_caller_conn_t *conn,
 			   const skh_http_message_t *request);
-	/* The caller has left before its answer ended. */
+	/* Caller disconnected before the response ended. Last callback for @exchange. */
 	void (*on_disconnect)(void *context, void *exchange);
-	/* What the caller was sent has gone out, after skh_caller_conn_has_write_backlog(). */
+	/* Write backlog reported by skh_caller_conn_has_write_backlog() has drained. */
 	void (*on_writable)(void *context, void *exchange);
 } skh_listener_ops_t;
 
-/** skh_listener_start() - listen on "address:port"; NULL with @err */
+/**
+ * skh_listener_start() - listen for callers
+ * @address: "address:port", IPv4
+ * @ops: borrowed for the listener's lifetime
+ * @err: set to SKH_CONFIG_INVALID when the address is invalid or can't be bound
+ *
+ * Return: the listener; stop with skh_listener_close(), then free with
+ * skh_listener_free(). NULL on error.
+ */
 skh_listener_t *skh_listener_start(uv_loop_t *loop, const char *address,
 				   const skh_listener_ops_t *ops, void *context, skh_error_t *err);
 
-/** skh_listener_set_limits() - for requests that are read from now on */
+/** skh_listener_set_limits() - set the limits of requests that are read from now on */
 void skh_listener_set_limits(skh_listener_t *listener, const skh_caller_limits_t *limits);
 
-/** skh_listener_drain() - answers end their connections; idle ones are closed */
+/** skh_listener_drain() - close idle connections within a second, others after their response */
 void skh_listener_drain(skh_listener_t *listener);
 
-/** skh_listener_set_close_after_response() - while @away, answers end their connections: others serve better */
-void skh_listener_set_close_after_response(skh_listener_t *listener, bool away);
+/**
+ * skh_listener_set_close_after_response() - set whether each response ends its connection
+ * @close_after_response: true to make callers reconnect, when other gateways serve them better
+ */
+void skh_listener_set_close_after_response(skh_listener_t *listener, bool close_after_response);
 
-/** skh_listener_stop_accepting() - new connections are refused; open ones go on */
+/** skh_listener_stop_accepting() - reject new connections; open ones continue */
 void skh_listener_stop_accepting(skh_listener_t *listener);
 
-/** skh_listener_close() - accept nothing more and close every connection */
+/**
+ * skh_listener_close() - stop accepting and close every connection
+ *
+ * Calls on_disconnect() for each request that is still being served.
+ */
 void skh_listener_close(skh_listener_t *listener);
 
-/** skh_listener_count_connections() - connections that are open */
+/** skh_listener_count_connections() - number of open connections */
 uint32_t skh_listener_count_connections(const skh_listener_t *listener);
 
-/** skh_listener_free() - after the loop has run out of handles */
+/** skh_listener_free() - free a closed listener, after its handles have left the loop */
 void skh_listener_free(skh_listener_t *listener);
 
-/** skh_caller_conn_set_exchange() - @exchange is told of by on_gone() and on_drained() */
+/** skh_caller_conn_set_exchange() - set the @exchange of on_disconnect() and on_writable() */
 void skh_caller_conn_set_exchange(skh_caller_conn_t *conn, void *exchange);
 
-/** skh_caller_conn_received_us() - when the first byte of the request was read; boot clock */
+/** skh_caller_conn_received_us() - time when the request's first byte was read; boot clock */
 int64_t skh_caller_conn_received_us(const skh_caller_conn_t *conn);
 
-/** struct skh_response_head - an answer that begins; @headers end with CRLF each */
+/** struct skh_response_head - status line and headers of a response */
 typedef struct skh_response_head {
 	int32_t status;
 	const char *reason;
-	const char *headers;
-	bool chunked; /* else @content_length bytes follow */
-	size_t content_length;
-	bool no_body; /* the request was HEAD, or the status allows none */
+	const char *headers;   /* complete lines, each with CRLF */
+	bool chunked;	       /* chunked transfer encoding; false for Content-Length */
+	size_t content_length; /* bytes of the body; unused if chunked */
+	bool no_body;	       /* response to HEAD, or a status without a body */
 } skh_response_head_t;
 
+/** skh_caller_conn_begin_response() - write status line and headers; @head is borrowed */
 void skh_caller_conn_begin_response(skh_caller_conn_t *conn, const skh_response_head_t *head);
+
+/** skh_caller_conn_write() - write a part of the body; @bytes are copied */
 void skh_caller_conn_write(skh_caller_conn_t *conn, skh_chunk_t bytes);
 
-/** skh_caller_conn_end_response() - the answer is whole; the connection reads on or closes */
+/** skh_caller_conn_end_response() - complete the response, then read on or close */
 void skh_caller_conn_end_response(skh_caller_conn_t *conn);
 
-/** skh_caller_conn_abort() - close without an end, so no caller takes it for whole */
+/** skh_caller_conn_abort() - close mid-response, so that the caller sees it as incomplete */
 void skh_caller_conn_abort(skh_caller_conn_t *conn);
 
-/** skh_caller_conn_has_write_backlog() - much that was written has not gone out yet */
+/** skh_caller_conn_has_write_backlog() - true while more than 256 KiB wait to be sent */
 bool skh_caller_conn_has_write_backlog(const skh_caller_conn_t *conn);
 
 #ifdef __cplusplus
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-#define KEEPALIVE_IDLE_S     1 /* probes begin on a connection this long silent */
+#define KEEPALIVE_IDLE_S     1 /* idle time before the first TCP keepalive probe */
 #define KEEPALIVE_INTERVAL_S 1
 #define KEEPALIVE_PROBES     3
 
@@ -23,9 +23,9 @@
 	uv_loop_t *loop;
 	struct sockaddr_in address;
 	const skh_upstream_pool_options_t *options;
-	GQueue idle; /* skh_upstream_t, the last used at the tail */
-	guint users; /* connections that point here */
-	bool freed;
+	GQueue idle;		/* skh_upstream_t; the most recently used at the tail */
+	guint connection_count; /* open connections, which refer to the pool */
+	bool is_freed;
 };
 
 struct skh_upstream {
@@ -34,39 +34,39 @@
 	uv_connect_t connect;
 	skh_upstream_pool_t *pool;
 	state_t state;
-	const skh_upstream_ops_t *ops; /* NULL while nobody listens */
+	const skh_upstream_ops_t *ops; /* NULL while no request is in flight */
 	void *context;
-	skh_http_message_t answer;
-	skh_buffer_t bytes; /* of the request */
+	skh_http_message_t response;
+	skh_buffer_t bytes; /* request not written yet */
 	char *attempt_id;
-	bool head_only;
-	bool handed_over;
-	bool writing;
-	bool skipping; /* the answer that is read belongs to another request */
-	bool dirty;    /* not to be used again */
+	bool is_head_request;
+	bool request_written;
+	bool write_pending;
+	bool skip_response; /* response being read belongs to another request */
+	bool must_close;    /* not reusable for another request */
 	int64_t idle_since_us;
-	int64_t idle_limit_us;
+	int64_t idle_timeout_us;
 	int open_handles;
 };
 
-/* A write outlives its connection's use: it owns its bytes. */
-typedef struct write {
+/* Owns its bytes, because the write may complete after the request has ended. */
+typedef struct write_op {
 	uv_write_t request;
 	skh_upstream_t *upstream;
 	skh_buffer_t bytes;
-} write_t;
+} write_op_t;
 
-static char read_buffer[64 << 10]; /* of the loop's thread; used up before the next read */
-static uint64_t opened;
+static char read_buffer[64 << 10]; /* loop's thread only; consumed within each on_read() */
+static uint64_t opened_count;
 
 uint64_t skh_upstream_pool_opened_count(void)
 {
-	return opened;
+	return opened_count;
 }
 
-static void drop_pool(skh_upstream_pool_t *pool)
+static void free_pool_if_unused(skh_upstream_pool_t *pool)
 {
-	if (pool->freed && pool->users == 0)
+	if (pool->is_freed && pool->connection_count == 0)
 		g_free(pool);
 }
 
@@ -77,12 +77,12 @@
 
 	if (--upstream->open_handles > 0)
 		return;
-	skh_http_message_free(&upstream->answer);
+	skh_http_message_free(&upstream->response);
 	skh_buffer_free(&upstream->bytes);
 	g_free(upstream->attempt_id);
 	g_free(upstream);
-	pool->users--;
-	drop_pool(pool);
+	pool->connection_count--;
+	free_pool_if_unused(pool);
 }
 
 static void close_upstream(skh_upstream_t *upstream)
@@ -97,15 +97,15 @@
 	uv_close((uv_handle_t *)&upstream->timer, on_closed);
 }
 
-static void lose(skh_upstream_t *upstream, skh_upstream_error_t lost)
+static void fail(skh_upstream_t *upstream, skh_upstream_error_t error)
 {
 	const skh_upstream_ops_t *ops = upstream->ops;
 	void *context = upstream->context;
-	bool handed_over = upstream->handed_over;
+	bool request_written = upstream->request_written;
 
 	close_upstream(upstream);
 	if (ops)
-		ops->on_error(context, lost, handed_over);
+		ops->on_error(context, error, request_written);
 }
 
 static void set_socket_options(skh_upstream_t *upstream)
@@ -113,74 +113,80 @@
 	const int idle_s = KEEPALIVE_IDLE_S;
 	const int interval_s = KEEPALIVE_INTERVAL_S;
 	const int probes = KEEPALIVE_PROBES;
-	const int on = 1;
-	unsigned int silence_ms =
+	const int enable = 1;
+	unsigned int unacked_timeout_ms =
 		(unsigned int)(upstream->pool->options->unacked_timeout_us / SKH_US_PER_MS);
 	uv_os_fd_t fd;
 
 	if (uv_fileno((uv_handle_t *)&upstream->tcp, &fd) != 0)
 		return;
 	(void)uv_tcp_nodelay(&upstream->tcp, 1);
-	(void)setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
+	(void)setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &enable, sizeof(enable));
 	(void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s));
 	(void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof(interval_s));
 	(void)setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
-	(void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silence_ms, sizeof(silence_ms));
+	(void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked_timeout_ms,
+			 sizeof(unacked_timeout_ms));
 }
 
 static void on_written(uv_write_t *request, int status)
 {
-	write_t *write = (write_t *)request;
-	skh_upstream_t *upstream = write->upstream;
+	write_op_t *write_op = (write_op_t *)request;
+	skh_upstream_t *upstream = write_op->upstream;
 
-	upstream->writing = false;
-	skh_buffer_free(&write->bytes);
-	g_free(write);
+	upstream->write_pending = false;
+	skh_buffer_free(&write_op->bytes);
+	g_free(write_op);
 	if (status < 0 && status != UV_ECANCELED && upstream->state == STATE_BUSY)
-		lose(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
+		fail(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
 }
 
 static void write_request(skh_upstream_t *upstream)
 {
-	write_t *write = g_new0(write_t, 1);
+	write_op_t *write_op = g_new0(write_op_t, 1);
 	uv_buf_t buffer;
 
-	write->upstream = upstream;
-	write->bytes = upstream->bytes;
+	write_op->upstream = upstream;
+	write_op->bytes = upstream->bytes;
 	upstream->bytes = (skh_buffer_t)SKH_BUFFER_INIT;
-	upstream->handed_over = true;
-	upstream->writing = true;
-	buffer = uv_buf_init((char *)write->bytes.data, (unsigned int)write->bytes.len);
-	if (uv_write(&write->request, (uv_stream_t *)&upstream->tcp, &buffer, 1, on_written) == 0)
+	upstream->request_written = true;
+	upstream->write_pending = true;
+	buffer = uv_buf_init((char *)write_op->bytes.data, (unsigned int)write_op->bytes.len);
+	if (uv_write(&write_op->request, (uv_stream_t *)&upstream->tcp, &buffer, 1, on_written) ==
+	    0)
 		return;
-	upstream->writing = false;
-	skh_buffer_free(&write->bytes);
-	g_free(write);
-	lose(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
+	upstream->write_pending = false;
+	skh_buffer_free(&write_op->bytes);
+	g_free(write_op);
+	fail(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
 }
 
-static void give_buffer(uv_handle_t *handle, size_t wanted, uv_buf_t *buffer)
+static void alloc_buffer(uv_handle_t *handle, size_t suggested_size, uv_buf_t *buffer)
 {
 	(void)handle;
-	(void)wanted;
+	(void)suggested_size;
 	*buffer = uv_buf_init(read_buffer, sizeof(read_buffer));
 }
 
-/* The server says for how long it keeps an idle connection, in whole seconds. */
-static int64_t idle_limit_of(const skh_upstream_t *upstream)
+/* The Keep-Alive header announces the server's idle timeout in seconds. */
+static int64_t choose_idle_timeout_us(const skh_upstream_t *upstream)
 {
-	const char *keep_alive = skh_http_message_header(&upstream->answer, "Keep-Alive");
-	const char *timeout = keep_alive ? strstr(keep_alive, "timeout=") : NULL;
-	int64_t limit_us = upstream->pool->options->idle_timeout_us;
-
-	if (timeout) {
-		int64_t said_us =
-			g_ascii_strtoll(timeout + strlen("timeout="), NULL, 10) * SKH_US_PER_S;
-
-		/* Half of it, as it ends at the server's side and unseen for a while. */
-		limit_us = MIN(limit_us, said_us / 2);
+	const char *keep_alive = skh_http_message_header(&upstream->response, "Keep-Alive");
+	const char *timeout_param = keep_alive ? strstr(keep_alive, "timeout=") : NULL;
+	int64_t timeout_us = upstream->pool->options->idle_timeout_us;
+
+	if (timeout_param) {
+		int64_t server_timeout_us =
+			g_ascii_strtoll(timeout_param + strlen("timeout="), NULL, 10) *
+			SKH_US_PER_S;
+
+		/*
+		 * Half of the announced timeout: the server closes the connection first and the
+		 * close is noticed with a delay.
+		 */
+		timeout_us = MIN(timeout_us, server_timeout_us / 2);
 	}
-	return limit_us;
+	return timeout_us;
 }
 
 static void make_idle(skh_upstream_t *upstream)
@@ -188,9 +194,10 @@
 	skh_upstream_pool_t *pool = upstream->pool;
 
 	upstream->ops = NULL;
-	upstream->idle_limit_us = idle_limit_of(upstream);
-	if (pool->freed || upstream->dirty || upstream->writing || upstream->idle_limit_us <= 0 ||
-	    !skh_http_message_can_keep_alive(&upstream->answer)) {
+	upstream->idle_timeout_us = choose_idle_timeout_us(upstream);
+	if (pool->is_freed || upstream->must_close || upstream->write_pending ||
+	    upstream->idle_timeout_us <= 0 ||
+	    !skh_http_message_can_keep_alive(&upstream->response)) {
 		close_upstream(upstream);
 		return;
 	}
@@ -201,85 +208,85 @@
 		close_upstream(g_queue_peek_head(&pool->idle));
 }
 
-static bool belongs_here(const skh_upstream_t *upstream, const skh_http_message_t *answer)
+static bool is_matching_response(const skh_upstream_t *upstream, const skh_http_message_t *response)
 {
 	const char *id =
-		skh_http_message_header(answer, upstream->pool->options->attempt_id_header);
+		skh_http_message_header(response, upstream->pool->options->attempt_id_header);
 
 	if (!upstream->attempt_id)
 		return true;
-	/* A server that turned a request away may not have read its id. */
+	/* A server that rejects a request may not have read the attempt id. */
 	if (!id)
-		return answer->parser.status_code >= 400;
+		return response->parser.status_code >= 400;
 	return strcmp(id, upstream->attempt_id) == 0;
 }
 
-static bool on_head(void *context, skh_http_message_t *answer)
+static bool on_head(void *context, skh_http_message_t *response)
 {
 	skh_upstream_t *upstream = context;
 
-	answer->skip_body = upstream->head_only;
-	if (answer->parser.status_code < 200)
+	response->skip_body = upstream->is_head_request;
+	if (response->parser.status_code < 200)
 		return true;
-	upstream->skipping = !belongs_here(upstream, answer);
-	if (upstream->skipping)
+	upstream->skip_response = !is_matching_response(upstream, response);
+	if (upstream->skip_response)
 		return true;
-	return upstream->ops->on_head(upstream->context, answer);
+	return upstream->ops->on_head(upstream->context, response);
 }
 
 static void on_body(void *context, skh_chunk_t bytes)
 {
 	skh_upstream_t *upstream = context;
 
-	if (!upstream->skipping && upstream->ops)
+	if (!upstream->skip_response && upstream->ops)
 		upstream->ops->on_body(upstream->context, bytes);
 }
 
-static const skh_http_message_ops_t answer_ops = { .on_head = on_head, .on_body = on_body };
+static const skh_http_message_ops_t response_ops = { .on_head = on_head, .on_body = on_body };
 
-static void expect_answer(skh_upstream_t *upstream)
+static void reset_response(skh_upstream_t *upstream)
 {
-	upstream->skipping = false;
-	skh_http_message_reset(&upstream->answer, HTTP_RESPONSE, &answer_ops, upstream);
+	upstream->skip_response = false;
+	skh_http_message_reset(&upstream->response, HTTP_RESPONSE, &response_ops, upstream);
 }
 
-/* True when reading goes on: what was read was an interim answer, or another's. */
-static bool end_answer(skh_upstream_t *upstream)
+/* Returns true to read on: an interim response or a response to another request was skipped. */
+static bool finish_response(skh_upstream_t *upstream)
 {
 	const skh_upstream_ops_t *ops = upstream->ops;
 	void *context = upstream->context;
 
-	if (upstream->skipping || upstream->answer.parser.status_code < 200) {
-		upstream->dirty = upstream->dirty || upstream->skipping;
-		expect_answer(upstream);
+	if (upstream->skip_response || upstream->response.parser.status_code < 200) {
+		upstream->must_close = upstream->must_close || upstream->skip_response;
+		reset_response(upstream);
 		return true;
 	}
 	upstream->ops = NULL;
-	ops->on_end(context, &upstream->answer);
+	ops->on_end(context, &upstream->response);
 	return false;
 }
 
-static void take_bytes(skh_upstream_t *upstream, skh_chunk_t bytes)
+static void parse_bytes(skh_upstream_t *upstream, skh_chunk_t bytes)
 {
 	while (bytes.len > 0) {
 		skh_error_t err;
-		size_t used;
-		bool valid = skh_http_message_feed(&upstream->answer, bytes, &used, &err);
+		size_t consumed;
+		bool is_valid = skh_http_message_feed(&upstream->response, bytes, &consumed, &err);
 
-		/* The listener may have cancelled. */
+		/* A callback may have canceled the request. */
 		if (upstream->state == STATE_CLOSED)
 			return;
-		if (!valid) {
-			lose(upstream, SKH_UPSTREAM_ERROR_INVALID_RESPONSE);
+		if (!is_valid) {
+			fail(upstream, SKH_UPSTREAM_ERROR_INVALID_RESPONSE);
 			return;
 		}
-		bytes = skh_chunk_make(bytes.data + used, bytes.len - used);
-		if (!upstream->answer.done)
+		bytes = skh_chunk_make(bytes.data + consumed, bytes.len - consumed);
+		if (!upstream->response.done)
 			continue;
-		if (end_answer(upstream))
+		if (finish_response(upstream))
 			continue;
-		/* Bytes behind a whole answer belong to no request. */
-		upstream->dirty = upstream->dirty || bytes.len > 0;
+		/* Bytes behind a complete response belong to no request. */
+		upstream->must_close = upstream->must_close || bytes.len > 0;
 		if (upstream->state != STATE_CLOSED)
 			make_idle(upstream);
 		return;
@@ -287,10 +294,10 @@
 }
 
 /*
- * libuv reports an end for a hang-up without asking for the reason. An answer
- * without a length that is cut by a reset must not be taken for whole.
+ * libuv reports UV_EOF for a hang-up without reading the socket error. A response
+ * without Content-Length ends with its connection, so a reset must not pass for EOF.
  */
-static bool ended_cleanly(const skh_upstream_t *upstream)
+static bool is_clean_eof(const skh_upstream_t *upstream)
 {
 	int error = 0;
 	socklen_t len = sizeof(error);
@@ -303,28 +310,28 @@
 	return recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-static void on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buffer)
+static void on_read(uv_stream_t *stream, ssize_t n_read, const uv_buf_t *buffer)
 {
 	skh_upstream_t *upstream = stream->data;
 
-	if (n == 0)
+	if (n_read == 0)
 		return;
 	if (upstream->state == STATE_IDLE) {
 		close_upstream(upstream);
 		return;
 	}
-	if (n > 0) {
-		take_bytes(upstream, skh_chunk_make(buffer->base, (size_t)n));
+	if (n_read > 0) {
+		parse_bytes(upstream, skh_chunk_make(buffer->base, (size_t)n_read));
 		return;
 	}
-	if (n == UV_EOF && !upstream->skipping && ended_cleanly(upstream) &&
-	    skh_http_message_feed_eof(&upstream->answer)) {
-		upstream->dirty = true;
-		(void)end_answer(upstream);
+	if (n_read == UV_EOF && !upstream->skip_response && is_clean_eof(upstream) &&
+	    skh_http_message_feed_eof(&upstream->response)) {
+		upstream->must_close = true;
+		(void)finish_response(upstream);
 		close_upstream(upstream);
 		return;
 	}
-	lose(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
+	fail(upstream, SKH_UPSTREAM_ERROR_CONNECTION_CLOSED);
 }
 
 static void on_connected(uv_connect_t *request, int status)
@@ -334,28 +341,28 @@
 	if (upstream->state == STATE_CLOSED)
 		return;
 	if (status < 0) {
-		lose(upstream, SKH_UPSTREAM_ERROR_UNREACHABLE);
+		fail(upstream, SKH_UPSTREAM_ERROR_UNREACHABLE);
 		return;
 	}
 	(void)uv_timer_stop(&upstream->timer);
 	upstream->state = STATE_BUSY;
 	set_socket_options(upstream);
-	(void)uv_read_start((uv_stream_t *)&upstream->tcp, give_buffer, on_read);
+	(void)uv_read_start((uv_stream_t *)&upstream->tcp, alloc_buffer, on_read);
 	write_request(upstream);
 }
 
 static void on_connect_timeout(uv_timer_t *timer)
 {
-	lose(timer->data, SKH_UPSTREAM_ERROR_UNREACHABLE);
+	fail(timer->data, SKH_UPSTREAM_ERROR_UNREACHABLE);
 }
 
-static skh_upstream_t *open_upstream(skh_upstream_pool_t *pool)
+static skh_upstream_t *new_upstream(skh_upstream_pool_t *pool)
 {
 	skh_upstream_t *upstream = g_new0(skh_upstream_t, 1);
 
 	upstream->pool = pool;
-	pool->users++;
-	opened++;
+	pool->connection_count++;
+	opened_count++;
 	(void)uv_tcp_init(pool->loop, &upstream->tcp);
 	(void)uv_timer_init(pool->loop, &upstream->timer);
 	upstream->open_handles = 2;
@@ -366,13 +373,13 @@
 	return upstream;
 }
 
-static skh_upstream_t *take_idle(skh_upstream_pool_t *pool)
+static skh_upstream_t *reuse_idle(skh_upstream_pool_t *pool)
 {
 	int64_t now_us = skh_clock_boot_us();
 	skh_upstream_t *upstream;
 
 	while ((upstream = g_queue_peek_tail(&pool->idle)) != NULL) {
-		if (now_us - upstream->idle_since_us < upstream->idle_limit_us) {
+		if (now_us - upstream->idle_since_us < upstream->idle_timeout_us) {
 			(void)g_queue_pop_tail(&pool->idle);
 			upstream->state = STATE_BUSY;
 			return upstream;
@@ -382,10 +389,10 @@
 	return NULL;
 }
 
-/* Failures are told from the loop, never from within skh_upstream_pool_send(). */
-static void on_refused_soon(uv_timer_t *timer)
+/* Reports a connect error from the loop, never from within skh_upstream_pool_send(). */
+static void on_connect_error(uv_timer_t *timer)
 {
-	lose(timer->data, SKH_UPSTREAM_ERROR_UNREACHABLE);
+	fail(timer->data, SKH_UPSTREAM_ERROR_UNREACHABLE);
 }
 
 static void connect_upstream(skh_upstream_t *upstream)
@@ -399,27 +406,27 @@
 		(void)uv_timer_start(&upstream->timer, on_connect_timeout,
 				     (uint64_t)(timeout_us / SKH_US_PER_MS), 0);
 	else
-		(void)uv_timer_start(&upstream->timer, on_refused_soon, 0, 0);
+		(void)uv_timer_start(&upstream->timer, on_connect_error, 0, 0);
 }
 
 skh_upstream_t *skh_upstream_pool_send(skh_upstream_pool_t *pool,
-				       const skh_upstream_request_t *send,
+				       const skh_upstream_request_t *request,
 				       const skh_upstream_ops_t *ops, void *context)
 {
-	skh_upstream_t *upstream = send->use_new_connection ? NULL : take_idle(pool);
+	skh_upstream_t *upstream = request->use_new_connection ? NULL : reuse_idle(pool);
 	bool is_new = !upstream;
 
 	if (is_new)
-		upstream = open_upstream(pool);
+		upstream = new_upstream(pool);
 	g_free(upstream->attempt_id);
-	upstream->attempt_id = g_strdup(send->attempt_id);
-	upstream->head_only = send->is_head_request;
+	upstream->attempt_id = g_strdup(request->attempt_id);
+	upstream->is_head_request = request->is_head_request;
 	upstream->ops = ops;
 	upstream->context = context;
-	upstream->handed_over = false;
+	upstream->request_written = false;
 	skh_buffer_clear(&upstream->bytes);
-	skh_buffer_append(&upstream->bytes, send->bytes);
-	expect_answer(upstream);
+	skh_buffer_append(&upstream->bytes, request->bytes);
+	reset_response(upstream);
 	if (is_new)
 		connect_upstream(upstream);
 	else
@@ -439,7 +446,7 @@
 	if (paused)
 		(void)uv_read_stop((uv_stream_t *)&upstream->tcp);
 	else
-		(void)uv_read_start((uv_stream_t *)&upstream->tcp, give_buffer, on_read);
+		(void)uv_read_start((uv_stream_t *)&upstream->tcp, alloc_buffer, on_read);
 }
 
 skh_upstream_pool_t *skh_upstream_pool_new(uv_loop_t *loop, const char *host, uint16_t port,
@@ -464,7 +471,7 @@
 
 void skh_upstream_pool_free(skh_upstream_pool_t *pool)
 {
-	pool->freed = true;
+	pool->is_freed = true;
 	skh_upstream_pool_close_idle(pool);
-	drop_pool(pool);
+	free_pool_if_unused(pool);
 }
