--- a/src/forward.h
+++ b/src/forward.h
@@ -2,11 +2,11 @@
 #define SKH_FORWARD_H
 
 /**
- * DOC: What goes on to a server, and back
+ * DOC: Forwarding of HTTP messages
  *
- * A caller's request as it is written for one server, and the headers of a
- * server's answer as the caller gets them. Fields of one connection only are
- * left out; the caller's key never goes on.
+ * Writes a caller's request for one backend server, and the headers of the
+ * server's response for the caller. Hop-by-hop headers are removed; the caller's
+ * key is never forwarded. Holds no state; any thread may call it.
  */
 
 #include "buffer.h"
@@ -17,22 +17,22 @@
 extern "C" {
 #endif
 
-/** struct skh_forwarded_request - one attempt at one server; borrows everything */
+/** struct skh_forwarded_request - one attempt at one backend server; all pointers are borrowed */
 typedef struct skh_forwarded_request {
 	const skh_dialect_t *dialect;
 	const skh_http_message_t *request;
-	const char *server_id; /* another instance at the same address refuses */
+	const char *server_id; /* another instance at the same address rejects the request */
 	const char *customer;  /* NULL for none */
-	uint32_t priority;
-	int64_t remaining_ms;  /* until the caller's deadline or the route's */
-	int64_t last_event_id; /* that the caller has; below 0 for none */
+	uint32_t priority;     /* 0 is most urgent; values above 9 are sent as 9 */
+	int64_t remaining_ms;  /* time until the deadline; sent as at least 1 */
+	int64_t last_event_id; /* last event that the caller has received; negative for none */
 } skh_forwarded_request_t;
 
-/** skh_forward_write_request() - append the whole request, head and body, to @out */
-void skh_forward_write_request(const skh_forwarded_request_t *forward, skh_buffer_t *out);
+/** skh_forward_write_request() - append the complete request, head and body, to @out */
+void skh_forward_write_request(const skh_forwarded_request_t *forwarded, skh_buffer_t *out);
 
-/** skh_forward_write_response_headers() - append the answer's end-to-end headers to @out */
-void skh_forward_write_response_headers(const skh_http_message_t *answer, GString *out);
+/** skh_forward_write_response_headers() - append the response's end-to-end headers to @out */
+void skh_forward_write_response_headers(const skh_http_message_t *response, GString *out);
 
 #ifdef __cplusplus
 }
