--- a/src/gateway.h
+++ b/src/gateway.h
@@ -4,8 +4,8 @@
 /**
  * DOC: Gateway
  *
- * An entry that reaches backend servers directly, on one event loop. It holds
- * nothing that must outlast it.
+ * An entry that sends requests directly to backend servers, from one event loop.
+ * Keeps no persistent state.
  */
 
 #include "backends.h"
@@ -22,7 +22,11 @@
 typedef struct skh_gossip skh_gossip_t;
 typedef struct skh_crash_suspects skh_crash_suspects_t;
 
-/** struct skh_gateway - what its parts share; the loop's thread only, but for the board */
+/**
+ * struct skh_gateway - state shared by the gateway's modules
+ *
+ * Used on the loop's thread only, except for the board.
+ */
 typedef struct skh_gateway {
 	const skh_settings_t *settings;
 	const skh_dialect_t *dialect;
@@ -33,21 +37,30 @@
 	skh_listener_t *listener;
 	skh_gossip_t *gossip;
 	skh_crash_suspects_t *crash_suspects;
-	const skh_routing_t *routing; /* a reference, or NULL before the first */
-	const skh_roster_t *roster;
+	const skh_routing_t *routing; /* counted reference; NULL before the first configuration */
+	const skh_roster_t *roster;   /* counted reference; NULL before the first roster */
 	skh_retry_share_limits_t retry_bounds;
-	GQueue exchanges; /* open ones */
-	bool dispatching;
-	bool rejects_requests; /* a planned stop has gone on for so long that callers go elsewhere */
+	GQueue exchanges;      /* open exchanges */
+	bool dispatching;      /* skh_exchange_dispatch() is running */
+	bool rejects_requests; /* planned stop: callers have had time to go to other gateways */
 } skh_gateway_t;
 
-/** skh_gateway_main() - run a gateway until SIGTERM or SIGINT; the exit status */
+/**
+ * skh_gateway_main() - run a gateway until a planned stop, by SIGTERM or SIGINT, is complete
+ *
+ * Return: the process's exit status.
+ */
 int skh_gateway_main(const skh_settings_t *settings);
 
-/** skh_gateway_config_age_us() - how long ago the store had nothing newer; INT64_MAX if never */
+/**
+ * skh_gateway_config_age_us() - time since the configuration was last known to be current
+ * @now_us: boot clock
+ *
+ * Return: microseconds; INT64_MAX before the store's first response.
+ */
 int64_t skh_gateway_config_age_us(const skh_gateway_t *gateway, int64_t now_us);
 
-/** skh_gateway_can_trust_keys() - customers' keys may still be taken for valid */
+/** skh_gateway_can_trust_keys() - true while the configuration is recent enough to check keys */
 bool skh_gateway_can_trust_keys(const skh_gateway_t *gateway, int64_t now_us);
 
 #ifdef __cplusplus
