--- a/src/attempt.c
+++ b/src/attempt.c
@@ -12,23 +12,22 @@
 #include <string.h>
 
 #define PART "request"
-/* Answers that are kept whole before they are passed on. */
-#define MAX_ANSWER_BYTES (16U << 20)
+/* Limit for a response that is buffered before it is forwarded; data beyond it is dropped. */
+#define MAX_BUFFERED_RESPONSE_BYTES (16U << 20)
 
-/* Leaves the attempt; the server's connection is closed if it still works. */
-void skh_attempt_release(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t took_us)
+void skh_attempt_release(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t latency_us)
 {
 	if (exchange->upstream) {
 		skh_upstream_cancel(exchange->upstream);
 		exchange->upstream = NULL;
 	}
 	if (exchange->target) {
-		const skh_target_result_t use = { .expected_tokens = exchange->expected_tokens,
-						  .streaming = exchange->attempt_is_streaming,
-						  .outcome = outcome,
-						  .latency_us = took_us };
+		const skh_target_result_t result = { .expected_tokens = exchange->expected_tokens,
+						     .streaming = exchange->attempt_is_streaming,
+						     .outcome = outcome,
+						     .latency_us = latency_us };
 
-		skh_target_end_request(exchange->target, &use, skh_clock_boot_us());
+		skh_target_end_request(exchange->target, &result, skh_clock_boot_us());
 	}
 	exchange->target = NULL;
 	exchange->attempt_is_streaming = false;
@@ -42,12 +41,12 @@
 {
 	skh_buffer_t bytes = SKH_BUFFER_INIT;
 	skh_gateway_t *gateway = exchange->gateway;
-	skh_upstream_request_t send = {
+	skh_upstream_request_t upstream_request = {
 		.attempt_id = exchange->attempt_id,
 		.is_head_request = exchange->request->parser.method == HTTP_HEAD,
 		.use_new_connection = exchange->route->retry_mode == SKH_RETRY_MODE_NEVER,
 	};
-	skh_forwarded_request_t forward = {
+	skh_forwarded_request_t forwarded = {
 		.dialect = gateway->dialect,
 		.request = exchange->request,
 		.server_id = target->server->id,
@@ -76,7 +75,7 @@
 	exchange->attempt_status = 0;
 	skh_buffer_clear(&exchange->response_body);
 	skh_target_begin_request(target, exchange->expected_tokens, now_us);
-	skh_log(SKH_LOG_INFO, PART, "Request placed.",
+	skh_log(SKH_LOG_INFO, PART, "Request sent to a server.",
 		"id=%s server=%s send=%u queued_ms=%" PRId64 " running=%u peers=%u waiting=%u"
 		" config=%" PRId64 " config_age_ms=%" PRId64 " list=%" PRId64,
 		exchange->attempt_id, target->server->id, exchange->sends,
@@ -84,15 +83,16 @@
 		skh_request_queue_length(exchange->target_pool->queue), exchange->routing->version,
 		skh_gateway_config_age_us(gateway, now_us) / SKH_US_PER_MS,
 		gateway->roster ? gateway->roster->revision : 0);
-	skh_forward_write_request(&forward, &bytes);
-	send.bytes = skh_buffer_chunk(&bytes);
-	exchange->upstream = skh_upstream_pool_send(target->pool, &send, &upstream_ops, exchange);
+	skh_forward_write_request(&forwarded, &bytes);
+	upstream_request.bytes = skh_buffer_chunk(&bytes);
+	exchange->upstream =
+		skh_upstream_pool_send(target->pool, &upstream_request, &upstream_ops, exchange);
 	skh_buffer_free(&bytes);
 }
 
-/* --- Answers of servers --- */
+/* --- Responses of servers --- */
 
-static void begin_answer(skh_exchange_t *exchange, bool chunked, size_t content_length)
+static void begin_response(skh_exchange_t *exchange, bool chunked, size_t content_length)
 {
 	skh_response_head_t head = {
 		.status = exchange->response_status,
@@ -107,46 +107,46 @@
 	skh_caller_conn_begin_response(exchange->conn, &head);
 }
 
-static void keep_answer_head(skh_exchange_t *exchange, const skh_http_message_t *answer)
+static void store_response_head(skh_exchange_t *exchange, const skh_http_message_t *response)
 {
-	exchange->response_status = (int32_t)answer->parser.status_code;
+	exchange->response_status = (int32_t)response->parser.status_code;
 	(void)g_strlcpy(exchange->response_reason,
-			http_status_str((enum http_status)answer->parser.status_code),
+			http_status_str((enum http_status)response->parser.status_code),
 			sizeof(exchange->response_reason));
 	(void)g_string_truncate(exchange->response_headers, 0);
-	skh_forward_write_response_headers(answer, exchange->response_headers);
+	skh_forward_write_response_headers(response, exchange->response_headers);
 }
 
-static bool says_not_run(const skh_exchange_t *exchange, const skh_http_message_t *answer)
+static bool is_reported_not_run(const skh_exchange_t *exchange, const skh_http_message_t *response)
 {
-	return answer->parser.status_code == 421 ||
-	       (answer->parser.status_code >= 400 &&
-		skh_http_message_header(answer,
+	return response->parser.status_code == 421 ||
+	       (response->parser.status_code >= 400 &&
+		skh_http_message_header(response,
 					skh_exchange_header_name(exchange, SKH_HEADER_NOT_RUN)));
 }
 
-/* A stream that goes on keeps the head of its first server. */
-static bool on_head(void *context, const skh_http_message_t *answer)
+/* A stream resumed at another server keeps the head of its first response. */
+static bool on_head(void *context, const skh_http_message_t *response)
 {
 	skh_exchange_t *exchange = context;
-	bool is_success = answer->parser.status_code / 100 == 2;
+	bool is_success = response->parser.status_code / 100 == 2;
 
 	exchange->target->last_received_us = skh_clock_boot_us();
-	exchange->attempt_status = (int32_t)answer->parser.status_code;
-	exchange->reported_not_run = says_not_run(exchange, answer);
+	exchange->attempt_status = (int32_t)response->parser.status_code;
+	exchange->reported_not_run = is_reported_not_run(exchange, response);
 	exchange->response_is_signed =
 		skh_http_message_header(
-			answer, skh_exchange_header_name(exchange, SKH_HEADER_SIGNATURE)) != NULL;
-	if (is_success &&
-	    (!exchange->response_is_signed || skh_http_message_header(answer, "Content-Encoding")))
+			response, skh_exchange_header_name(exchange, SKH_HEADER_SIGNATURE)) != NULL;
+	if (is_success && (!exchange->response_is_signed ||
+			   skh_http_message_header(response, "Content-Encoding")))
 		return false;
 	if (exchange->stage == SKH_EXCHANGE_RESPONDING)
 		return true;
-	keep_answer_head(exchange, answer);
+	store_response_head(exchange, response);
 	return true;
 }
 
-static bool streams_now(const skh_exchange_t *exchange)
+static bool is_streaming_response(const skh_exchange_t *exchange)
 {
 	return exchange->route->is_streaming && !exchange->reported_not_run &&
 	       exchange->attempt_status / 100 == 2;
@@ -154,7 +154,7 @@
 
 static void finish_attempt(skh_exchange_t *exchange, skh_attempt_end_t end);
 
-static void note_first(skh_exchange_t *exchange)
+static void record_first_byte(skh_exchange_t *exchange)
 {
 	if (exchange->first_byte_us != 0)
 		return;
@@ -163,19 +163,19 @@
 			    exchange->route->name, exchange->first_byte_us - exchange->received_us);
 }
 
-static void pass_events(skh_exchange_t *exchange, skh_chunk_t bytes)
+static void forward_events(skh_exchange_t *exchange, skh_chunk_t bytes)
 {
 	skh_buffer_t out = SKH_BUFFER_INIT;
-	bool follows = skh_event_stream_feed(&exchange->event_stream, bytes, &out);
+	bool is_contiguous = skh_event_stream_feed(&exchange->event_stream, bytes, &out);
 
 	exchange->target->last_received_us = skh_clock_boot_us();
 	if (out.len > 0) {
 		exchange->target->own_streaming += !exchange->attempt_is_streaming;
 		exchange->attempt_is_streaming = true;
 		skh_group_breaker_record_answer(&exchange->target_pool->gate);
-		note_first(exchange);
+		record_first_byte(exchange);
 		if (exchange->stage != SKH_EXCHANGE_RESPONDING)
-			begin_answer(exchange, true, 0);
+			begin_response(exchange, true, 0);
 		skh_metrics_add(SKH_COUNT_STREAM_EVENTS, 1);
 		skh_caller_conn_write(exchange->conn, skh_buffer_chunk(&out));
 		if (!exchange->upstream_paused &&
@@ -185,7 +185,7 @@
 		}
 	}
 	skh_buffer_free(&out);
-	if (!follows)
+	if (!is_contiguous)
 		finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 }
 
@@ -193,13 +193,13 @@
 {
 	skh_exchange_t *exchange = context;
 
-	if (streams_now(exchange))
-		pass_events(exchange, bytes);
-	else if (exchange->response_body.len + bytes.len <= MAX_ANSWER_BYTES)
+	if (is_streaming_response(exchange))
+		forward_events(exchange, bytes);
+	else if (exchange->response_body.len + bytes.len <= MAX_BUFFERED_RESPONSE_BYTES)
 		skh_buffer_append(&exchange->response_body, bytes);
 }
 
-static void observe_end(const skh_exchange_t *exchange)
+static void record_completion(const skh_exchange_t *exchange)
 {
 	skh_metrics_add(SKH_COUNT_ANSWERS_WHOLE, 1);
 	skh_crash_suspects_clear(exchange->gateway->crash_suspects, exchange->content_hash);
@@ -207,14 +207,14 @@
 			    skh_clock_boot_us() - exchange->received_us);
 }
 
-/* The server's own answer, kept whole until now. */
-static void pass_answer(skh_exchange_t *exchange)
+/* Forwards the buffered response of the server. */
+static void forward_response(skh_exchange_t *exchange)
 {
-	note_first(exchange);
-	begin_answer(exchange, false, exchange->response_body.len);
+	record_first_byte(exchange);
+	begin_response(exchange, false, exchange->response_body.len);
 	if (exchange->request->parser.method != HTTP_HEAD)
 		skh_caller_conn_write(exchange->conn, skh_buffer_chunk(&exchange->response_body));
-	observe_end(exchange);
+	record_completion(exchange);
 	skh_exchange_log_end(exchange, "passed", exchange->response_status, "-");
 	skh_attempt_release(exchange,
 			    exchange->response_status < 500 ? SKH_OUTCOME_SUCCEEDED
@@ -227,14 +227,14 @@
 
 static void end_stream(skh_exchange_t *exchange)
 {
-	/* A server that ended in the middle of an event has not finished. */
+	/* A response that ends in the middle of an event is incomplete. */
 	if (!skh_event_stream_is_at_boundary(&exchange->event_stream)) {
 		finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 		return;
 	}
 	if (exchange->stage != SKH_EXCHANGE_RESPONDING)
-		begin_answer(exchange, true, 0);
-	observe_end(exchange);
+		begin_response(exchange, true, 0);
+	record_completion(exchange);
 	skh_exchange_log_end(exchange, "streamed", exchange->response_status, "-");
 	skh_attempt_release(exchange, SKH_OUTCOME_SUCCEEDED,
 			    exchange->first_byte_us ? exchange->first_byte_us - exchange->sent_us
@@ -244,10 +244,10 @@
 	skh_exchange_dispatch(exchange->gateway);
 }
 
-static void on_end(void *context, const skh_http_message_t *answer)
+static void on_end(void *context, const skh_http_message_t *response)
 {
 	skh_exchange_t *exchange = context;
-	uint32_t status = answer->parser.status_code;
+	uint32_t status = response->parser.status_code;
 
 	exchange->upstream = NULL;
 	if (exchange->reported_not_run) {
@@ -259,36 +259,39 @@
 	else if (exchange->stage == SKH_EXCHANGE_RESPONDING)
 		finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 	else if (status == 408 || status == 421 || status == 429 || status == 503)
-		/* A promise that the server did not make is not passed on. */
+		/*
+		 * Callers conclude from these statuses that the request did not run. The server did
+		 * not promise that, so its response is not forwarded.
+		 */
 		finish_attempt(exchange, SKH_END_LOST);
 	else if (status >= 500)
 		finish_attempt(exchange, SKH_END_ERROR);
 	else
-		pass_answer(exchange);
+		forward_response(exchange);
 }
 
-static void tell_crash(void *context, uint64_t content, uint64_t crash)
+static void report_crash(void *context, uint64_t content_hash, uint64_t crash_id)
 {
-	skh_log(SKH_LOG_WARNING, PART, "Request was lost in a crash.",
-		"content=%016" PRIx64 " crash=%016" PRIx64, content, crash);
-	skh_gossip_add_crash_suspect(context, content, crash);
+	skh_log(SKH_LOG_WARNING, PART, "Request was lost in a server crash.",
+		"content=%016" PRIx64 " crash=%016" PRIx64, content_hash, crash_id);
+	skh_gossip_add_crash_suspect(context, content_hash, crash_id);
 }
 
-static void on_lost(void *context, skh_upstream_error_t lost, bool handed_over)
+static void on_error(void *context, skh_upstream_error_t error, bool request_written)
 {
 	skh_exchange_t *exchange = context;
 	skh_gateway_t *gateway = exchange->gateway;
 
 	exchange->upstream = NULL;
-	if (!handed_over) {
-		/* What was lost there before was lost in a crash. */
+	if (!request_written) {
+		/* The server crashed: earlier requests lost there were lost in the crash. */
 		skh_crash_suspects_record_crash(gateway->crash_suspects,
 						exchange->target->server->id, skh_clock_boot_us(),
-						tell_crash, gateway->gossip);
+						report_crash, gateway->gossip);
 		finish_attempt(exchange, SKH_END_UNREACHABLE);
 		return;
 	}
-	if (lost == SKH_UPSTREAM_ERROR_CONNECTION_CLOSED)
+	if (error == SKH_UPSTREAM_ERROR_CONNECTION_CLOSED)
 		skh_crash_suspects_record_loss(gateway->crash_suspects, exchange->content_hash,
 					       exchange->target->server->id, skh_clock_boot_us());
 	finish_attempt(exchange, SKH_END_STREAM_BROKEN);
@@ -298,10 +301,10 @@
 	.on_head = on_head,
 	.on_body = on_body,
 	.on_end = on_end,
-	.on_error = on_lost,
+	.on_error = on_error,
 };
 
-static skh_outcome_t outcome_of(const skh_exchange_t *exchange, skh_attempt_end_t end)
+static skh_outcome_t choose_outcome(const skh_exchange_t *exchange, skh_attempt_end_t end)
 {
 	if (end == SKH_END_NOT_RUN && exchange->attempt_status == 421)
 		return SKH_OUTCOME_WRONG_INSTANCE;
@@ -315,8 +318,8 @@
 	}
 }
 
-static void send_again(skh_exchange_t *exchange, skh_target_t *target, skh_attempt_end_t end,
-		       int64_t now_us)
+static void enqueue_retry(skh_exchange_t *exchange, skh_target_t *target, skh_attempt_end_t end,
+			  int64_t now_us)
 {
 	if (end != SKH_END_NOT_RUN) {
 		target->references++;
@@ -326,32 +329,32 @@
 	skh_exchange_enqueue(exchange, now_us);
 }
 
-static void conclude(skh_exchange_t *exchange, skh_retry_decision_t verdict)
+static void end_without_retry(skh_exchange_t *exchange, skh_retry_decision_t decision)
 {
-	switch (verdict) {
+	switch (decision) {
 	case SKH_RETRY_DECISION_FORWARD_RESPONSE:
-		pass_answer(exchange);
+		forward_response(exchange);
 		return;
 	case SKH_RETRY_DECISION_REJECT:
 		skh_exchange_reject(
 			exchange, SKH_OVERLOADED,
 			skh_exchange_retry_after_ms(exchange, SKH_DEFAULT_RETRY_AFTER_MS),
-			"servers turned it away");
+			"none of the servers accepted the request");
 		return;
 	case SKH_RETRY_DECISION_CLOSE_STREAM:
 		skh_exchange_log_end(exchange, "cut", exchange->response_status,
-				     "the stream broke off");
+				     "the server's event stream was interrupted");
 		skh_exchange_end(exchange);
 		skh_caller_conn_abort(exchange->conn);
 		return;
 	default:
 		skh_exchange_reject(exchange, SKH_OUTCOME_UNKNOWN, 0,
-				    "the server's answer was lost");
+				    "the server's response was lost");
 		return;
 	}
 }
 
-static const char *end_name(skh_attempt_end_t end)
+static const char *attempt_end_name(skh_attempt_end_t end)
 {
 	static const char *const names[] = {
 		[SKH_END_UNREACHABLE] = "unreachable",
@@ -364,17 +367,18 @@
 	return names[end];
 }
 
-/* What follows when the attempt under way ends so. */
-static skh_retry_decision_t verdict_on(const skh_exchange_t *exchange, skh_attempt_end_t end,
-				       int64_t now_us, skh_retry_policy_view_t *view)
+/* Decides what follows when the current attempt ends with @end; fills @view. */
+static skh_retry_decision_t decide_retry(const skh_exchange_t *exchange, skh_attempt_end_t end,
+					 int64_t now_us, skh_retry_policy_view_t *view)
 {
 	const skh_gateway_t *gateway = exchange->gateway;
-	bool ran = end == SKH_END_ERROR || end == SKH_END_LOST || end == SKH_END_STREAM_BROKEN;
+	bool may_have_run =
+		end == SKH_END_ERROR || end == SKH_END_LOST || end == SKH_END_STREAM_BROKEN;
 
 	*view = (skh_retry_policy_view_t){
 		.end = end,
 		.retry_mode = exchange->route->retry_mode,
-		.possible_runs = exchange->possible_runs + ran,
+		.possible_runs = exchange->possible_runs + may_have_run,
 		.max_attempts = exchange->route->max_attempts,
 		.sends = exchange->sends - exchange->rejected_probes,
 		.has_retry_budget = skh_retry_share_has_room(&exchange->target_pool->retry_share,
@@ -388,13 +392,13 @@
 }
 
 static void log_failure(const skh_exchange_t *exchange, const skh_retry_policy_view_t *view,
-			skh_retry_decision_t verdict)
+			skh_retry_decision_t decision)
 {
 	skh_log(SKH_LOG_INFO, PART, "Attempt failed.",
 		"id=%s server=%s end=%s status=%" PRId32 " runs=%u budget=%d suspect=%d again=%d",
-		exchange->attempt_id, exchange->target->server->id, end_name(view->end),
+		exchange->attempt_id, exchange->target->server->id, attempt_end_name(view->end),
 		exchange->attempt_status, view->possible_runs, view->has_retry_budget,
-		view->is_suspect, verdict == SKH_RETRY_DECISION_RETRY);
+		view->is_suspect, decision == SKH_RETRY_DECISION_RETRY);
 }
 
 static void finish_attempt(skh_exchange_t *exchange, skh_attempt_end_t end)
@@ -403,7 +407,7 @@
 	int64_t now_us = skh_clock_boot_us();
 	skh_target_t *target = exchange->target;
 	skh_retry_policy_view_t view;
-	skh_retry_decision_t verdict;
+	skh_retry_decision_t decision;
 
 	if (end == SKH_END_STREAM_BROKEN && exchange->stage != SKH_EXCHANGE_RESPONDING)
 		end = SKH_END_LOST;
@@ -413,20 +417,20 @@
 			skh_group_breaker_is_tripped(&exchange->target_pool->gate);
 		skh_group_breaker_record_rejection(&exchange->target_pool->gate, now_us);
 	}
-	verdict = verdict_on(exchange, end, now_us, &view);
+	decision = decide_retry(exchange, end, now_us, &view);
 	exchange->possible_runs = view.possible_runs;
 	skh_group_breaker_record_failure(&exchange->target_pool->gate);
-	log_failure(exchange, &view, verdict);
-	if (verdict == SKH_RETRY_DECISION_FORWARD_RESPONSE) {
-		conclude(exchange, verdict);
+	log_failure(exchange, &view, decision);
+	if (decision == SKH_RETRY_DECISION_FORWARD_RESPONSE) {
+		end_without_retry(exchange, decision);
 		return;
 	}
-	target->references++; /* outlives the attempt */
-	skh_attempt_release(exchange, outcome_of(exchange, end), 0);
-	if (verdict == SKH_RETRY_DECISION_RETRY)
-		send_again(exchange, target, end, now_us);
+	target->references++; /* used after the attempt has released it */
+	skh_attempt_release(exchange, choose_outcome(exchange, end), 0);
+	if (decision == SKH_RETRY_DECISION_RETRY)
+		enqueue_retry(exchange, target, end, now_us);
 	else
-		conclude(exchange, verdict);
+		end_without_retry(exchange, decision);
 	skh_target_unref(target);
 	skh_exchange_dispatch(gateway);
 }
@@ -438,14 +442,14 @@
 	int64_t now_us = skh_clock_boot_us();
 	skh_target_t *target = exchange->target;
 	skh_retry_policy_view_t view;
-	skh_retry_decision_t verdict = verdict_on(exchange, end, now_us, &view);
+	skh_retry_decision_t decision = decide_retry(exchange, end, now_us, &view);
 
-	log_failure(exchange, &view, verdict);
-	if (verdict != SKH_RETRY_DECISION_RETRY)
+	log_failure(exchange, &view, decision);
+	if (decision != SKH_RETRY_DECISION_RETRY)
 		return;
 	exchange->possible_runs = view.possible_runs;
-	target->references++; /* outlives the attempt */
+	target->references++; /* used after the attempt has released it */
 	skh_attempt_release(exchange, SKH_OUTCOME_CANCELED, 0);
-	send_again(exchange, target, end, now_us);
+	enqueue_retry(exchange, target, end, now_us);
 	skh_target_unref(target);
 }
--- a/src/attempt.h
+++ b/src/attempt.h
@@ -2,10 +2,11 @@
 #define SKH_ATTEMPT_H
 
 /**
- * DOC: One attempt of a request at one server
+ * DOC: Attempt of a request at one backend server
  *
- * Sending it, passing the answer on, and what follows when it fails. Shared by
- * attempt.c and exchange.c only: exchange.c has the caller's side.
+ * Private interface between attempt.c, which sends a request to a server,
+ * forwards the response and handles failures, and exchange.c, which handles the
+ * caller and the queue. Runs on the event loop's thread.
  */
 
 #include "event_stream.h"
@@ -15,68 +16,74 @@
 extern "C" {
 #endif
 
-/* Retry-After where nothing better is known: a server is back or free by then. */
+/* Retry-After without a better estimate: by then a server is back or has capacity. */
 #define SKH_DEFAULT_RETRY_AFTER_MS 500
 
-/** enum skh_exchange_stage - how far a request is */
+/** enum skh_exchange_stage - progress of a request */
 typedef enum skh_exchange_stage {
-	SKH_EXCHANGE_WAITING,
-	SKH_EXCHANGE_SENT,
-	SKH_EXCHANGE_RESPONDING, /* the head has gone to the caller */
+	SKH_EXCHANGE_WAITING,	 /* in the queue */
+	SKH_EXCHANGE_SENT,	 /* sent to a server */
+	SKH_EXCHANGE_RESPONDING, /* response head sent to the caller */
 	SKH_EXCHANGE_ENDED
 } skh_exchange_stage_t;
 
-/** struct skh_exchange - one request, from the caller's words to the end of its answer */
+/** struct skh_exchange - one request, from its arrival to the end of its response */
 typedef struct skh_exchange {
 	skh_gateway_t *gateway;
 	skh_caller_conn_t *conn;
-	const skh_http_message_t *request; /* of the connection, until the answer ends */
+	const skh_http_message_t *request; /* owned by @conn; valid until the response ends */
 	GList link;
 	skh_exchange_stage_t stage;
-	const skh_routing_t *routing; /* a reference: the route belongs to it */
+	const skh_routing_t *routing; /* counted reference; owns @route and @owner */
 	const skh_route_t *route;
-	const skh_key_owner_t *owner; /* NULL where no key is asked for */
+	const skh_key_owner_t *owner; /* NULL when the route needs no key */
 	skh_target_pool_t *target_pool;
 	char attempt_id[80];
-	uint64_t content_hash; /* hash of what the caller asks for */
+	uint64_t content_hash; /* hash of request target, customer and body */
 	int64_t received_us;
-	int64_t deadline_us;	/* the deadline or the route's timeout */
-	int64_t sent_us;	/* of the attempt under way */
-	int64_t queued_us;	/* spent waiting for a server */
-	int64_t first_byte_us;	/* first event or answer */
-	double expected_tokens; /* expected tokens */
+	int64_t deadline_us;	/* earlier of the caller's deadline and the route's timeout */
+	int64_t sent_us;	/* start of the current attempt */
+	int64_t queued_us;	/* total time in the queue */
+	int64_t first_byte_us;	/* time of the first event or the response; 0 before */
+	double expected_tokens; /* estimated work */
 	skh_queued_request_t queued_request;
-	GPtrArray *tried_targets; /* skh_target_t; references */
-	skh_target_t *target;
-	skh_upstream_t *upstream;
-	uint32_t sends;
+	GPtrArray *tried_targets; /* skh_target_t; counted references */
+	skh_target_t *target;	  /* server of the current attempt, or NULL */
+	skh_upstream_t *upstream; /* connection of the current attempt, or NULL */
+	uint32_t sends;		  /* attempts so far */
 	uint32_t possible_runs;	  /* attempts that may have run */
-	uint32_t rejected_probes; /* sends that a closed group has refused */
+	uint32_t rejected_probes; /* attempts rejected while the group's breaker was tripped */
 	bool upstream_paused;
-	skh_buffer_t response_body; /* of an answer that is kept whole */
+	skh_buffer_t response_body; /* body of a response that is not streamed */
 	GString *response_headers;
-	int32_t response_status;   /* that the caller gets */
-	int32_t attempt_status;	   /* of the attempt under way; 0 before its head */
-	bool attempt_is_streaming; /* its first event has come */
+	int32_t response_status;   /* status for the caller */
+	int32_t attempt_status;	   /* status of the current attempt; 0 before its head */
+	bool attempt_is_streaming; /* current attempt has delivered an event */
 	char response_reason[64];
 	bool response_is_signed;
-	bool reported_not_run; /* the server's word */
+	bool reported_not_run; /* server reported that it did not run the request */
 	skh_event_stream_t event_stream;
-	uv_timer_t timer;
+	uv_timer_t timer; /* deadline */
 } skh_exchange_t;
 
 /* --- attempt.c --- */
 
-/** skh_attempt_send() - hand the request to the server; it leaves the line */
+/** skh_attempt_send() - dequeue the request and send it to @target */
 void skh_attempt_send(skh_exchange_t *exchange, skh_target_t *target, int64_t now_us);
 
-/** skh_attempt_release() - end the attempt, if any; the server's connection closes if it works */
-void skh_attempt_release(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t took_us);
+/**
+ * skh_attempt_release() - end the current attempt, if any
+ * @latency_us: time to the first event or the complete response; 0 if unknown
+ *
+ * Closes the connection to the server if the response is not complete.
+ */
+void skh_attempt_release(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t latency_us);
 
 /**
- * skh_attempt_retry_elsewhere() - the server is out of reach: try elsewhere, where that is allowed
+ * skh_attempt_retry_elsewhere() - cancel the current attempt and retry at another server
  *
- * A request that may not run twice stays: its answer may still come.
+ * Only where the retry policy allows a retry. Otherwise the attempt continues,
+ * because its response may still arrive.
  */
 void skh_attempt_retry_elsewhere(skh_exchange_t *exchange);
 
@@ -85,27 +92,37 @@
 /** skh_exchange_header_name() - the platform's name of a header */
 const char *skh_exchange_header_name(const skh_exchange_t *exchange, skh_header_name_t name);
 
-/** skh_exchange_customer() - whose request it is, "-" if nobody's */
+/** skh_exchange_customer() - customer of the request, or "-" if unknown */
 const char *skh_exchange_customer(const skh_exchange_t *exchange);
 
-/** skh_exchange_priority() - the customer's, or else the route's */
+/** skh_exchange_priority() - priority of the customer, or else of the route; 0 is most urgent */
 uint32_t skh_exchange_priority(const skh_exchange_t *exchange);
 
-/** skh_exchange_log_end() - the one line by which an operator finds how it ended */
+/**
+ * skh_exchange_log_end() - log the single line that tells an operator how the request ended
+ * @status: HTTP status for the caller; 0 for none
+ */
 void skh_exchange_log_end(const skh_exchange_t *exchange, const char *outcome, int32_t status,
 			  const char *reason);
 
-/** skh_exchange_end() - out of the line and the list; freed once its timer is closed */
+/** skh_exchange_end() - leave the queue and the gateway's list; freed once the timer is closed */
 void skh_exchange_end(skh_exchange_t *exchange);
 
-/** skh_exchange_reject() - end it with the gateway's own answer; 0 ms for no Retry-After */
+/**
+ * skh_exchange_reject() - end the exchange with a response of the gateway's own
+ * @retry_after_ms: 0 for no Retry-After header
+ */
 void skh_exchange_reject(skh_exchange_t *exchange, skh_error_kind_t kind, int64_t retry_after_ms,
 			 const char *text);
 
-/** skh_exchange_retry_after_ms() - what the caller will honour, spread */
+/**
+ * skh_exchange_retry_after_ms() - compute the Retry-After value
+ *
+ * Return: @wanted_ms with random jitter, limited to what the caller honours.
+ */
 int64_t skh_exchange_retry_after_ms(const skh_exchange_t *exchange, int64_t wanted_ms);
 
-/** skh_exchange_enqueue() - into the service's line, which is served at once */
+/** skh_exchange_enqueue() - enqueue the request and dispatch the queues */
 void skh_exchange_enqueue(skh_exchange_t *exchange, int64_t now_us);
 
 #ifdef __cplusplus
--- a/src/downstream.c
+++ b/src/downstream.c
@@ -351,7 +351,7 @@
 	skh_caller_conn_t *conn;
 
 	if (status < 0) {
-		skh_log(SKH_LOG_WARNING, PART, "Failed to accept a connection.", "reason=%s",
+		skh_log(SKH_LOG_WARNING, PART, "Connection could not be accepted.", "reason=%s",
 			uv_strerror(status));
 		return;
 	}
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -13,39 +13,43 @@
 #include <string.h>
 
 #define PART "request"
-/* Without a deadline of the caller's own. */
+/* Deadline of a request without a deadline header. */
 #define DEFAULT_DEADLINE_US (30 * SKH_US_PER_S)
-/* An answer takes about this long on its way to the caller. */
-#define RETURN_US (20 * SKH_US_PER_MS)
-/* Callers give a stream up after the longest of these without an event. */
-#define PATIENCE_US    (2 * SKH_US_PER_S)
-#define PATIENCE_GOALS 4
-#define PATIENCE_GAPS  8
-/* Callers honour Retry-After up to this part of the time they have left. */
-#define RETRY_AFTER_PART 3
-#define RETRY_LEAST_MS	 100
-#define RETRY_SPREAD_MS	 400
-/* A gateway that has just started knows the configuration within this. */
-#define RETRY_READY_MS 150
-/* When another gateway can serve now. */
-#define RETRY_ELSEWHERE_MS 10
+/* Estimated time for a response to reach the caller. */
+#define RESPONSE_TRANSIT_US (20 * SKH_US_PER_MS)
 /*
- * All streams of a group wait for its slowest rank. Beyond this pace those that it has
- * cost the others more than they lose by being read again elsewhere.
+ * Callers abandon a stream without an event after the longest of a minimum, a multiple of the
+ * route's latency objective and a multiple of its gap objective.
  */
-#define MOVE_PACE 2.5
-/* A broken group is back after seconds. */
-#define GROUP_DOWN_MS 2000
+#define MIN_CALLER_TIMEOUT_US	       (2 * SKH_US_PER_S)
+#define CALLER_TIMEOUT_OBJECTIVE_RATIO 4
+#define CALLER_TIMEOUT_GAP_RATIO       8
+/* Callers honour Retry-After only up to the remaining time divided by this. */
+#define RETRY_AFTER_DIVISOR	  3
+#define MIN_RETRY_AFTER_MS	  100
+#define MAX_RETRY_AFTER_JITTER_MS 400
+/* Time in which a gateway that has just started loads the configuration. */
+#define NOT_READY_RETRY_AFTER_MS 150
+/* Retry-After for a request that another gateway can serve at once. */
+#define STALE_RETRY_AFTER_MS 10
+/*
+ * All streams of a group wait for its slowest rank. Beyond this slowdown, the rank's requests
+ * delay the others by more than it costs to process their prompts again at another rank.
+ */
+#define MOVE_SLOWDOWN_RATIO 2.5
+/* A group that has broken down needs seconds to recover. */
+#define GROUP_DOWN_RETRY_AFTER_MS 2000
 
-/* Why the gateway answers for itself, for the log and the caller. */
-typedef struct refusal {
+/* A response of the gateway's own: cause for the log and the caller. */
+typedef struct rejection {
 	skh_error_t err;
 	int64_t retry_after_ms; /* 0 for none */
-} refusal_t;
+} rejection_t;
 
-static skh_exchange_t *exchange_of(skh_queued_request_t *waiter)
+static skh_exchange_t *exchange_from_queued(skh_queued_request_t *queued_request)
 {
-	return (skh_exchange_t *)((char *)waiter - offsetof(skh_exchange_t, queued_request));
+	return (skh_exchange_t *)((char *)queued_request -
+				  offsetof(skh_exchange_t, queued_request));
 }
 
 const char *skh_exchange_header_name(const skh_exchange_t *exchange, skh_header_name_t name)
@@ -53,7 +57,7 @@
 	return exchange->gateway->dialect->headers[name];
 }
 
-static const char *header_of(const skh_exchange_t *exchange, skh_header_name_t name)
+static const char *request_header(const skh_exchange_t *exchange, skh_header_name_t name)
 {
 	return skh_http_message_header(exchange->request, skh_exchange_header_name(exchange, name));
 }
@@ -119,138 +123,139 @@
 	uv_close((uv_handle_t *)&exchange->timer, on_timer_closed);
 }
 
-/* --- Answers of the gateway's own --- */
+/* --- Responses of the gateway's own --- */
 
-static void answer_refusal(skh_exchange_t *exchange, const refusal_t *refusal)
+static void send_rejection(skh_exchange_t *exchange, const rejection_t *rejection)
 {
 	g_autofree char *headers = NULL;
-	skh_response_head_t head = { .status = skh_error_kind_http_status(refusal->err.kind),
-				     .reason = skh_error_kind_name(refusal->err.kind) };
-	skh_chunk_t text = skh_chunk_from_string(refusal->err.text);
-	bool head_only = exchange->request->parser.method == HTTP_HEAD;
+	skh_response_head_t head = { .status = skh_error_kind_http_status(rejection->err.kind),
+				     .reason = skh_error_kind_name(rejection->err.kind) };
+	skh_chunk_t text = skh_chunk_from_string(rejection->err.text);
+	bool is_head_request = exchange->request->parser.method == HTTP_HEAD;
 
 	headers = g_strdup_printf("Content-Type: text/plain\r\n%s: %s\r\n",
 				  skh_exchange_header_name(exchange, SKH_HEADER_ATTEMPT_ID),
 				  exchange->attempt_id);
-	if (refusal->retry_after_ms > 0) {
-		char *with_retry = g_strdup_printf("%sRetry-After: %" PRId64 ".%03" PRId64 "\r\n",
-						   headers, refusal->retry_after_ms / SKH_MS_PER_S,
-						   refusal->retry_after_ms % SKH_MS_PER_S);
+	if (rejection->retry_after_ms > 0) {
+		char *with_retry_after =
+			g_strdup_printf("%sRetry-After: %" PRId64 ".%03" PRId64 "\r\n", headers,
+					rejection->retry_after_ms / SKH_MS_PER_S,
+					rejection->retry_after_ms % SKH_MS_PER_S);
 
 		g_free(headers);
-		headers = with_retry;
+		headers = with_retry_after;
 	}
 	head.headers = headers;
 	head.content_length = text.len;
-	head.no_body = head_only;
+	head.no_body = is_head_request;
 	skh_caller_conn_begin_response(exchange->conn, &head);
-	if (!head_only)
+	if (!is_head_request)
 		skh_caller_conn_write(exchange->conn, text);
 	skh_caller_conn_end_response(exchange->conn);
 }
 
-/* The answer is due and is the gateway's own. */
-static void refuse(skh_exchange_t *exchange, const refusal_t *refusal)
+static void reject(skh_exchange_t *exchange, const rejection_t *rejection)
 {
-	bool not_run = refusal->err.run_state == SKH_RUN_NOT_RUN;
+	bool is_not_run = rejection->err.run_state == SKH_RUN_NOT_RUN;
 
-	skh_metrics_add(not_run ? SKH_COUNT_REFUSED : SKH_COUNT_UNKNOWN, 1);
-	skh_exchange_log_end(exchange, skh_error_kind_name(refusal->err.kind),
-			     skh_error_kind_http_status(refusal->err.kind), refusal->err.text);
+	skh_metrics_add(is_not_run ? SKH_COUNT_REFUSED : SKH_COUNT_UNKNOWN, 1);
+	skh_exchange_log_end(exchange, skh_error_kind_name(rejection->err.kind),
+			     skh_error_kind_http_status(rejection->err.kind), rejection->err.text);
 	skh_exchange_end(exchange);
-	answer_refusal(exchange, refusal);
+	send_rejection(exchange, rejection);
 }
 
 void skh_exchange_reject(skh_exchange_t *exchange, skh_error_kind_t kind, int64_t retry_after_ms,
 			 const char *text)
 {
-	refusal_t refusal = { .retry_after_ms = retry_after_ms };
+	rejection_t rejection = { .retry_after_ms = retry_after_ms };
 
-	(void)skh_error_set(&refusal.err, kind, "%s", text);
-	refuse(exchange, &refusal);
+	(void)skh_error_set(&rejection.err, kind, "%s", text);
+	reject(exchange, &rejection);
 }
 
-/* Callers honour no more than a part of the time they have; they come back spread out. */
+/* Limited to what callers honour; the jitter spreads their retries over time. */
 int64_t skh_exchange_retry_after_ms(const skh_exchange_t *exchange, int64_t wanted_ms)
 {
-	int64_t left_ms = (exchange->deadline_us - skh_clock_boot_us()) / SKH_US_PER_MS;
-	int64_t most_ms = left_ms / RETRY_AFTER_PART;
-	int64_t spread_ms =
-		(int64_t)(skh_random_u64() % (uint64_t)CLAMP(wanted_ms, 1, RETRY_SPREAD_MS));
+	int64_t remaining_ms = (exchange->deadline_us - skh_clock_boot_us()) / SKH_US_PER_MS;
+	int64_t max_ms = remaining_ms / RETRY_AFTER_DIVISOR;
+	int64_t jitter_ms = (int64_t)(skh_random_u64() %
+				      (uint64_t)CLAMP(wanted_ms, 1, MAX_RETRY_AFTER_JITTER_MS));
 
-	return MAX(MIN(MAX(wanted_ms, RETRY_LEAST_MS) + spread_ms, most_ms), 1);
+	return MAX(MIN(MAX(wanted_ms, MIN_RETRY_AFTER_MS) + jitter_ms, max_ms), 1);
 }
 
-/* --- Waiting --- */
+/* --- Queueing --- */
 
-static int64_t patience_us(const skh_exchange_t *exchange)
+static int64_t caller_timeout_us(const skh_exchange_t *exchange)
 {
 	const skh_route_t *route = exchange->route;
 
 	if (!route->is_streaming)
 		return exchange->deadline_us - exchange->received_us;
-	return MAX(PATIENCE_US, MAX(PATIENCE_GOALS * route->objective_us,
-				    PATIENCE_GAPS * route->gap_objective_us));
+	return MAX(MIN_CALLER_TIMEOUT_US, MAX(CALLER_TIMEOUT_OBJECTIVE_RATIO * route->objective_us,
+					      CALLER_TIMEOUT_GAP_RATIO * route->gap_objective_us));
 }
 
-static void set_waiter(skh_exchange_t *exchange, int64_t now_us)
+static void init_queued_request(skh_exchange_t *exchange, int64_t now_us)
 {
-	int64_t first_us =
-		exchange->target_pool->typical_first_event_ms * SKH_US_PER_MS + RETURN_US;
-	int64_t gives_up_us = exchange->received_us + patience_us(exchange);
+	int64_t time_to_first_event_us =
+		exchange->target_pool->typical_first_event_ms * SKH_US_PER_MS + RESPONSE_TRANSIT_US;
+	int64_t caller_gives_up_us = exchange->received_us + caller_timeout_us(exchange);
 
 	exchange->queued_request = (skh_queued_request_t){
 		.is_probe_rejected = exchange->rejected_probes > 0,
 		.priority = skh_exchange_priority(exchange),
 		.enqueued_us = now_us,
-		.dispatch_objective_us =
-			exchange->received_us + exchange->route->objective_us - first_us,
-		.expires_us = MIN(exchange->deadline_us, gives_up_us) - first_us,
+		.dispatch_objective_us = exchange->received_us + exchange->route->objective_us -
+					 time_to_first_event_us,
+		.expires_us =
+			MIN(exchange->deadline_us, caller_gives_up_us) - time_to_first_event_us,
 		.index = -1,
 	};
 }
 
 void skh_exchange_enqueue(skh_exchange_t *exchange, int64_t now_us)
 {
-	set_waiter(exchange, now_us);
+	init_queued_request(exchange, now_us);
 	if (exchange->stage != SKH_EXCHANGE_RESPONDING)
 		exchange->stage = SKH_EXCHANGE_WAITING;
 	skh_request_queue_enqueue(exchange->target_pool->queue, &exchange->queued_request);
 	skh_exchange_dispatch(exchange->gateway);
 }
 
-/* Time until a newcomer would be served, by how fast requests end here. */
+/* Estimates the queueing time from the completion rate; 0 if the rate is unknown. */
 static int64_t expected_wait_us(const skh_exchange_t *exchange, int64_t now_us)
 {
-	double rate = skh_target_pool_completion_rate(exchange->target_pool, now_us);
+	double completions_per_s = skh_target_pool_completion_rate(exchange->target_pool, now_us);
 	uint32_t ahead = skh_request_queue_count_ahead(exchange->target_pool->queue,
 						       &exchange->queued_request, now_us);
 
-	if (rate <= 0.0)
+	if (completions_per_s <= 0.0)
 		return 0;
-	return (int64_t)((double)(ahead + 1) / rate * (double)SKH_US_PER_S);
+	return (int64_t)((double)(ahead + 1) / completions_per_s * (double)SKH_US_PER_S);
 }
 
-static skh_queued_request_t *next_of(const skh_target_pool_t *front, int64_t now_us)
+static skh_queued_request_t *peek_next(const skh_target_pool_t *pool, int64_t now_us)
 {
-	return skh_group_breaker_is_tripped(&front->gate)
-		       ? skh_request_queue_peek_probe(front->queue, now_us)
-		       : skh_request_queue_peek(front->queue, now_us);
+	return skh_group_breaker_is_tripped(&pool->gate)
+		       ? skh_request_queue_peek_probe(pool->queue, now_us)
+		       : skh_request_queue_peek(pool->queue, now_us);
 }
 
-static void dispatch_front(skh_target_pool_t *front, void *context)
+static void dispatch_pool(skh_target_pool_t *pool, void *context)
 {
 	int64_t now_us = skh_clock_boot_us();
-	skh_queued_request_t *waiter;
+	skh_queued_request_t *queued_request;
 
 	(void)context;
-	while ((waiter = next_of(front, now_us)) != NULL) {
-		skh_exchange_t *exchange = exchange_of(waiter);
+	while ((queued_request = peek_next(pool, now_us)) != NULL) {
+		skh_exchange_t *exchange = exchange_from_queued(queued_request);
 		skh_target_t *target;
 
-		if (front->lock_step && !skh_group_breaker_can_send(&front->gate, now_us))
+		if (pool->lock_step && !skh_group_breaker_can_send(&pool->gate, now_us))
 			return;
-		target = skh_target_pool_select(front, exchange->tried_targets, now_us);
+		target = skh_target_pool_select(pool, exchange->tried_targets, now_us);
 		if (!target)
 			return;
 		skh_attempt_send(exchange, target, now_us);
@@ -262,49 +267,49 @@
 	if (gateway->dispatching)
 		return;
 	gateway->dispatching = true;
-	skh_backends_for_each_pool(gateway->backends, dispatch_front, NULL);
+	skh_backends_for_each_pool(gateway->backends, dispatch_pool, NULL);
 	gateway->dispatching = false;
 }
 
-static void give_up_waiting(skh_exchange_t *exchange, int64_t now_us)
+static void end_expired(skh_exchange_t *exchange, int64_t now_us)
 {
 	int64_t wait_us = expected_wait_us(exchange, now_us);
 
 	if (exchange->stage == SKH_EXCHANGE_RESPONDING) {
 		skh_exchange_log_end(exchange, "cut", exchange->response_status,
-				     "no server to go on at");
+				     "no server was available to resume the stream");
 		skh_exchange_end(exchange);
 		skh_caller_conn_abort(exchange->conn);
 		return;
 	}
 	if (exchange->possible_runs > 0) {
 		skh_exchange_reject(exchange, SKH_OUTCOME_UNKNOWN, 0,
-				    "an attempt was lost and there is no server to repeat it at");
+				    "an attempt was lost and no server was available for a retry");
 		return;
 	}
 	skh_exchange_reject(exchange, SKH_OVERLOADED,
 			    skh_exchange_retry_after_ms(exchange, MAX(wait_us / SKH_US_PER_MS,
 								      SKH_DEFAULT_RETRY_AFTER_MS)),
-			    "no server had room in time");
+			    "no server had capacity in time");
 }
 
-static void end_hopeless(skh_target_pool_t *front, void *context)
+static void end_expired_in_pool(skh_target_pool_t *pool, void *context)
 {
 	int64_t now_us = skh_clock_boot_us();
-	skh_queued_request_t *waiter;
+	skh_queued_request_t *queued_request;
 
 	(void)context;
-	while ((waiter = skh_request_queue_find_expired(front->queue, now_us)) != NULL) {
-		skh_exchange_t *exchange = exchange_of(waiter);
+	while ((queued_request = skh_request_queue_find_expired(pool->queue, now_us)) != NULL) {
+		skh_exchange_t *exchange = exchange_from_queued(queued_request);
 
-		skh_request_queue_remove(front->queue, waiter);
-		exchange->queued_us += now_us - waiter->enqueued_us;
-		give_up_waiting(exchange, now_us);
+		skh_request_queue_remove(pool->queue, queued_request);
+		exchange->queued_us += now_us - queued_request->enqueued_us;
+		end_expired(exchange, now_us);
 	}
 }
 
-/* What may run again goes on elsewhere. */
-static void move_all(skh_gateway_t *gateway, skh_target_t *target)
+/* Retries the target's requests elsewhere, where the retry policy allows. */
+static void retry_all_elsewhere(skh_gateway_t *gateway, skh_target_t *target)
 {
 	GList *link = gateway->exchanges.head;
 
@@ -312,7 +317,7 @@
 	while (link) {
 		skh_exchange_t *exchange = link->data;
 
-		/* A move may end the exchange, but no other. */
+		/* A retry may end this exchange, but no other. */
 		link = link->next;
 		if (exchange->target == target)
 			skh_attempt_retry_elsewhere(exchange);
@@ -320,52 +325,57 @@
 	skh_target_unref(target);
 }
 
-/* Requests at a rank that is out of reach go on elsewhere; new ones have to connect first. */
-static void leave_rank(skh_gateway_t *gateway, skh_target_t *target, int64_t now_us)
+/*
+ * Retries the requests of an unreachable rank elsewhere. Idle connections are closed, so that
+ * new requests have to connect first.
+ */
+static void abandon_rank(skh_gateway_t *gateway, skh_target_t *target, int64_t now_us)
 {
-	skh_log(SKH_LOG_WARNING, PART, "Rank is silent while its group goes on.",
+	skh_log(SKH_LOG_WARNING, PART,
+		"Rank is silent while its group responds; its retryable requests are moved.",
 		"server=%s running=%u streaming=%u silent_ms=%" PRId64, target->server->id,
 		target->own_running, target->own_streaming,
 		(now_us - MAX(target->last_received_us, target->busy_since_us)) / SKH_US_PER_MS);
 	skh_upstream_pool_close_idle(target->pool);
-	move_all(gateway, target);
-	/* What had to stay is asked about again later. */
+	retry_all_elsewhere(gateway, target);
+	/* Requests that can't be retried stay; restart the interval before the next check. */
 	target->busy_since_us = now_us;
 	skh_target_mark_unreachable(target, now_us);
 }
 
-static void relieve_slow(skh_target_t *target, void *context)
+static void move_off_slow_rank(skh_target_t *target, void *context)
 {
-	if (target->slowdown < MOVE_PACE || target->own_running == 0)
+	if (target->slowdown < MOVE_SLOWDOWN_RATIO || target->own_running == 0)
 		return;
-	skh_log(SKH_LOG_WARNING, PART, "Rank is slow and all wait for it.",
+	skh_log(SKH_LOG_WARNING, PART,
+		"Slow rank makes its group wait; its retryable requests are moved.",
 		"server=%s pace=%.1f running=%u", target->server->id, target->slowdown,
 		target->own_running);
-	move_all(context, target);
+	retry_all_elsewhere(context, target);
 }
 
 void skh_exchange_move_off_slow_ranks(skh_gateway_t *gateway)
 {
-	skh_backends_for_each_target(gateway->backends, relieve_slow, gateway);
+	skh_backends_for_each_target(gateway->backends, move_off_slow_rank, gateway);
 	skh_exchange_dispatch(gateway);
 }
 
-static void watch_ranks(skh_target_pool_t *front, void *context)
+static void check_ranks(skh_target_pool_t *pool, void *context)
 {
 	int64_t now_us = skh_clock_boot_us();
 
-	for (guint i = 0; front->lock_step && i < front->targets->len; i++) {
-		skh_target_t *target = g_ptr_array_index(front->targets, i);
+	for (guint i = 0; pool->lock_step && i < pool->targets->len; i++) {
+		skh_target_t *target = g_ptr_array_index(pool->targets, i);
 
-		if (skh_target_pool_is_rank_lost(front, target, now_us))
-			leave_rank(context, target, now_us);
+		if (skh_target_pool_is_rank_lost(pool, target, now_us))
+			abandon_rank(context, target, now_us);
 	}
 }
 
 void skh_exchange_tick(skh_gateway_t *gateway)
 {
-	skh_backends_for_each_pool(gateway->backends, watch_ranks, gateway);
-	skh_backends_for_each_pool(gateway->backends, end_hopeless, NULL);
+	skh_backends_for_each_pool(gateway->backends, check_ranks, gateway);
+	skh_backends_for_each_pool(gateway->backends, end_expired_in_pool, NULL);
 	skh_exchange_dispatch(gateway);
 }
 
@@ -380,32 +390,32 @@
 		return;
 	if (exchange->stage == SKH_EXCHANGE_RESPONDING) {
 		skh_exchange_log_end(exchange, "timed_out", exchange->response_status,
-				     "the time was up");
+				     "the request's deadline passed");
 		skh_attempt_release(exchange, SKH_OUTCOME_CANCELED, 0);
 		skh_exchange_end(exchange);
 		skh_caller_conn_abort(exchange->conn);
 	} else if (exchange->stage == SKH_EXCHANGE_WAITING && exchange->possible_runs == 0) {
-		skh_exchange_reject(exchange, SKH_OVERLOADED, 0, "no server had room in time");
+		skh_exchange_reject(exchange, SKH_OVERLOADED, 0, "no server had capacity in time");
 	} else {
 		skh_attempt_release(exchange, SKH_OUTCOME_FAILED, 0);
 		skh_exchange_reject(exchange, SKH_TIMED_OUT, 0,
-				    "the server did not answer in time");
+				    "the server did not answer before the deadline");
 	}
 	skh_exchange_dispatch(gateway);
 }
 
-static void on_gone(void *context, void *data)
+static void on_disconnect(void *context, void *data)
 {
 	skh_exchange_t *exchange = data;
 
 	skh_metrics_add(SKH_COUNT_CANCELS, 1);
-	skh_exchange_log_end(exchange, "gone", 0, "the caller left");
+	skh_exchange_log_end(exchange, "gone", 0, "the caller disconnected");
 	skh_attempt_release(exchange, SKH_OUTCOME_CANCELED, 0);
 	skh_exchange_end(exchange);
 	skh_exchange_dispatch(context);
 }
 
-static void on_drained(void *context, void *data)
+static void on_writable(void *context, void *data)
 {
 	skh_exchange_t *exchange = data;
 
@@ -416,31 +426,34 @@
 	skh_upstream_set_paused(exchange->upstream, false);
 }
 
-static int64_t deadline_of(const skh_exchange_t *exchange)
+static int64_t parse_deadline_us(const skh_exchange_t *exchange)
 {
-	const char *text = header_of(exchange, SKH_HEADER_DEADLINE);
-	int64_t left_ms = text ? g_ascii_strtoll(text, NULL, 10) : 0;
+	const char *text = request_header(exchange, SKH_HEADER_DEADLINE);
+	int64_t remaining_ms = text ? g_ascii_strtoll(text, NULL, 10) : 0;
 
 	return exchange->received_us +
-	       (left_ms > 0 ? left_ms * SKH_US_PER_MS : DEFAULT_DEADLINE_US);
+	       (remaining_ms > 0 ? remaining_ms * SKH_US_PER_MS : DEFAULT_DEADLINE_US);
 }
 
-/* Prompt tokens count as far as they are read in pieces between others' tokens. */
-static double work_of(const skh_exchange_t *exchange)
+/*
+ * Prompt tokens count a tenth of output tokens: an engine reads a prompt in chunks between the
+ * output tokens of other requests.
+ */
+static double estimate_tokens(const skh_exchange_t *exchange)
 {
-	const char *usage = header_of(exchange, SKH_HEADER_TOKENS);
-	const char *hint = header_of(exchange, SKH_HEADER_LENGTH_HINT);
-	const char *comma = usage ? strchr(usage, ',') : NULL;
-	double prompt = usage ? g_ascii_strtod(usage, NULL) : 0.0;
-	double output = comma ? g_ascii_strtod(comma + 1, NULL) : 0.0;
+	const char *token_counts = request_header(exchange, SKH_HEADER_TOKENS);
+	const char *length_hint = request_header(exchange, SKH_HEADER_LENGTH_HINT);
+	const char *comma = token_counts ? strchr(token_counts, ',') : NULL;
+	double prompt_tokens = token_counts ? g_ascii_strtod(token_counts, NULL) : 0.0;
+	double output_tokens = comma ? g_ascii_strtod(comma + 1, NULL) : 0.0;
 
-	if (hint && g_ascii_strtod(hint, NULL) > 0.0)
-		output = MIN(output, g_ascii_strtod(hint, NULL));
-	return prompt / 10.0 + output;
+	if (length_hint && g_ascii_strtod(length_hint, NULL) > 0.0)
+		output_tokens = MIN(output_tokens, g_ascii_strtod(length_hint, NULL));
+	return prompt_tokens / 10.0 + output_tokens;
 }
 
-/* The same caller asking for the same thing again, under whatever id. */
-static uint64_t content_of(const skh_exchange_t *exchange)
+/* Identifies a request by customer and content, so that a resend under a new id is recognized. */
+static uint64_t hash_content(const skh_exchange_t *exchange)
 {
 	uint64_t hash =
 		skh_chunk_hash(skh_chunk_from_string(exchange->request->request_target->str), 0);
@@ -464,7 +477,7 @@
 	exchange->tried_targets = g_ptr_array_new();
 	exchange->response_headers = g_string_new(NULL);
 	skh_event_stream_init(&exchange->event_stream);
-	id = header_of(exchange, SKH_HEADER_ATTEMPT_ID);
+	id = request_header(exchange, SKH_HEADER_ATTEMPT_ID);
 	(void)g_strlcpy(exchange->attempt_id, id ? id : "-", sizeof(exchange->attempt_id));
 	(void)uv_timer_init(&gateway->loop, &exchange->timer);
 	exchange->timer.data = exchange;
@@ -473,36 +486,37 @@
 	return exchange;
 }
 
-/* Finds route and customer; false when the answer is given already. */
-static bool resolve(skh_exchange_t *exchange, int64_t now_us)
+/* Finds route and customer; rejects the request and returns false if it can't be served. */
+static bool resolve_route(skh_exchange_t *exchange, int64_t now_us)
 {
 	skh_gateway_t *gateway = exchange->gateway;
 	const char *host = skh_http_message_header(exchange->request, "Host");
 
-	exchange->deadline_us = deadline_of(exchange);
+	exchange->deadline_us = parse_deadline_us(exchange);
 	if (gateway->rejects_requests) {
-		skh_exchange_reject(exchange, SKH_LEAVING, RETRY_LEAST_MS,
+		skh_exchange_reject(exchange, SKH_LEAVING, MIN_RETRY_AFTER_MS,
 				    "this instance is stopping");
 		return false;
 	}
 	exchange->routing = skh_board_acquire_routing(gateway->board);
 	if (!exchange->routing || !gateway->roster) {
 		skh_exchange_reject(exchange, SKH_NOT_READY,
-				    skh_exchange_retry_after_ms(exchange, RETRY_READY_MS),
-				    "no configuration is known yet");
+				    skh_exchange_retry_after_ms(exchange, NOT_READY_RETRY_AFTER_MS),
+				    "no configuration has been loaded yet");
 		return false;
 	}
 	exchange->route = skh_routing_find_route(exchange->routing, host ? host : "",
 						 exchange->request->request_target->str);
 	if ((!exchange->route || exchange->route->needs_key) &&
 	    !skh_gateway_can_trust_keys(gateway, now_us)) {
-		/* Other gateways hold the keys: they are asked next, on a new connection. */
-		skh_exchange_reject(exchange, SKH_STALE, RETRY_ELSEWHERE_MS,
+		/* Another gateway may have current keys; the caller's retry opens a new connection. */
+		skh_exchange_reject(exchange, SKH_STALE, STALE_RETRY_AFTER_MS,
 				    "the configuration may be out of date");
 		return false;
 	}
 	if (!exchange->route) {
-		skh_exchange_reject(exchange, SKH_NOT_FOUND, 0, "no route");
+		skh_exchange_reject(exchange, SKH_NOT_FOUND, 0,
+				    "no route matches the host and path");
 		return false;
 	}
 	exchange->deadline_us =
@@ -513,21 +527,22 @@
 		exchange->routing, gateway->dialect->auth_scheme,
 		skh_http_message_header(exchange->request, "Authorization"));
 	if (!exchange->owner)
-		skh_exchange_reject(exchange, SKH_UNAUTHORIZED, 0, "the key is not known");
+		skh_exchange_reject(exchange, SKH_UNAUTHORIZED, 0,
+				    "the Authorization header holds no known key");
 	return exchange->owner != NULL;
 }
 
-static void choose_service(skh_exchange_t *exchange)
+static void select_service(skh_exchange_t *exchange)
 {
-	double draw = (double)(skh_random_u64() >> 11) / (double)(1ULL << 53);
-	uint32_t index = skh_routing_select_service(exchange->route, draw);
+	double fraction = (double)(skh_random_u64() >> 11) / (double)(1ULL << 53);
+	uint32_t index = skh_routing_select_service(exchange->route, fraction);
 	const skh_service_info_t *service = skh_routing_get_service(exchange->routing, index);
 
 	exchange->target_pool =
 		skh_backends_get_or_create_pool(exchange->gateway->backends, service->name);
 }
 
-/* What can't be served is told at once. */
+/* Rejects at once what can't be served in time, so that the caller does not wait in vain. */
 static bool admit(skh_exchange_t *exchange, int64_t now_us)
 {
 	int64_t wait_us;
@@ -535,24 +550,25 @@
 	if (skh_crash_suspects_is_rejected(exchange->gateway->crash_suspects,
 					   exchange->content_hash, now_us)) {
 		skh_exchange_reject(exchange, SKH_LIMITED, 0,
-				    "this request has crashed its servers");
+				    "this request has crashed several servers");
 		return false;
 	}
 	if (!skh_target_pool_has_servers(exchange->target_pool)) {
 		skh_exchange_reject(
 			exchange, SKH_NO_BACKEND,
 			skh_exchange_retry_after_ms(exchange, SKH_DEFAULT_RETRY_AFTER_MS),
-			"no server is listed");
+			"no server of the service is available");
 		return false;
 	}
-	set_waiter(exchange, now_us);
+	init_queued_request(exchange, now_us);
 	if (skh_request_queue_length(exchange->target_pool->queue) == 0)
 		return true;
-	/* Those who wait already are enough to see when it opens. */
+	/* The requests queued already suffice as probes that show when the group recovers. */
 	if (skh_group_breaker_is_down(&exchange->target_pool->gate, now_us)) {
-		skh_exchange_reject(exchange, SKH_NO_BACKEND,
-				    skh_exchange_retry_after_ms(exchange, GROUP_DOWN_MS),
-				    "the group of servers is down");
+		skh_exchange_reject(
+			exchange, SKH_NO_BACKEND,
+			skh_exchange_retry_after_ms(exchange, GROUP_DOWN_RETRY_AFTER_MS),
+			"the group of servers is down");
 		return false;
 	}
 	wait_us = expected_wait_us(exchange, now_us);
@@ -560,7 +576,7 @@
 		return true;
 	skh_exchange_reject(exchange, SKH_OVERLOADED,
 			    skh_exchange_retry_after_ms(exchange, wait_us / SKH_US_PER_MS),
-			    "too many wait already");
+			    "the expected wait is too long");
 	return false;
 }
 
@@ -569,24 +585,24 @@
 	skh_gateway_t *gateway = context;
 	int64_t now_us = skh_clock_boot_us();
 	skh_exchange_t *exchange = new_exchange(gateway, conn, request);
-	int64_t left_us;
+	int64_t remaining_us;
 
 	skh_metrics_add(SKH_COUNT_REQUESTS, 1);
-	if (!resolve(exchange, now_us))
+	if (!resolve_route(exchange, now_us))
 		return;
-	choose_service(exchange);
-	exchange->content_hash = content_of(exchange);
-	exchange->expected_tokens = work_of(exchange);
+	select_service(exchange);
+	exchange->content_hash = hash_content(exchange);
+	exchange->expected_tokens = estimate_tokens(exchange);
 	if (!admit(exchange, now_us))
 		return;
-	left_us = exchange->deadline_us - now_us;
+	remaining_us = exchange->deadline_us - now_us;
 	(void)uv_timer_start(&exchange->timer, on_timeout,
-			     (uint64_t)(MAX(left_us, 0) / SKH_US_PER_MS), 0);
+			     (uint64_t)(MAX(remaining_us, 0) / SKH_US_PER_MS), 0);
 	skh_exchange_enqueue(exchange, now_us);
 }
 
 const skh_listener_ops_t skh_exchange_listener_ops = {
 	.on_request = on_request,
-	.on_disconnect = on_gone,
-	.on_writable = on_drained,
+	.on_disconnect = on_disconnect,
+	.on_writable = on_writable,
 };
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -2,10 +2,11 @@
 #define SKH_EXCHANGE_H
 
 /**
- * DOC: One request at a gateway
+ * DOC: HTTP exchange between a caller and the gateway
  *
- * From the caller's request to the end of its answer: which route and service,
- * whose key, waiting for a server, sending, sending again, passing on.
+ * Follows one request from its arrival to the end of its response: routing,
+ * authorization, queueing, attempts at backend servers and the response. An
+ * exchange owns itself and is freed when it ends. Runs on the event loop's thread.
  */
 
 #include "gateway.h"
@@ -14,16 +15,21 @@
 extern "C" {
 #endif
 
-/** skh_exchange_listener_ops - for skh_listener_start(); the context is the gateway */
+/** skh_exchange_listener_ops - callbacks for skh_listener_start(), with the gateway as context */
 extern const skh_listener_ops_t skh_exchange_listener_ops;
 
-/** skh_exchange_dispatch() - hand waiting requests to servers that have room */
+/** skh_exchange_dispatch() - send queued requests to servers that have capacity */
 void skh_exchange_dispatch(skh_gateway_t *gateway);
 
-/** skh_exchange_tick() - end what has waited too long, then dispatch */
+/**
+ * skh_exchange_tick() - periodic work
+ *
+ * Moves requests off ranks that stopped responding, ends expired requests and
+ * dispatches the queues.
+ */
 void skh_exchange_tick(skh_gateway_t *gateway);
 
-/** skh_exchange_move_off_slow_ranks() - ranks have turned slow or usual: move what they hold up */
+/** skh_exchange_move_off_slow_ranks() - retry requests of slow ranks at other servers */
 void skh_exchange_move_off_slow_ranks(skh_gateway_t *gateway);
 
 #ifdef __cplusplus
