--- a/test/forward_test.cc
+++ b/test/forward_test.cc
@@ -1,4 +1,4 @@
-// What goes on to a server, and what comes back to the caller.
+// Tests of the headers that are forwarded to a backend server and back to the caller.
 #include "forward.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace
 {
 
-skh_dialect_t names()
+skh_dialect_t make_dialect()
 {
 	skh_dialect_t dialect = {};
 
@@ -20,43 +20,43 @@
 	return dialect;
 }
 
-struct Message {
+struct ParsedMessage {
 	skh_http_message_t message = {};
 
-	Message(enum http_parser_type type, const std::string &text)
+	ParsedMessage(enum http_parser_type type, const std::string &text)
 	{
 		skh_error_t err = {};
-		size_t used = 0;
+		size_t consumed = 0;
 
 		static const skh_http_message_ops_t ops = {};
 
 		skh_http_message_reset(&message, type, &ops, nullptr);
 		EXPECT_TRUE(skh_http_message_feed(
-			&message, skh_chunk_make(text.data(), text.size()), &used, &err));
+			&message, skh_chunk_make(text.data(), text.size()), &consumed, &err));
 		EXPECT_TRUE(message.done);
 	}
-	~Message()
+	~ParsedMessage()
 	{
 		skh_http_message_free(&message);
 	}
 };
 
-std::string forwarded(const std::string &text, int64_t last_event = -1,
-		      const char *customer = "tembo")
+std::string write_request(const std::string &text, int64_t last_event_id = -1,
+			  const char *customer = "tembo")
 {
-	Message request(HTTP_REQUEST, text);
+	ParsedMessage request(HTTP_REQUEST, text);
 	skh_buffer_t out = SKH_BUFFER_INIT;
-	skh_forwarded_request_t forward = {};
-	const skh_dialect_t dialect = names();
-
-	forward.dialect = &dialect;
-	forward.request = &request.message;
-	forward.server_id = "i-1";
-	forward.customer = customer;
-	forward.priority = 3;
-	forward.remaining_ms = 1500;
-	forward.last_event_id = last_event;
-	skh_forward_write_request(&forward, &out);
+	skh_forwarded_request_t forwarded = {};
+	const skh_dialect_t dialect = make_dialect();
+
+	forwarded.dialect = &dialect;
+	forwarded.request = &request.message;
+	forwarded.server_id = "i-1";
+	forwarded.customer = customer;
+	forwarded.priority = 3;
+	forwarded.remaining_ms = 1500;
+	forwarded.last_event_id = last_event_id;
+	skh_forward_write_request(&forwarded, &out);
 
 	std::string written(reinterpret_cast<const char *>(out.data), out.len);
 
@@ -64,61 +64,62 @@
 	return written;
 }
 
-bool has(const std::string &text, const std::string &part)
+bool contains(const std::string &text, const std::string &part)
 {
 	return text.find(part) != std::string::npos;
 }
 
-const char *kPost = "POST /a/b?c HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer secret\r\n"
-		    "Connection: X-Mine, keep-alive\r\nX-Mine: 1\r\nX-Yours: 2\r\n"
-		    "Customer: sarana\r\nLeft-Ms: 9000\r\n"
-		    "Last-Event-Id: 4\r\nContent-Length: 3\r\n\r\nxyz";
+const char *kPostRequest = "POST /a/b?c HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer secret\r\n"
+			   "Connection: X-Mine, keep-alive\r\nX-Mine: 1\r\nX-Yours: 2\r\n"
+			   "Customer: sarana\r\nLeft-Ms: 9000\r\n"
+			   "Last-Event-Id: 4\r\nContent-Length: 3\r\n\r\nxyz";
 
-TEST(Forward, TheCallersKeyAndFieldsOfOneConnectionStayHere)
+TEST(Forward, RequestOmitsCallersKeyAndHopByHopHeaders)
 {
-	std::string written = forwarded(kPost);
-
-	EXPECT_FALSE(has(written, "secret"));
-	EXPECT_FALSE(has(written, "X-Mine"));
-	EXPECT_FALSE(has(written, "Connection"));
-	EXPECT_TRUE(has(written, "POST /a/b?c HTTP/1.1\r\n"));
-	EXPECT_TRUE(has(written, "X-Yours: 2\r\n"));
-	EXPECT_TRUE(has(written, "\r\nContent-Length: 3\r\n"));
+	std::string written = write_request(kPostRequest);
+
+	EXPECT_FALSE(contains(written, "secret"));
+	EXPECT_FALSE(contains(written, "X-Mine"));
+	EXPECT_FALSE(contains(written, "Connection"));
+	EXPECT_TRUE(contains(written, "POST /a/b?c HTTP/1.1\r\n"));
+	EXPECT_TRUE(contains(written, "X-Yours: 2\r\n"));
+	EXPECT_TRUE(contains(written, "\r\nContent-Length: 3\r\n"));
 	EXPECT_EQ(written.substr(written.size() - 7), "\r\n\r\nxyz");
 }
 
-// A caller that writes another customer's name would be served on its account.
-TEST(Forward, CustomerAndDeadlineAreOurs)
+// Guards against a caller that sends another customer's name to be served on its account.
+TEST(Forward, RequestHasGatewaysCustomerAndDeadline)
 {
-	std::string written = forwarded(kPost);
-
-	EXPECT_FALSE(has(written, "sarana"));
-	EXPECT_TRUE(has(written, "Customer: tembo\r\n"));
-	EXPECT_FALSE(has(written, "9000"));
-	EXPECT_TRUE(has(written, "Left-Ms: 1500\r\n"));
-	EXPECT_TRUE(has(written, "Instance: i-1\r\n"));
-	EXPECT_FALSE(has(forwarded(kPost, -1, nullptr), "Customer"));
+	std::string written = write_request(kPostRequest);
+
+	EXPECT_FALSE(contains(written, "sarana"));
+	EXPECT_TRUE(contains(written, "Customer: tembo\r\n"));
+	EXPECT_FALSE(contains(written, "9000"));
+	EXPECT_TRUE(contains(written, "Left-Ms: 1500\r\n"));
+	EXPECT_TRUE(contains(written, "Instance: i-1\r\n"));
+	EXPECT_FALSE(contains(write_request(kPostRequest, -1, nullptr), "Customer"));
 }
 
-// A stream that goes on elsewhere starts after what the caller has, not where it asked first.
-TEST(Forward, AStreamGoesOnAfterTheCallersLastEvent)
+// Guards against a stream resumed at the position of the caller's first request, which would
+// repeat events that the caller has already received.
+TEST(Forward, StreamResumesAfterCallersLastEvent)
 {
-	EXPECT_TRUE(has(forwarded(kPost), "Last-Event-Id: 4\r\n"));
+	EXPECT_TRUE(contains(write_request(kPostRequest), "Last-Event-Id: 4\r\n"));
 
-	std::string again = forwarded(kPost, 17);
+	std::string resumed = write_request(kPostRequest, 17);
 
-	EXPECT_TRUE(has(again, "Last-Event-Id: 17\r\n"));
-	EXPECT_FALSE(has(again, "Last-Event-Id: 4\r\n"));
+	EXPECT_TRUE(contains(resumed, "Last-Event-Id: 17\r\n"));
+	EXPECT_FALSE(contains(resumed, "Last-Event-Id: 4\r\n"));
 }
 
-TEST(Forward, AnswersKeepTheirEndToEndFields)
+TEST(Forward, ResponseKeepsEndToEndHeaders)
 {
-	Message answer(HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
-				      "Signature: s\r\n"
-				      "Content-Length: 0\r\n\r\n");
+	ParsedMessage response(HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nConnection: X-Hop\r\nX-Hop: 1\r\n"
+					      "Signature: s\r\n"
+					      "Content-Length: 0\r\n\r\n");
 	GString *out = g_string_new(nullptr);
 
-	skh_forward_write_response_headers(&answer.message, out);
+	skh_forward_write_response_headers(&response.message, out);
 	EXPECT_STREQ(out->str, "Signature: s\r\n");
 	(void)g_string_free(out, TRUE);
 }
--- a/test/upstream_test.cc
+++ b/test/upstream_test.cc
@@ -1,4 +1,4 @@
-// Connections to backend servers: what counts as a whole answer.
+// Tests of connections to backend servers: which responses count as complete.
 #include "clock.h"
 #include "upstream.h"
 
@@ -13,9 +13,9 @@
 namespace
 {
 
-struct Seen {
+struct RequestResult {
 	bool ended = false;
-	bool lost = false;
+	bool failed = false;
 	std::string body;
 };
 
@@ -26,30 +26,30 @@
 
 void on_body(void *context, skh_chunk_t bytes)
 {
-	static_cast<Seen *>(context)->body.append(reinterpret_cast<const char *>(bytes.data),
-						  bytes.len);
+	static_cast<RequestResult *>(context)->body.append(
+		reinterpret_cast<const char *>(bytes.data), bytes.len);
 }
 
 void on_end(void *context, const skh_http_message_t *)
 {
-	static_cast<Seen *>(context)->ended = true;
+	static_cast<RequestResult *>(context)->ended = true;
 }
 
-void on_lost(void *context, skh_upstream_error_t, bool)
+void on_error(void *context, skh_upstream_error_t, bool)
 {
-	static_cast<Seen *>(context)->lost = true;
+	static_cast<RequestResult *>(context)->failed = true;
 }
 
-const skh_upstream_ops_t ops = { on_head, on_body, on_end, on_lost };
+const skh_upstream_ops_t ops = { on_head, on_body, on_end, on_error };
 
-// No verdict depends on time: a timeout of this length only ends a run that hangs.
-constexpr int64_t kHungUs = 60 * SKH_US_PER_S;
+// No result depends on time: the timeout only ends a test that hangs.
+constexpr int64_t kHangTimeoutUs = 60 * SKH_US_PER_S;
 
-// A server on loopback that is driven step by step between turns of the loop.
-class Pair
+// A pool and its server on loopback; the test drives the server between iterations of the loop.
+class LoopbackServer
 {
       public:
-	Pair()
+	LoopbackServer()
 	{
 		sockaddr_in address = {};
 		socklen_t len = sizeof(address);
@@ -60,17 +60,17 @@
 		EXPECT_EQ(bind(listener, reinterpret_cast<sockaddr *>(&address), len), 0);
 		EXPECT_EQ(listen(listener, 8), 0);
 		EXPECT_EQ(getsockname(listener, reinterpret_cast<sockaddr *>(&address), &len), 0);
-		options = { "X-Id", kHungUs, kHungUs, kHungUs, 4 };
+		options = { "X-Id", kHangTimeoutUs, kHangTimeoutUs, kHangTimeoutUs, 4 };
 		EXPECT_EQ(uv_loop_init(&loop), 0);
-		(void)uv_timer_init(&loop, &guard);
-		guard.data = this;
-		(void)uv_timer_start(&guard, on_guard, kHungUs / SKH_US_PER_MS, 0);
+		(void)uv_timer_init(&loop, &hang_timer);
+		hang_timer.data = this;
+		(void)uv_timer_start(&hang_timer, on_hang, kHangTimeoutUs / SKH_US_PER_MS, 0);
 		pool = skh_upstream_pool_new(&loop, "127.0.0.1", ntohs(address.sin_port), &options);
 	}
 
-	~Pair()
+	~LoopbackServer()
 	{
-		uv_close(reinterpret_cast<uv_handle_t *>(&guard), nullptr);
+		uv_close(reinterpret_cast<uv_handle_t *>(&hang_timer), nullptr);
 		skh_upstream_pool_free(pool);
 		(void)uv_run(&loop, UV_RUN_NOWAIT);
 		close(peer);
@@ -79,50 +79,51 @@
 		uv_loop_close(&loop);
 	}
 
-	void send(Seen *seen, const char *id)
+	void send(RequestResult *result, const char *id)
 	{
-		static const char request[] = "GET / HTTP/1.1\r\n\r\n";
-		skh_upstream_request_t what = {};
+		static const char request_bytes[] = "GET / HTTP/1.1\r\n\r\n";
+		skh_upstream_request_t request = {};
 
-		what.bytes = skh_chunk_from_string(request);
-		what.attempt_id = id;
-		(void)skh_upstream_pool_send(pool, &what, &ops, seen);
+		request.bytes = skh_chunk_from_string(request_bytes);
+		request.attempt_id = id;
+		(void)skh_upstream_pool_send(pool, &request, &ops, result);
 		if (peer < 0)
 			peer = accept(listener, nullptr, nullptr);
 		receive();
 	}
 
-	void answer(const std::string &text)
+	void respond(const std::string &text)
 	{
 		EXPECT_EQ(write(peer, text.data(), text.size()), static_cast<ssize_t>(text.size()));
 	}
 
-	// The reset arrives together with the last bytes.
+	// Closes with a reset, which arrives together with the last bytes.
 	void reset()
 	{
-		const linger now = { 1, 0 };
+		const linger close_with_reset = { 1, 0 };
 
-		(void)setsockopt(peer, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+		(void)setsockopt(peer, SOL_SOCKET, SO_LINGER, &close_with_reset,
+				 sizeof(close_with_reset));
 		close(peer);
 		peer = -1;
 	}
 
-	// Nothing of the request is left unread, which would turn the end into a reset.
-	void finish()
+	// Closes without a reset, as receive() has left no byte of the request unread.
+	void close_cleanly()
 	{
 		close(peer);
 		peer = -1;
 	}
 
-	// Turns the loop until the request has ended, one way or the other.
-	void settle(const Seen &seen)
+	// Runs the loop until the request has ended or failed.
+	void run_until_done(const RequestResult &result)
 	{
-		while (!seen.ended && !seen.lost && !hung)
+		while (!result.ended && !result.failed && !is_hung)
 			(void)uv_run(&loop, UV_RUN_ONCE);
 	}
 
       private:
-	// Reads a whole request; the loop goes on meanwhile.
+	// Reads a complete request while running the loop.
 	void receive()
 	{
 		std::string request;
@@ -131,11 +132,11 @@
 
 		(void)uv_poll_init(&loop, &readable, peer);
 		(void)uv_poll_start(&readable, UV_READABLE, [](uv_poll_t *, int, int) {});
-		while (request.find("\r\n\r\n") == std::string::npos && !hung) {
-			ssize_t n = recv(peer, bytes, sizeof(bytes), MSG_DONTWAIT);
+		while (request.find("\r\n\r\n") == std::string::npos && !is_hung) {
+			ssize_t n_read = recv(peer, bytes, sizeof(bytes), MSG_DONTWAIT);
 
-			if (n > 0)
-				request.append(bytes, static_cast<size_t>(n));
+			if (n_read > 0)
+				request.append(bytes, static_cast<size_t>(n_read));
 			else
 				(void)uv_run(&loop, UV_RUN_ONCE);
 		}
@@ -143,15 +144,15 @@
 		(void)uv_run(&loop, UV_RUN_NOWAIT);
 	}
 
-	static void on_guard(uv_timer_t *timer)
+	static void on_hang(uv_timer_t *timer)
 	{
-		ADD_FAILURE() << "nothing comes";
-		static_cast<Pair *>(timer->data)->hung = true;
+		ADD_FAILURE() << "no progress before the timeout";
+		static_cast<LoopbackServer *>(timer->data)->is_hung = true;
 	}
 
 	uv_loop_t loop = {};
-	uv_timer_t guard = {};
-	bool hung = false;
+	uv_timer_t hang_timer = {};
+	bool is_hung = false;
 	skh_upstream_pool_options_t options = {};
 	skh_upstream_pool_t *pool = nullptr;
 	int listener = -1;
@@ -160,70 +161,70 @@
 
 } // namespace
 
-TEST(Upstream, AnAnswerWithoutALengthThatIsResetIsNotWhole)
+TEST(Upstream, ResponseWithoutLengthIsIncompleteAfterReset)
 {
-	Pair pair;
-	Seen seen;
-
-	pair.send(&seen, "a");
-	pair.answer("HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nhalf of it");
-	pair.reset();
-	pair.settle(seen);
-	EXPECT_FALSE(seen.ended);
-	EXPECT_TRUE(seen.lost);
+	LoopbackServer server;
+	RequestResult result;
+
+	server.send(&result, "a");
+	server.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nhalf of it");
+	server.reset();
+	server.run_until_done(result);
+	EXPECT_FALSE(result.ended);
+	EXPECT_TRUE(result.failed);
 }
 
-TEST(Upstream, AnAnswerWithoutALengthEndsWithItsConnection)
+TEST(Upstream, ResponseWithoutLengthEndsWithItsConnection)
 {
-	Pair pair;
-	Seen seen;
-
-	pair.send(&seen, "a");
-	pair.answer("HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nall of it");
-	pair.finish();
-	pair.settle(seen);
-	EXPECT_TRUE(seen.ended);
-	EXPECT_EQ(seen.body, "all of it");
+	LoopbackServer server;
+	RequestResult result;
+
+	server.send(&result, "a");
+	server.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nall of it");
+	server.close_cleanly();
+	server.run_until_done(result);
+	EXPECT_TRUE(result.ended);
+	EXPECT_EQ(result.body, "all of it");
 }
 
-TEST(Upstream, AnotherRequestsAnswerIsSkipped)
+TEST(Upstream, ResponseToAnotherRequestIsSkipped)
 {
-	Pair pair;
-	Seen seen;
-
-	pair.send(&seen, "b");
-	pair.answer("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 3\r\n\r\nold"
-		    "HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 3\r\n\r\nnew");
-	pair.settle(seen);
-	EXPECT_TRUE(seen.ended);
-	EXPECT_EQ(seen.body, "new");
+	LoopbackServer server;
+	RequestResult result;
+
+	server.send(&result, "b");
+	server.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 3\r\n\r\nold"
+		       "HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 3\r\n\r\nnew");
+	server.run_until_done(result);
+	EXPECT_TRUE(result.ended);
+	EXPECT_EQ(result.body, "new");
 }
 
-TEST(Upstream, AConnectionWithBytesLeftOverIsNotUsedAgain)
+TEST(Upstream, ConnectionWithLeftoverBytesIsNotReused)
 {
-	Pair pair;
-	Seen first;
-	Seen second;
+	LoopbackServer server;
+	RequestResult first;
+	RequestResult second;
 
-	pair.send(&first, "a");
-	pair.answer("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200");
-	pair.settle(first);
+	server.send(&first, "a");
+	server.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200");
+	server.run_until_done(first);
 	EXPECT_TRUE(first.ended);
-	pair.finish();
-	pair.send(&second, "b");
-	pair.answer("HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 2\r\n\r\nhi");
-	pair.settle(second);
+	server.close_cleanly();
+	server.send(&second, "b");
+	server.respond("HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 2\r\n\r\nhi");
+	server.run_until_done(second);
 	EXPECT_EQ(second.body, "hi");
 }
 
-TEST(Upstream, BytesThatAreNoAnswerLoseTheRequest)
+TEST(Upstream, MalformedResponseFailsTheRequest)
 {
-	Pair pair;
-	Seen seen;
-
-	pair.send(&seen, "a");
-	pair.answer("HTP/9 nonsense\r\n\r\n");
-	pair.settle(seen);
-	EXPECT_TRUE(seen.lost);
-	EXPECT_FALSE(seen.ended);
+	LoopbackServer server;
+	RequestResult result;
+
+	server.send(&result, "a");
+	server.respond("HTP/9 nonsense\r\n\r\n");
+	server.run_until_done(result);
+	EXPECT_TRUE(result.failed);
+	EXPECT_FALSE(result.ended);
 }
