--- a/src/attempt.c
+++ b/src/attempt.c
@@ -284,7 +284,7 @@
 
 	exchange->upstream = NULL;
 	if (!request_written) {
-		/* The server crashed: earlier requests lost there were lost in the crash. */
+		/* A failed connect counts as a crash, in which the server lost earlier requests. */
 		skh_crash_suspects_record_crash(gateway->crash_suspects,
 						exchange->target->server->id, skh_clock_boot_us(),
 						report_crash, gateway->gossip);
--- a/src/downstream.c
+++ b/src/downstream.c
@@ -243,7 +243,7 @@
 	close_conn(conn);
 }
 
-/* Responds without an exchange to a request that is malformed, too large or too slow. */
+/* Responds without an exchange to a request that is invalid, too large or too slow. */
 static void reject(skh_caller_conn_t *conn, const skh_error_t *err)
 {
 	skh_response_head_t head = { .status = skh_error_kind_http_status(err->kind),
@@ -251,7 +251,7 @@
 				     .headers = "Content-Type: text/plain\r\n" };
 	skh_chunk_t text = skh_chunk_from_string(err->text);
 
-	skh_log(SKH_LOG_INFO, PART, "Request refused: it is malformed, too large or too slow.",
+	skh_log(SKH_LOG_INFO, PART, "Request refused: it is invalid, too large or too slow.",
 		"kind=%s reason=%s", skh_error_kind_name(err->kind), err->text);
 	head.content_length = text.len;
 	conn->keep_alive = false;
