--- a/src/gossip.c
+++ b/src/gossip.c
@@ -11,45 +11,45 @@
 #include <string.h>
 
 #define PART "gossip"
-/* A gateway's whole budget for control is 2 KB/s; a third is left for the store. */
-#define BYTES_PER_S    1400
-#define DATAGRAM_BYTES 42 /* of Ethernet, IP and UDP before the report */
-#define LEAST_PAUSE_US (80 * SKH_US_PER_MS)
-#define MOST_PAUSE_US  (1 * SKH_US_PER_S)
-/* A gateway that is silent for longer has ended, or its requests have. */
-#define FORGET_US	(2500 * SKH_US_PER_MS)
-#define MAX_SERVERS	400
-#define MAX_CULPRITS	16
-#define CULPRIT_REPEATS 8
-#define MAX_COUNT	255
-#define MAX_DATAGRAM	4096
+/* A gateway may use 2 KB/s for control traffic in all; a third of it is left for the store. */
+#define SEND_BYTES_PER_S	1400
+#define DATAGRAM_OVERHEAD_BYTES 42 /* Ethernet, IP and UDP headers */
+#define MIN_INTERVAL_US		(80 * SKH_US_PER_MS)
+#define MAX_INTERVAL_US		(1 * SKH_US_PER_S)
+/* A gateway that sends nothing for this long has stopped, or its requests have ended. */
+#define REPORT_EXPIRY_US   (2500 * SKH_US_PER_MS)
+#define MAX_SERVERS	   400
+#define MAX_CRASH_SUSPECTS 16
+#define SUSPECT_REPORTS	   8   /* reports that carry one suspect, as reports may be lost */
+#define MAX_RUNNING	   255 /* one byte per server in the report */
+#define MAX_REPORT_BYTES   4096
 
 typedef struct peer_report {
 	uint64_t number;
-	int64_t at_us;
-	GHashTable *running; /* hash of the server's id -> requests */
+	int64_t received_us;
+	GHashTable *running; /* hash of the server id -> requests in flight */
 } peer_report_t;
 
-typedef struct told_culprit {
+typedef struct crash_suspect {
 	uint64_t content;
 	uint64_t crash;
-	uint32_t left; /* reports that still carry it */
-} told_culprit_t;
+	uint32_t reports_left; /* number of reports still to carry the suspect */
+} crash_suspect_t;
 
 struct skh_gossip {
 	skh_gateway_t *gateway;
 	uv_udp_t udp;
 	uint64_t sender;
-	uint64_t number;
+	uint64_t number;     /* sequence number of the last report sent */
 	GArray *peers;	     /* struct sockaddr_in */
 	GHashTable *reports; /* sender -> peer_report_t */
-	int64_t next_us;
-	uint64_t last_hash; /* of the counts last sent */
-	int64_t last_us;
-	told_culprit_t culprits[MAX_CULPRITS];
+	int64_t next_send_us;
+	uint64_t last_sent_hash; /* hash of the report last sent */
+	int64_t last_sent_us;
+	crash_suspect_t suspects[MAX_CRASH_SUSPECTS];
 };
 
-static uint32_t id_hash(const char *id)
+static uint32_t hash_server_id(const char *id)
 {
 	return (uint32_t)skh_chunk_hash(skh_chunk_from_string(id), 0);
 }
@@ -62,11 +62,11 @@
 	g_free(report);
 }
 
-/* What all peers have at one server. */
-static void sum_target(skh_target_t *target, void *context)
+/* Sums the requests of all other gateways at one server. */
+static void sum_peers_running(skh_target_t *target, void *context)
 {
 	skh_gossip_t *gossip = context;
-	gpointer key = GUINT_TO_POINTER(id_hash(target->server->id));
+	gpointer key = GUINT_TO_POINTER(hash_server_id(target->server->id));
 	GHashTableIter iter;
 	gpointer report;
 	uint32_t sum = 0;
@@ -78,12 +78,12 @@
 	target->peers_running = sum;
 }
 
-static void sum_up(skh_gossip_t *gossip)
+static void update_peers_running(skh_gossip_t *gossip)
 {
-	skh_backends_for_each_target(gossip->gateway->backends, sum_target, gossip);
+	skh_backends_for_each_target(gossip->gateway->backends, sum_peers_running, gossip);
 }
 
-static void take_report(skh_gossip_t *gossip, const Skh__LoadReport *message)
+static void store_report(skh_gossip_t *gossip, const Skh__LoadReport *message)
 {
 	const int64_t sender = (int64_t)message->sender;
 	int64_t now_us = skh_clock_boot_us();
@@ -98,7 +98,7 @@
 					  report);
 	}
 	report->number = message->number;
-	report->at_us = now_us;
+	report->received_us = now_us;
 	g_hash_table_remove_all(report->running);
 	for (size_t i = 0; i < message->n_servers && i < message->running.len; i++)
 		(void)g_hash_table_insert(report->running, GUINT_TO_POINTER(message->servers[i]),
@@ -107,7 +107,7 @@
 		skh_crash_suspects_add_remote_crash(gossip->gateway->crash_suspects,
 						    message->culprits[i], message->crashes[i],
 						    now_us);
-	sum_up(gossip);
+	update_peers_running(gossip);
 }
 
 static bool is_peer(const skh_gossip_t *gossip, const struct sockaddr *from)
@@ -140,24 +140,24 @@
 		return;
 	}
 	if (message->sender != gossip->sender)
-		take_report(gossip, message);
+		store_report(gossip, message);
 	skh__load_report__free_unpacked(message, NULL);
 }
 
-static void give_buffer(uv_handle_t *handle, size_t wanted, uv_buf_t *buffer)
+static void provide_buffer(uv_handle_t *handle, size_t suggested_size, uv_buf_t *buffer)
 {
-	static char bytes[MAX_DATAGRAM];
+	static char bytes[MAX_REPORT_BYTES];
 
 	(void)handle;
-	(void)wanted;
+	(void)suggested_size;
 	*buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
 skh_gossip_t *skh_gossip_start(skh_gateway_t *gateway, const char *address, skh_error_t *err)
 {
 	skh_gossip_t *gossip = g_new0(skh_gossip_t, 1);
-	struct sockaddr_in own;
-	int status = skh_address_parse(address, &own) ? 0 : UV_EINVAL;
+	struct sockaddr_in own_address;
+	int status = skh_address_parse(address, &own_address) ? 0 : UV_EINVAL;
 
 	gossip->gateway = gateway;
 	gossip->sender = skh_random_u64();
@@ -166,12 +166,12 @@
 	(void)uv_udp_init(&gateway->loop, &gossip->udp);
 	gossip->udp.data = gossip;
 	if (status == 0)
-		status = uv_udp_bind(&gossip->udp, (const struct sockaddr *)&own, 0);
+		status = uv_udp_bind(&gossip->udp, (const struct sockaddr *)&own_address, 0);
 	if (status == 0)
-		status = uv_udp_recv_start(&gossip->udp, give_buffer, on_datagram);
+		status = uv_udp_recv_start(&gossip->udp, provide_buffer, on_datagram);
 	if (status == 0)
 		return gossip;
-	(void)skh_error_set(err, SKH_CONFIG_INVALID, "can't use UDP %s: %s", address,
+	(void)skh_error_set(err, SKH_CONFIG_INVALID, "can't listen on UDP address %s: %s", address,
 			    uv_strerror(status));
 	skh_gossip_close(gossip);
 	return NULL;
@@ -187,8 +187,8 @@
 		if (skh_address_parse(address, &peer))
 			g_array_append_val(gossip->peers, peer);
 		else
-			skh_log(SKH_LOG_WARNING, PART, "Gateway's address not read.", "address=%s",
-				address);
+			skh_log(SKH_LOG_WARNING, PART, "Gateway address is invalid and ignored.",
+				"address=%s", address);
 	}
 	g_ptr_array_unref(peers);
 }
@@ -198,126 +198,127 @@
 	return gossip->peers->len;
 }
 
-static void forget_old(skh_gossip_t *gossip, int64_t now_us)
+static void expire_reports(skh_gossip_t *gossip, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer report;
-	bool forgot = false;
+	bool has_expired = false;
 
 	g_hash_table_iter_init(&iter, gossip->reports);
 	while (g_hash_table_iter_next(&iter, NULL, &report)) {
-		if (now_us - ((peer_report_t *)report)->at_us < FORGET_US)
+		if (now_us - ((peer_report_t *)report)->received_us < REPORT_EXPIRY_US)
 			continue;
 		g_hash_table_iter_remove(&iter);
-		forgot = true;
+		has_expired = true;
 	}
-	if (forgot)
-		sum_up(gossip);
+	if (has_expired)
+		update_peers_running(gossip);
 }
 
-/* A report while it is filled. */
-typedef struct draft {
+/* Contents of a report before it is encoded. */
+typedef struct outgoing_report {
 	uint32_t servers[MAX_SERVERS];
 	uint8_t running[MAX_SERVERS];
-	uint64_t culprits[MAX_CULPRITS];
-	uint64_t crashes[MAX_CULPRITS];
+	uint64_t suspects[MAX_CRASH_SUSPECTS];
+	uint64_t crashes[MAX_CRASH_SUSPECTS];
 	size_t n_servers;
-	size_t n_culprits;
-} draft_t;
+	size_t n_suspects;
+} outgoing_report_t;
 
 static void add_target(skh_target_t *target, void *context)
 {
-	draft_t *draft = context;
+	outgoing_report_t *outgoing = context;
 
-	if (target->own_running == 0 || draft->n_servers == MAX_SERVERS)
+	if (target->own_running == 0 || outgoing->n_servers == MAX_SERVERS)
 		return;
-	draft->servers[draft->n_servers] = id_hash(target->server->id);
-	draft->running[draft->n_servers++] = (uint8_t)MIN(target->own_running, MAX_COUNT);
+	outgoing->servers[outgoing->n_servers] = hash_server_id(target->server->id);
+	outgoing->running[outgoing->n_servers++] = (uint8_t)MIN(target->own_running, MAX_RUNNING);
 }
 
-static void add_culprits(skh_gossip_t *gossip, draft_t *draft)
+static void add_crash_suspects(skh_gossip_t *gossip, outgoing_report_t *outgoing)
 {
-	for (uint32_t i = 0; i < MAX_CULPRITS; i++) {
-		told_culprit_t *told = &gossip->culprits[i];
+	for (uint32_t i = 0; i < MAX_CRASH_SUSPECTS; i++) {
+		crash_suspect_t *suspect = &gossip->suspects[i];
 
-		if (told->left == 0)
+		if (suspect->reports_left == 0)
 			continue;
-		told->left--;
-		draft->culprits[draft->n_culprits] = told->content;
-		draft->crashes[draft->n_culprits++] = told->crash;
+		suspect->reports_left--;
+		outgoing->suspects[outgoing->n_suspects] = suspect->content;
+		outgoing->crashes[outgoing->n_suspects++] = suspect->crash;
 	}
 }
 
-static uint64_t hash_draft(const draft_t *draft)
+static uint64_t hash_report(const outgoing_report_t *outgoing)
 {
-	uint64_t hash = skh_chunk_hash(
-		skh_chunk_make(draft->servers, draft->n_servers * sizeof(draft->servers[0])),
-		draft->n_culprits);
+	uint64_t hash =
+		skh_chunk_hash(skh_chunk_make(outgoing->servers,
+					      outgoing->n_servers * sizeof(outgoing->servers[0])),
+			       outgoing->n_suspects);
 
-	return skh_chunk_hash(skh_chunk_make(draft->running, draft->n_servers), hash);
+	return skh_chunk_hash(skh_chunk_make(outgoing->running, outgoing->n_servers), hash);
 }
 
-/* Returns the bytes sent to one peer. */
-static size_t send_draft(skh_gossip_t *gossip, draft_t *draft)
+/* Returns the bytes sent to each peer, with headers. */
+static size_t send_report(skh_gossip_t *gossip, outgoing_report_t *outgoing)
 {
-	uint8_t packed[MAX_DATAGRAM];
+	uint8_t packed[MAX_REPORT_BYTES];
 	Skh__LoadReport message = SKH__LOAD_REPORT__INIT;
 	uv_buf_t buffer;
 	size_t len;
 
 	message.sender = gossip->sender;
 	message.number = ++gossip->number;
-	message.n_servers = draft->n_servers;
-	message.servers = draft->servers;
-	message.running = (ProtobufCBinaryData){ draft->n_servers, draft->running };
-	message.n_culprits = draft->n_culprits;
-	message.culprits = draft->culprits;
-	message.n_crashes = draft->n_culprits;
-	message.crashes = draft->crashes;
+	message.n_servers = outgoing->n_servers;
+	message.servers = outgoing->servers;
+	message.running = (ProtobufCBinaryData){ outgoing->n_servers, outgoing->running };
+	message.n_culprits = outgoing->n_suspects;
+	message.culprits = outgoing->suspects;
+	message.n_crashes = outgoing->n_suspects;
+	message.crashes = outgoing->crashes;
 	len = skh__load_report__pack(&message, packed);
 	buffer = uv_buf_init((char *)packed, (unsigned int)len);
 	for (guint i = 0; i < gossip->peers->len; i++) {
 		const struct sockaddr_in *peer =
 			&g_array_index(gossip->peers, struct sockaddr_in, i);
 
-		/* A report that does not go out is made good by the next. */
+		/* Send errors are ignored: the next report is complete in itself. */
 		(void)uv_udp_try_send(&gossip->udp, &buffer, 1, (const struct sockaddr *)peer);
 	}
 	skh_metrics_add(SKH_COUNT_CONTROL_BYTES_OUT, len * gossip->peers->len);
-	return len + DATAGRAM_BYTES;
+	return len + DATAGRAM_OVERHEAD_BYTES;
 }
 
 void skh_gossip_tick(skh_gossip_t *gossip)
 {
 	int64_t now_us = skh_clock_boot_us();
-	draft_t draft = { .n_servers = 0 };
+	outgoing_report_t outgoing = { .n_servers = 0 };
 	uint64_t hash;
-	size_t sent;
+	size_t sent_bytes;
 
-	forget_old(gossip, now_us);
-	if (now_us < gossip->next_us || gossip->peers->len == 0)
+	expire_reports(gossip, now_us);
+	if (now_us < gossip->next_send_us || gossip->peers->len == 0)
 		return;
-	skh_backends_for_each_target(gossip->gateway->backends, add_target, &draft);
-	add_culprits(gossip, &draft);
-	hash = hash_draft(&draft);
-	if (hash == gossip->last_hash && now_us - gossip->last_us < MOST_PAUSE_US)
+	skh_backends_for_each_target(gossip->gateway->backends, add_target, &outgoing);
+	add_crash_suspects(gossip, &outgoing);
+	hash = hash_report(&outgoing);
+	if (hash == gossip->last_sent_hash && now_us - gossip->last_sent_us < MAX_INTERVAL_US)
 		return;
-	sent = send_draft(gossip, &draft) * gossip->peers->len;
-	gossip->last_hash = hash;
-	gossip->last_us = now_us;
-	gossip->next_us = now_us + CLAMP((int64_t)sent * SKH_US_PER_S / BYTES_PER_S, LEAST_PAUSE_US,
-					 MOST_PAUSE_US);
+	sent_bytes = send_report(gossip, &outgoing) * gossip->peers->len;
+	gossip->last_sent_hash = hash;
+	gossip->last_sent_us = now_us;
+	gossip->next_send_us = now_us + CLAMP((int64_t)sent_bytes * SKH_US_PER_S / SEND_BYTES_PER_S,
+					      MIN_INTERVAL_US, MAX_INTERVAL_US);
 }
 
 void skh_gossip_add_crash_suspect(skh_gossip_t *gossip, uint64_t content, uint64_t crash)
 {
-	told_culprit_t *oldest = &gossip->culprits[0];
+	crash_suspect_t *oldest = &gossip->suspects[0];
 
-	for (uint32_t i = 1; i < MAX_CULPRITS; i++) {
-		if (gossip->culprits[i].left < oldest->left)
-			oldest = &gossip->culprits[i];
+	for (uint32_t i = 1; i < MAX_CRASH_SUSPECTS; i++) {
+		if (gossip->suspects[i].reports_left < oldest->reports_left)
+			oldest = &gossip->suspects[i];
 	}
-	*oldest = (told_culprit_t){ content, crash, CULPRIT_REPEATS };
+	*oldest = (crash_suspect_t){ content, crash, SUSPECT_REPORTS };
 }
 
 void skh_gossip_close(skh_gossip_t *gossip)
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -4,10 +4,14 @@
 /**
  * DOC: Load reports between gateways
  *
- * Each gateway tells the others, over UDP and within a fixed byte rate, how
- * many requests it has at each server, and which requests crash their servers.
- * Reports may be lost, late or reordered: each is complete, and the newest
- * counts until it is too old.
+ * Gossip over UDP: each gateway reports to all others how many requests it has
+ * in flight at each backend server and which requests are suspected of crashing
+ * servers. Owns the UDP socket, the addresses of the other gateways and the
+ * newest report of each. Runs on the gateway's event loop thread.
+ *
+ * The send rate is limited to a fixed number of bytes per second. Datagrams may
+ * be lost, delayed or reordered: each report is complete, a newer one replaces
+ * it, and a report that is too old is dropped.
  */
 
 #include "gateway.h"
@@ -16,21 +20,34 @@
 extern "C" {
 #endif
 
-/** skh_gossip_start() - on UDP @address; NULL with @err */
+/**
+ * skh_gossip_start() - listens on UDP @address ("address:port") and receives reports
+ * Return: NULL with @err when the address is invalid or can't be bound.
+ */
 skh_gossip_t *skh_gossip_start(skh_gateway_t *gateway, const char *address, skh_error_t *err);
 
-/** skh_gossip_set_peers() - "address:port" of the other gateways; @peers is taken */
+/**
+ * skh_gossip_set_peers() - replaces the list of the other gateways
+ * @peers: texts "address:port"; ownership passes to the function
+ *
+ * Datagrams from the IP address of any other host are ignored.
+ */
 void skh_gossip_set_peers(skh_gossip_t *gossip, GPtrArray *peers);
 
-/** skh_gossip_count_peers() - gateways known besides this one */
+/** skh_gossip_count_peers() - returns the number of known gateways without this one */
 uint32_t skh_gossip_count_peers(const skh_gossip_t *gossip);
 
-/** skh_gossip_tick() - send what is due, forget what is too old */
+/** skh_gossip_tick() - sends a report when one is due and drops reports that are too old */
 void skh_gossip_tick(skh_gossip_t *gossip);
 
-/** skh_gossip_add_crash_suspect() - tell the others of it for a while */
+/**
+ * skh_gossip_add_crash_suspect() - adds a suspect to the next few reports
+ * @content: hash of the request's content
+ * @crash: id of the server crash
+ */
 void skh_gossip_add_crash_suspect(skh_gossip_t *gossip, uint64_t content, uint64_t crash);
 
+/** skh_gossip_close() - closes the socket; the event loop must run before skh_gossip_free() */
 void skh_gossip_close(skh_gossip_t *gossip);
 void skh_gossip_free(skh_gossip_t *gossip);
 
--- a/src/peers.c
+++ b/src/peers.c
@@ -5,14 +5,14 @@
 #include <glib.h>
 #include <string.h>
 
-#define HELLO_CONNECTING_US  (200 * SKH_US_PER_MS)
-#define HELLO_BUSY_US	     (500 * SKH_US_PER_MS)
-#define HELLO_IDLE_MIN_US    (2 * SKH_US_PER_S)
-#define SILENCE_US	     (2500 * SKH_US_PER_MS)
-#define HELLO_EXCHANGE_BYTES 250
-#define HELLO_BYTES_PER_S    1000
-#define AVOID_FIRST_US	     (1 * SKH_US_PER_S)
-#define AVOID_MAX_SHIFT	     5
+#define HELLO_UNREACHABLE_INTERVAL_US (200 * SKH_US_PER_MS)
+#define HELLO_BUSY_INTERVAL_US	      (500 * SKH_US_PER_MS)
+#define HELLO_IDLE_MIN_INTERVAL_US    (2 * SKH_US_PER_S)
+#define SILENCE_TIMEOUT_US	      (2500 * SKH_US_PER_MS)
+#define HELLO_EXCHANGE_BYTES	      250
+#define HELLO_BYTES_PER_S	      1000
+#define AVOID_BASE_US		      (1 * SKH_US_PER_S)
+#define AVOID_MAX_DOUBLINGS	      5
 
 struct skh_peers {
 	GPtrArray *list;
@@ -63,19 +63,19 @@
 	return g_hash_table_lookup(peers->by_id, id);
 }
 
-static void set_text(char **target, const char *text)
+static void replace_text(char **field, const char *text)
 {
-	if (*target && strcmp(*target, text) == 0)
+	if (*field && strcmp(*field, text) == 0)
 		return;
-	g_free(*target);
-	*target = g_strdup(text);
+	g_free(*field);
+	*field = g_strdup(text);
 }
 
-static skh_peer_t *add_peer(skh_peers_t *peers, const skh_instance_t *member, int64_t now_us)
+static skh_peer_t *add_peer(skh_peers_t *peers, const skh_instance_t *instance, int64_t now_us)
 {
 	skh_peer_t *peer = g_new0(skh_peer_t, 1);
 
-	peer->id = g_strdup(member->id);
+	peer->id = g_strdup(instance->id);
 	peer->service = g_strdup("");
 	peer->group = g_strdup("");
 	peer->next_hello_us = now_us;
@@ -84,7 +84,7 @@
 	return peer;
 }
 
-static void drop_unlisted(skh_peers_t *peers)
+static void remove_unlisted(skh_peers_t *peers)
 {
 	for (size_t i = peers->list->len; i-- > 0;) {
 		skh_peer_t *peer = skh_peers_at(peers, i);
@@ -96,29 +96,29 @@
 	}
 }
 
-void skh_peers_sync(skh_peers_t *peers, const skh_instances_t *members, int64_t now_us)
+void skh_peers_sync(skh_peers_t *peers, const skh_instances_t *instances, int64_t now_us)
 {
 	for (size_t i = 0; i < peers->list->len; i++)
 		skh_peers_at(peers, i)->listed = false;
-	for (size_t i = 0; i < members->count; i++) {
-		const skh_instance_t *member = &members->list[i];
+	for (size_t i = 0; i < instances->count; i++) {
+		const skh_instance_t *instance = &instances->list[i];
 		skh_peer_t *peer;
 
-		if (strcmp(member->role, "sidecar") != 0)
+		if (strcmp(instance->role, "sidecar") != 0)
 			continue;
-		peer = skh_peers_find(peers, member->id);
+		peer = skh_peers_find(peers, instance->id);
 		if (!peer)
-			peer = add_peer(peers, member, now_us);
+			peer = add_peer(peers, instance, now_us);
 		peer->listed = true;
-		peer->listed_leaving = member->leaving;
-		set_text(&peer->link, member->link_address);
-		set_text(&peer->admin, member->admin_address);
-		set_text(&peer->failure_domain, member->failure_domain);
+		peer->listed_leaving = instance->leaving;
+		replace_text(&peer->link, instance->link_address);
+		replace_text(&peer->admin, instance->admin_address);
+		replace_text(&peer->failure_domain, instance->failure_domain);
 	}
-	drop_unlisted(peers);
+	remove_unlisted(peers);
 }
 
-static void take_status(skh_peer_t *peer, const Skh__Status *status)
+static void apply_status(skh_peer_t *peer, const Skh__Status *status)
 {
 	peer->incarnation = status->incarnation;
 	peer->phase = (skh_phase_t)status->phase;
@@ -128,8 +128,8 @@
 	peer->capacity = status->capacity;
 	peer->rank = status->rank;
 	peer->map_version = status->map_version;
-	set_text(&peer->service, status->service);
-	set_text(&peer->group, status->group);
+	replace_text(&peer->service, status->service);
+	replace_text(&peer->group, status->group);
 }
 
 bool skh_peers_record_frame(skh_peer_t *peer, const Skh__Status *status, int64_t revision,
@@ -137,7 +137,7 @@
 {
 	bool replaced = false;
 
-	peer->silence_deadline_us = now_us + SILENCE_US;
+	peer->silence_deadline_us = now_us + SILENCE_TIMEOUT_US;
 	peer->config_revision = MAX(peer->config_revision, revision);
 	if (!status)
 		return false;
@@ -147,43 +147,44 @@
 	peer->reachable = true;
 	peer->last_received_us = now_us;
 	peer->own_in_flight_at_report = peer->own_in_flight;
-	take_status(peer, status);
+	apply_status(peer, status);
 	return replaced;
 }
 
-/* Idle hellos share a fixed byte rate, so the interval grows with the fleet. */
+/* Hellos to idle sidecars share a fixed byte rate, so the interval grows with their number. */
 static int64_t idle_interval_us(const skh_peers_t *peers)
 {
 	int64_t sweep_us =
 		(int64_t)peers->list->len * HELLO_EXCHANGE_BYTES * SKH_US_PER_S / HELLO_BYTES_PER_S;
 
-	return MAX(sweep_us, HELLO_IDLE_MIN_US);
+	return MAX(sweep_us, HELLO_IDLE_MIN_INTERVAL_US);
 }
 
 bool skh_peers_schedule_hello(skh_peers_t *peers, skh_peer_t *peer, int64_t now_us)
 {
-	bool silent =
-		now_us + HELLO_BUSY_US > peer->silence_deadline_us - SILENCE_US + 2 * HELLO_BUSY_US;
+	bool is_silent = now_us + HELLO_BUSY_INTERVAL_US > peer->silence_deadline_us -
+								   SILENCE_TIMEOUT_US +
+								   2 * HELLO_BUSY_INTERVAL_US;
 
 	if (now_us < peer->next_hello_us)
 		return false;
 	if (!peer->reachable)
-		peer->next_hello_us = now_us + HELLO_CONNECTING_US;
+		peer->next_hello_us = now_us + HELLO_UNREACHABLE_INTERVAL_US;
 	else if (peer->own_in_flight > 0)
-		peer->next_hello_us = now_us + HELLO_BUSY_US;
+		peer->next_hello_us = now_us + HELLO_BUSY_INTERVAL_US;
 	else
 		peer->next_hello_us = now_us + idle_interval_us(peers);
-	/* Frames of running work prove life; only a silent busy peer is asked. */
-	return !peer->reachable || peer->own_in_flight == 0 || silent;
+	/* Frames of running requests prove that a busy sidecar is alive; hellos are for silence. */
+	return !peer->reachable || peer->own_in_flight == 0 || is_silent;
 }
 
-/* What this entry has sent and had back since the report is not in it. */
+/* Adds the entry's requests that began, less those that ended, since the last status. */
 uint32_t skh_peers_estimate_load(const skh_peer_t *peer)
 {
-	int64_t reported = (int64_t)peer->running + peer->queued;
-	int64_t since = (int64_t)peer->own_in_flight - peer->own_in_flight_at_report;
+	int64_t reported_load = (int64_t)peer->running + peer->queued;
+	int64_t since_report = (int64_t)peer->own_in_flight - peer->own_in_flight_at_report;
 
-	return (uint32_t)MAX(reported + since, (int64_t)peer->own_in_flight);
+	return (uint32_t)MAX(reported_load + since_report, (int64_t)peer->own_in_flight);
 }
 
 bool skh_peers_is_lost(const skh_peer_t *peer, int64_t now_us)
@@ -204,10 +205,10 @@
 
 void skh_peers_begin_request(skh_peer_t *peer, int64_t now_us)
 {
-	/* The silence of an idle peer says nothing; start watching it now. */
+	/* Silence of an idle sidecar is no failure: its deadline starts with the first request. */
 	if (peer->own_in_flight == 0) {
-		peer->silence_deadline_us = now_us + SILENCE_US;
-		peer->next_hello_us = MIN(peer->next_hello_us, now_us + HELLO_BUSY_US);
+		peer->silence_deadline_us = now_us + SILENCE_TIMEOUT_US;
+		peer->next_hello_us = MIN(peer->next_hello_us, now_us + HELLO_BUSY_INTERVAL_US);
 	}
 	peer->own_in_flight++;
 }
@@ -221,6 +222,6 @@
 		return;
 	}
 	peer->avoid_until_us =
-		now_us + (AVOID_FIRST_US << MIN(peer->consecutive_failures, AVOID_MAX_SHIFT));
+		now_us + (AVOID_BASE_US << MIN(peer->consecutive_failures, AVOID_MAX_DOUBLINGS));
 	peer->consecutive_failures++;
 }
