--- a/src/feed.c
+++ b/src/feed.c
@@ -8,34 +8,34 @@
 #include <string.h>
 
 #define PART "feed"
-/* After a failed call: the first pause, doubled up to the last, jittered. */
-#define PAUSE_FIRST_US (60 * SKH_US_PER_MS)
-#define PAUSE_LAST_US  (400 * SKH_US_PER_MS)
-/* Without an answer for this long the store counts as away. */
-#define AWAY_US	       (1500 * SKH_US_PER_MS)
-#define REGISTER_TTL_S 12
-#define RENEW_US       (4 * SKH_US_PER_S)
+/* Pause after a failed call; doubled with each failure up to the maximum, with jitter. */
+#define BACKOFF_MIN_US (60 * SKH_US_PER_MS)
+#define BACKOFF_MAX_US (400 * SKH_US_PER_MS)
+/* The store counts as unavailable after this time without a response. */
+#define UNAVAILABLE_AFTER_US (1500 * SKH_US_PER_MS)
+#define REGISTRATION_TTL_S   12
+#define RENEW_INTERVAL_US    (4 * SKH_US_PER_S)
 
 struct skh_feed {
 	skh_feed_options_t options;
 	pthread_t thread;
 	bool stop;
-	int64_t fresh_us; /* atomic */
+	int64_t fresh_as_of_us; /* atomic */
 	GMutex lock;
-	GHashTable *peers;     /* id -> address; under the lock */
-	uint64_t peer_changes; /* counted from 1; under the lock */
-	GHashTable *notices;   /* service -> text; under the lock */
-	uint64_t notice_changes;
-	/* Of the thread alone: */
-	skh_roster_builder_t *record;
-	int64_t after; /* revision up to which changes are known; 0: read all */
+	GHashTable *gateways;	  /* id -> address; guarded by the lock */
+	uint64_t gateway_changes; /* counted from 1; guarded by the lock */
+	GHashTable *rank_notices; /* service -> text; guarded by the lock */
+	uint64_t notice_changes;  /* counted from 1; guarded by the lock */
+	/* Used by the feed's thread alone: */
+	skh_roster_builder_t *builder;
+	int64_t read_revision; /* revision up to which changes were read; 0 for a full read */
 	int64_t config_revision;
-	int64_t answered_us; /* last answer of the store */
-	int64_t back_us;     /* the store was away and came back then */
-	int64_t pause_us;
-	bool away;
+	int64_t last_response_us; /* last response of the store */
+	int64_t recovered_us;	  /* end of the store's last outage; 0 for none */
+	int64_t backoff_us;
+	bool is_unavailable;
 	int64_t lease;
-	int64_t renew_us;
+	int64_t next_renew_us;
 	bool roster_changed;
 	bool has_roster;
 };
@@ -45,39 +45,44 @@
 	return __atomic_load_n(&feed->stop, __ATOMIC_ACQUIRE);
 }
 
-static void note_failure(skh_feed_t *feed, const skh_error_t *err)
+static void record_failure(skh_feed_t *feed, const skh_error_t *err)
 {
 	skh_metrics_add(SKH_COUNT_STORE_FAILED, 1);
-	feed->pause_us =
-		feed->pause_us == 0 ? PAUSE_FIRST_US : MIN(feed->pause_us * 2, PAUSE_LAST_US);
-	if (!feed->away && skh_clock_boot_us() - feed->answered_us > AWAY_US) {
-		feed->away = true;
-		skh_log(SKH_LOG_WARNING, PART, "Store is lost.",
-			"revision=%" G_GINT64_FORMAT " reason=%s", feed->after, err->text);
+	feed->backoff_us =
+		feed->backoff_us == 0 ? BACKOFF_MIN_US : MIN(feed->backoff_us * 2, BACKOFF_MAX_US);
+	if (!feed->is_unavailable &&
+	    skh_clock_boot_us() - feed->last_response_us > UNAVAILABLE_AFTER_US) {
+		feed->is_unavailable = true;
+		skh_log(SKH_LOG_WARNING, PART,
+			"Store is unavailable; the last known state stays in use.",
+			"revision=%" G_GINT64_FORMAT " reason=%s", feed->read_revision, err->text);
 	}
-	skh_clock_sleep(feed->pause_us / 2 + (int64_t)(skh_random_u64() % (uint64_t)feed->pause_us),
+	skh_clock_sleep(feed->backoff_us / 2 +
+				(int64_t)(skh_random_u64() % (uint64_t)feed->backoff_us),
 			&feed->stop);
 }
 
-static void note_answer(skh_feed_t *feed)
+static void record_response(skh_feed_t *feed)
 {
 	int64_t now_us = skh_clock_boot_us();
 
-	/* Entries may also have lapsed while this process slept or could not ask. */
-	if (now_us - feed->answered_us > AWAY_US && feed->answered_us != 0) {
-		feed->back_us = now_us;
-		skh_log(SKH_LOG_INFO, PART, "Store is back.", "silent_ms=%" G_GINT64_FORMAT,
-			(now_us - feed->answered_us) / SKH_US_PER_MS);
+	/* Entries may also have expired while this process was suspended or could not poll. */
+	if (now_us - feed->last_response_us > UNAVAILABLE_AFTER_US && feed->last_response_us != 0) {
+		feed->recovered_us = now_us;
+		skh_log(SKH_LOG_INFO, PART, "Store is available again.",
+			"silent_ms=%" G_GINT64_FORMAT,
+			(now_us - feed->last_response_us) / SKH_US_PER_MS);
 	}
-	feed->away = false;
-	feed->pause_us = 0;
-	feed->answered_us = now_us;
+	feed->is_unavailable = false;
+	feed->backoff_us = 0;
+	feed->last_response_us = now_us;
 }
 
-/* Entries that vanish shortly after an outage may have lapsed in it. */
-static bool may_have_lapsed(const skh_feed_t *feed)
+/* Entries removed shortly after an outage may have expired during the outage. */
+static bool may_have_expired(const skh_feed_t *feed)
 {
-	return feed->back_us != 0 && skh_clock_boot_us() - feed->back_us < SKH_ROSTER_GRACE_US;
+	return feed->recovered_us != 0 &&
+	       skh_clock_boot_us() - feed->recovered_us < SKH_ROSTER_GRACE_US;
 }
 
 static void adopt_config(skh_feed_t *feed, const char *value, int64_t revision)
@@ -90,20 +95,21 @@
 	routing = feed->options.dialect->read_config(skh_chunk_from_string(value), &err);
 	if (!routing) {
 		skh_metrics_add(SKH_COUNT_CONFIG_FAILED, 1);
-		skh_log(SKH_LOG_ERROR, PART, "Configuration not read.",
+		skh_log(SKH_LOG_ERROR, PART,
+			"Configuration is invalid; the previous one stays in force.",
 			"revision=%" G_GINT64_FORMAT " reason=%s", revision, err.text);
 		return;
 	}
 	routing->revision = revision;
 	feed->config_revision = revision;
 	skh_metrics_add(SKH_COUNT_CONFIG_ADOPTED, 1);
-	skh_log(SKH_LOG_INFO, PART, "Configuration in force.",
+	skh_log(SKH_LOG_INFO, PART, "Configuration is in force.",
 		"version=%" G_GINT64_FORMAT " revision=%" G_GINT64_FORMAT " routes=%u",
 		routing->version, revision, routing->routes->len);
 	skh_board_publish_routing(feed->options.board, routing);
 }
 
-static void take_server(skh_feed_t *feed, const char *id, const char *value)
+static void apply_server(skh_feed_t *feed, const char *id, const char *value)
 {
 	skh_error_t err;
 	skh_server_t *server =
@@ -112,52 +118,53 @@
 	bool changed;
 
 	if (value && !server)
-		skh_log(SKH_LOG_WARNING, PART, "Server entry not read.", "server=%s reason=%s", id,
-			err.text);
+		skh_log(SKH_LOG_WARNING, PART,
+			"Server entry is invalid; the server gets no new requests.",
+			"server=%s reason=%s", id, err.text);
 	if (server)
-		changed = skh_roster_builder_put(feed->record, server);
+		changed = skh_roster_builder_put(feed->builder, server);
 	else
 		changed = skh_roster_builder_remove(
-			feed->record, id, !value && may_have_lapsed(feed), skh_clock_boot_us());
+			feed->builder, id, !value && may_have_expired(feed), skh_clock_boot_us());
 	feed->roster_changed = feed->roster_changed || changed;
 }
 
-static void take_peer(skh_feed_t *feed, const char *id, const char *value)
+static void apply_gateway(skh_feed_t *feed, const char *id, const char *value)
 {
 	g_mutex_lock(&feed->lock);
 	if (value)
-		(void)g_hash_table_replace(feed->peers, g_strdup(id), g_strdup(value));
+		(void)g_hash_table_replace(feed->gateways, g_strdup(id), g_strdup(value));
 	else
-		(void)g_hash_table_remove(feed->peers, id);
-	feed->peer_changes++;
+		(void)g_hash_table_remove(feed->gateways, id);
+	feed->gateway_changes++;
 	g_mutex_unlock(&feed->lock);
 }
 
-static void take_notice(skh_feed_t *feed, const char *service, const char *value)
+static void apply_rank_notice(skh_feed_t *feed, const char *service, const char *value)
 {
 	g_mutex_lock(&feed->lock);
 	if (value)
-		(void)g_hash_table_replace(feed->notices, g_strdup(service), g_strdup(value));
+		(void)g_hash_table_replace(feed->rank_notices, g_strdup(service), g_strdup(value));
 	else
-		(void)g_hash_table_remove(feed->notices, service);
+		(void)g_hash_table_remove(feed->rank_notices, service);
 	feed->notice_changes++;
 	g_mutex_unlock(&feed->lock);
 }
 
-/* @value is NULL for a deletion. */
-static void take_change(skh_feed_t *feed, const char *key, const char *value, int64_t revision)
+/* Applies one change of a key; @value is NULL for a deletion. */
+static void apply_change(skh_feed_t *feed, const char *key, const char *value, int64_t revision)
 {
-	const char *servers = feed->options.dialect->servers_prefix;
-	const char *peers = feed->options.peers_prefix;
+	const char *servers_prefix = feed->options.dialect->servers_prefix;
+	const char *gateways_prefix = feed->options.peers_prefix;
 
 	if (value && strcmp(key, feed->options.dialect->config_key) == 0)
 		adopt_config(feed, value, revision);
-	else if (g_str_has_prefix(key, servers))
-		take_server(feed, key + strlen(servers), value);
-	else if (g_str_has_prefix(key, peers))
-		take_peer(feed, key + strlen(peers), value);
+	else if (g_str_has_prefix(key, servers_prefix))
+		apply_server(feed, key + strlen(servers_prefix), value);
+	else if (g_str_has_prefix(key, gateways_prefix))
+		apply_gateway(feed, key + strlen(gateways_prefix), value);
 	else if (g_str_has_prefix(key, SKH_RANK_NOTICE_PREFIX))
-		take_notice(feed, key + strlen(SKH_RANK_NOTICE_PREFIX), value);
+		apply_rank_notice(feed, key + strlen(SKH_RANK_NOTICE_PREFIX), value);
 }
 
 static bool read_config(skh_feed_t *feed, int64_t *revision, skh_error_t *err)
@@ -182,62 +189,62 @@
 	if (!store->ops->range(store, prefix, true, pairs, err))
 		return false;
 	for (size_t i = 0; i < pairs->count; i++)
-		take_change(feed, pairs->list[i].key, pairs->list[i].value,
-			    pairs->list[i].mod_revision);
+		apply_change(feed, pairs->list[i].key, pairs->list[i].value,
+			     pairs->list[i].mod_revision);
 	return true;
 }
 
-static void retain_listed(skh_feed_t *feed, const skh_kv_pairs_t *pairs)
+static void remove_unlisted(skh_feed_t *feed, const skh_kv_pairs_t *pairs)
 {
-	size_t skip = strlen(feed->options.dialect->servers_prefix);
+	size_t prefix_len = strlen(feed->options.dialect->servers_prefix);
 	g_autoptr(GHashTable) ids = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (size_t i = 0; i < pairs->count; i++)
-		(void)g_hash_table_add(ids, pairs->list[i].key + skip);
-	if (skh_roster_builder_retain(feed->record, ids, may_have_lapsed(feed),
+		(void)g_hash_table_add(ids, pairs->list[i].key + prefix_len);
+	if (skh_roster_builder_retain(feed->builder, ids, may_have_expired(feed),
 				      skh_clock_boot_us()))
 		feed->roster_changed = true;
 }
 
-/* Those that were taken back unseen are not in the store any more. */
-static void forget_notices(skh_feed_t *feed)
+/* Before a full read: notices deleted meanwhile are no longer in the store. */
+static void clear_rank_notices(skh_feed_t *feed)
 {
 	g_mutex_lock(&feed->lock);
-	g_hash_table_remove_all(feed->notices);
+	g_hash_table_remove_all(feed->rank_notices);
 	feed->notice_changes++;
 	g_mutex_unlock(&feed->lock);
 }
 
-/* Reads everything, as at the start and when the store's history is gone. */
+/* Reads all keys, at the start and when the store has compacted its history. */
 static bool read_all(skh_feed_t *feed, skh_error_t *err)
 {
 	skh_kv_pairs_t servers;
-	skh_kv_pairs_t peers;
+	skh_kv_pairs_t gateways;
 	skh_kv_pairs_t notices;
 	int64_t revision;
 
 	if (!read_config(feed, &revision, err))
 		return false;
-	note_answer(feed);
+	record_response(feed);
 	if (!read_prefix(feed, feed->options.dialect->servers_prefix, &servers, err))
 		return false;
-	retain_listed(feed, &servers);
+	remove_unlisted(feed, &servers);
 	skh_kv_pairs_clear(&servers);
-	if (!read_prefix(feed, feed->options.peers_prefix, &peers, err))
+	if (!read_prefix(feed, feed->options.peers_prefix, &gateways, err))
 		return false;
-	skh_kv_pairs_clear(&peers);
-	forget_notices(feed);
+	skh_kv_pairs_clear(&gateways);
+	clear_rank_notices(feed);
 	if (!read_prefix(feed, SKH_RANK_NOTICE_PREFIX, &notices, err))
 		return false;
 	skh_kv_pairs_clear(&notices);
-	feed->after = revision;
+	feed->read_revision = revision;
 	feed->has_roster = true;
 	feed->roster_changed = true;
 	return true;
 }
 
-/* Several versions may have come at once: only the newest is read. */
-static void take_changes(skh_feed_t *feed, const skh_kv_changes_t *changes)
+/* Only the newest of several configuration versions in one response is applied. */
+static void apply_changes(skh_feed_t *feed, const skh_kv_changes_t *changes)
 {
 	const skh_kv_change_t *config = NULL;
 
@@ -247,10 +254,10 @@
 		if (strcmp(change->key, feed->options.dialect->config_key) == 0)
 			config = change;
 		else
-			take_change(feed, change->key, change->value, change->mod_revision);
+			apply_change(feed, change->key, change->value, change->mod_revision);
 	}
 	if (config)
-		take_change(feed, config->key, config->value, config->mod_revision);
+		apply_change(feed, config->key, config->value, config->mod_revision);
 }
 
 static bool read_changes(skh_feed_t *feed, skh_error_t *err)
@@ -258,37 +265,39 @@
 	skh_store_t *store = feed->options.store;
 	skh_kv_changes_t changes;
 
-	if (!store->ops->poll_changes(store, "", feed->after, feed->options.poll_timeout_ms,
+	if (!store->ops->poll_changes(store, "", feed->read_revision, feed->options.poll_timeout_ms,
 				      &changes, err)) {
 		if (err->kind == SKH_STORE_COMPACTED) {
-			skh_log(SKH_LOG_INFO, PART, "Store history is gone; reading all.",
-				"revision=%" G_GINT64_FORMAT, feed->after);
-			feed->after = 0;
-			note_answer(feed);
+			skh_log(SKH_LOG_INFO, PART,
+				"Store history was compacted; reading the full state.",
+				"revision=%" G_GINT64_FORMAT, feed->read_revision);
+			feed->read_revision = 0;
+			record_response(feed);
 			return true;
 		}
 		return false;
 	}
-	note_answer(feed);
-	take_changes(feed, &changes);
-	feed->after = MAX(feed->after, changes.store_revision);
+	record_response(feed);
+	apply_changes(feed, &changes);
+	feed->read_revision = MAX(feed->read_revision, changes.store_revision);
 	skh_kv_changes_clear(&changes);
 	return true;
 }
 
-static void publish(skh_feed_t *feed, int64_t config_before)
+static void publish(skh_feed_t *feed, int64_t previous_revision)
 {
-	if (skh_roster_builder_expire(feed->record, skh_clock_boot_us()))
+	if (skh_roster_builder_expire(feed->builder, skh_clock_boot_us()))
 		feed->roster_changed = true;
 	if (feed->roster_changed && feed->has_roster)
-		skh_board_publish_roster(feed->options.board,
-					 skh_roster_builder_snapshot(feed->record, feed->after));
-	if (feed->roster_changed || feed->config_revision != config_before)
+		skh_board_publish_roster(
+			feed->options.board,
+			skh_roster_builder_snapshot(feed->builder, feed->read_revision));
+	if (feed->roster_changed || feed->config_revision != previous_revision)
 		feed->options.notify(feed->options.context);
 	feed->roster_changed = false;
 }
 
-static bool put_own_key(skh_feed_t *feed, skh_error_t *err)
+static bool register_gateway(skh_feed_t *feed, skh_error_t *err)
 {
 	skh_store_t *store = feed->options.store;
 	g_autofree char *key = g_strconcat(feed->options.peers_prefix, feed->options.own_id, NULL);
@@ -296,7 +305,7 @@
 	const skh_txn_t txn = { .ops = &put, .n_ops = 1 };
 	skh_txn_result_t result;
 
-	if (!store->ops->lease_grant(store, REGISTER_TTL_S, &feed->lease, err))
+	if (!store->ops->lease_grant(store, REGISTRATION_TTL_S, &feed->lease, err))
 		return false;
 	put.lease = feed->lease;
 	if (!store->ops->txn(store, &txn, &result, err)) {
@@ -307,52 +316,53 @@
 	return true;
 }
 
-/* Other gateways find this one by its key; a failure is tried again a period later. */
-static void register_own(skh_feed_t *feed)
+/* Other gateways find this one by its key; a failure is retried one interval later. */
+static void renew_registration(skh_feed_t *feed)
 {
 	skh_store_t *store = feed->options.store;
 	int64_t now_us = skh_clock_boot_us();
 	int64_t ttl_s = 0;
 	skh_error_t err = { .kind = SKH_OK };
-	bool done;
+	bool succeeded;
 
-	if (!feed->options.own_id || now_us < feed->renew_us)
+	if (!feed->options.own_id || now_us < feed->next_renew_us)
 		return;
-	feed->renew_us = now_us + RENEW_US;
+	feed->next_renew_us = now_us + RENEW_INTERVAL_US;
 	if (feed->lease != 0) {
-		done = store->ops->lease_renew(store, feed->lease, &ttl_s, &err);
-		if (done && ttl_s > 0)
+		succeeded = store->ops->lease_renew(store, feed->lease, &ttl_s, &err);
+		if (succeeded && ttl_s > 0)
 			return;
-		if (done)
+		if (succeeded)
 			feed->lease = 0;
 	}
-	done = feed->lease == 0 ? put_own_key(feed, &err) : done;
-	if (!done)
-		skh_log(SKH_LOG_INFO, PART, "Not registered.", "reason=%s", err.text);
+	succeeded = feed->lease == 0 ? register_gateway(feed, &err) : succeeded;
+	if (!succeeded)
+		skh_log(SKH_LOG_INFO, PART, "Gateway registration failed; retrying later.",
+			"reason=%s", err.text);
 }
 
-static void *run(void *argument)
+static void *run_feed(void *argument)
 {
 	skh_feed_t *feed = argument;
 
 	while (!is_stopped(feed)) {
-		int64_t asked_us = skh_clock_boot_us();
-		int64_t config_before = feed->config_revision;
+		int64_t poll_started_us = skh_clock_boot_us();
+		int64_t previous_revision = feed->config_revision;
 		skh_error_t err;
-		bool read_from_start = feed->after == 0;
+		bool needs_full_read = feed->read_revision == 0;
 
-		if (read_from_start ? !read_all(feed, &err) : !read_changes(feed, &err)) {
-			publish(feed, config_before);
-			note_failure(feed, &err);
+		if (needs_full_read ? !read_all(feed, &err) : !read_changes(feed, &err)) {
+			publish(feed, previous_revision);
+			record_failure(feed, &err);
 			continue;
 		}
-		publish(feed, config_before);
-		/* Only what is on the board by now is vouched for, as of the question. */
-		if (feed->after != 0)
-			__atomic_store_n(&feed->fresh_us, asked_us, __ATOMIC_RELEASE);
-		register_own(feed);
-		if (feed->after != 0)
-			skh_clock_sleep(asked_us + feed->options.poll_interval_us -
+		publish(feed, previous_revision);
+		/* The board, now published, was current when the poll started. */
+		if (feed->read_revision != 0)
+			__atomic_store_n(&feed->fresh_as_of_us, poll_started_us, __ATOMIC_RELEASE);
+		renew_registration(feed);
+		if (feed->read_revision != 0)
+			skh_clock_sleep(poll_started_us + feed->options.poll_interval_us -
 						skh_clock_boot_us(),
 					&feed->stop);
 	}
@@ -364,13 +374,13 @@
 	skh_feed_t *feed = g_new0(skh_feed_t, 1);
 
 	feed->options = *options;
-	feed->record = skh_roster_builder_new();
-	feed->peer_changes = 1;
-	feed->peers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	feed->builder = skh_roster_builder_new();
+	feed->gateway_changes = 1;
+	feed->gateways = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	feed->notice_changes = 1;
-	feed->notices = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	feed->rank_notices = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_mutex_init(&feed->lock);
-	(void)pthread_create(&feed->thread, NULL, run, feed);
+	(void)pthread_create(&feed->thread, NULL, run_feed, feed);
 	return feed;
 }
 
@@ -378,27 +388,27 @@
 {
 	__atomic_store_n(&feed->stop, true, __ATOMIC_RELEASE);
 	(void)pthread_join(feed->thread, NULL);
-	skh_roster_builder_free(feed->record);
-	g_hash_table_unref(feed->peers);
-	g_hash_table_unref(feed->notices);
+	skh_roster_builder_free(feed->builder);
+	g_hash_table_unref(feed->gateways);
+	g_hash_table_unref(feed->rank_notices);
 	g_mutex_clear(&feed->lock);
 	g_free(feed);
 }
 
 int64_t skh_feed_fresh_as_of_us(const skh_feed_t *feed)
 {
-	return __atomic_load_n(&feed->fresh_us, __ATOMIC_ACQUIRE);
+	return __atomic_load_n(&feed->fresh_as_of_us, __ATOMIC_ACQUIRE);
 }
 
-/* Under the lock. */
-static GPtrArray *list_peers(const skh_feed_t *feed)
+/* Called with the lock held. */
+static GPtrArray *list_gateways(const skh_feed_t *feed)
 {
 	GPtrArray *list = g_ptr_array_new_with_free_func(g_free);
 	GHashTableIter iter;
 	gpointer id;
 	gpointer address;
 
-	g_hash_table_iter_init(&iter, feed->peers);
+	g_hash_table_iter_init(&iter, feed->gateways);
 	while (g_hash_table_iter_next(&iter, &id, &address)) {
 		if (!feed->options.own_id || strcmp(id, feed->options.own_id) != 0)
 			g_ptr_array_add(list, g_strdup(address));
@@ -406,32 +416,32 @@
 	return list;
 }
 
-GPtrArray *skh_feed_get_gateways(skh_feed_t *feed, uint64_t *seen)
+GPtrArray *skh_feed_get_gateways(skh_feed_t *feed, uint64_t *last_change)
 {
 	GPtrArray *list = NULL;
 
 	g_mutex_lock(&feed->lock);
-	if (feed->peer_changes != *seen)
-		list = list_peers(feed);
-	*seen = feed->peer_changes;
+	if (feed->gateway_changes != *last_change)
+		list = list_gateways(feed);
+	*last_change = feed->gateway_changes;
 	g_mutex_unlock(&feed->lock);
 	return list;
 }
 
-char *skh_feed_get_rank_notices(skh_feed_t *feed, uint64_t *seen)
+char *skh_feed_get_rank_notices(skh_feed_t *feed, uint64_t *last_change)
 {
-	GString *all = NULL;
+	GString *lines = NULL;
 	GHashTableIter iter;
 	gpointer text;
 
 	g_mutex_lock(&feed->lock);
-	if (feed->notice_changes != *seen) {
-		all = g_string_new(NULL);
-		g_hash_table_iter_init(&iter, feed->notices);
+	if (feed->notice_changes != *last_change) {
+		lines = g_string_new(NULL);
+		g_hash_table_iter_init(&iter, feed->rank_notices);
 		while (g_hash_table_iter_next(&iter, NULL, &text))
-			g_string_append(all, text);
+			g_string_append(lines, text);
 	}
-	*seen = feed->notice_changes;
+	*last_change = feed->notice_changes;
 	g_mutex_unlock(&feed->lock);
-	return all ? g_string_free(all, FALSE) : NULL;
+	return lines ? g_string_free(lines, FALSE) : NULL;
 }
--- a/src/feed.h
+++ b/src/feed.h
@@ -4,10 +4,16 @@
 /**
  * DOC: Feed from the store
  *
- * One thread that follows the operators' configuration, the list of backend
- * servers and the other gateways in the store, and puts them on the
- * blackboard. One paced long poll serves all of it: calls are priced, and the
- * list changes several times a second.
+ * A thread of a gateway that reads the operators' configuration, the list of
+ * backend servers, the other gateways and the slow ranks from the store. It
+ * publishes configuration and servers on the blackboard and registers the
+ * gateway under a lease. Owns its thread, which makes all store calls; the
+ * functions below may be called from any thread. Times are microseconds of the
+ * boot clock.
+ *
+ * A single rate-limited long poll covers all keys, because every store call has
+ * a price and the list of servers changes several times a second. Failed calls
+ * are retried with a jittered exponential backoff; the last state stays in use.
  */
 
 #include "board.h"
@@ -17,48 +23,54 @@
 extern "C" {
 #endif
 
-/* Keys of what coordinators tell of their groups: "address pace" of slow ranks, a line each. */
+/*
+ * Prefix of the keys under which coordinators publish the slow ranks of a service:
+ * one line "address slowdown" per rank.
+ */
 #define SKH_RANK_NOTICE_PREFIX "skylarkhead/slow/"
 
-/** struct skh_feed_options - texts are borrowed for the feed's life */
+/** struct skh_feed_options - all pointers are borrowed and must outlive the feed */
 typedef struct skh_feed_options {
-	skh_store_t *store; /* of the feed's own */
+	skh_store_t *store; /* used by the feed alone */
 	const skh_dialect_t *dialect;
 	skh_board_t *board;
-	int64_t poll_interval_us; /* between two polls */
-	int64_t poll_timeout_ms;  /* of a poll without news */
-	const char *peers_prefix; /* where gateways register; ends with a slash */
-	const char *own_id;	  /* NULL to register nothing */
-	const char *own_address;  /* where other gateways reach this one */
-	/* Something on the board has changed; on the feed's thread. */
+	int64_t poll_interval_us; /* minimum time from one poll's start to the next */
+	int64_t poll_timeout_ms;  /* longest wait of a poll for a change */
+	const char *peers_prefix; /* prefix of the keys of gateways; ends with a slash */
+	const char *own_id;	  /* NULL for a gateway that is not registered */
+	const char *own_address;  /* address at which other gateways reach this one */
+	/* Called on the feed's thread after a change of the board. */
 	void (*notify)(void *context);
 	void *context;
 } skh_feed_options_t;
 
 typedef struct skh_feed skh_feed_t;
 
+/** skh_feed_start() - starts the feed's thread; @options are copied */
 skh_feed_t *skh_feed_start(const skh_feed_options_t *options);
+
+/** skh_feed_stop() - stops the thread, waits for its end and frees the feed */
 void skh_feed_stop(skh_feed_t *feed);
 
 /**
- * skh_feed_fresh_as_of_us() - the store had nothing newer than the board at this time
- * Return: boot clock; 0 before the first answer.
+ * skh_feed_fresh_as_of_us() - time at which the store held nothing newer than the board
+ * Return: microseconds of the boot clock; 0 before the store was read completely.
  */
 int64_t skh_feed_fresh_as_of_us(const skh_feed_t *feed);
 
 /**
- * skh_feed_get_gateways() - addresses of the other gateways
- * @seen: the caller's mark of what it had last; 0 at first, set here
- * Return: NULL when nothing has changed since; else free with g_ptr_array_unref().
+ * skh_feed_get_gateways() - returns the addresses of the other gateways after a change
+ * @last_change: in: the change that the caller has read last, 0 at first; out: the newest change
+ * Return: texts "address:port", to be freed with g_ptr_array_unref(); NULL when unchanged.
  */
-GPtrArray *skh_feed_get_gateways(skh_feed_t *feed, uint64_t *seen);
+GPtrArray *skh_feed_get_gateways(skh_feed_t *feed, uint64_t *last_change);
 
 /**
- * skh_feed_get_rank_notices() - what coordinators tell of their groups, the texts of all services
- * @seen: as in skh_feed_get_gateways()
- * Return: NULL when nothing has changed since; else free with g_free().
+ * skh_feed_get_rank_notices() - returns the slow ranks of all services after a change
+ * @last_change: as in skh_feed_get_gateways()
+ * Return: lines "address slowdown", to be freed with g_free(); NULL when unchanged.
  */
-char *skh_feed_get_rank_notices(skh_feed_t *feed, uint64_t *seen);
+char *skh_feed_get_rank_notices(skh_feed_t *feed, uint64_t *last_change);
 
 #ifdef __cplusplus
 }
--- a/src/roster.c
+++ b/src/roster.c
@@ -36,19 +36,19 @@
 
 skh_roster_builder_t *skh_roster_builder_new(void)
 {
-	skh_roster_builder_t *record = g_new0(skh_roster_builder_t, 1);
+	skh_roster_builder_t *builder = g_new0(skh_roster_builder_t, 1);
 
-	record->servers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_server);
-	return record;
+	builder->servers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_server);
+	return builder;
 }
 
-void skh_roster_builder_free(skh_roster_builder_t *record)
+void skh_roster_builder_free(skh_roster_builder_t *builder)
 {
-	g_hash_table_unref(record->servers);
-	g_free(record);
+	g_hash_table_unref(builder->servers);
+	g_free(builder);
 }
 
-static bool is_same(const skh_server_t *a, const skh_server_t *b)
+static bool is_equal(const skh_server_t *a, const skh_server_t *b)
 {
 	return strcmp(a->service, b->service) == 0 && strcmp(a->host, b->host) == 0 &&
 	       a->port == b->port && strcmp(a->failure_domain, b->failure_domain) == 0 &&
@@ -57,28 +57,28 @@
 	       a->grace_expires_us == b->grace_expires_us;
 }
 
-bool skh_roster_builder_put(skh_roster_builder_t *record, skh_server_t *server)
+bool skh_roster_builder_put(skh_roster_builder_t *builder, skh_server_t *server)
 {
-	const skh_server_t *old = g_hash_table_lookup(record->servers, server->id);
+	const skh_server_t *old = g_hash_table_lookup(builder->servers, server->id);
 
-	if (old && is_same(old, server)) {
+	if (old && is_equal(old, server)) {
 		skh_server_free(server);
 		return false;
 	}
-	(void)g_hash_table_replace(record->servers, server->id, server);
+	(void)g_hash_table_replace(builder->servers, server->id, server);
 	return true;
 }
 
-bool skh_roster_builder_remove(skh_roster_builder_t *record, const char *id, bool lapsed,
+bool skh_roster_builder_remove(skh_roster_builder_t *builder, const char *id, bool may_have_expired,
 			       int64_t now_us)
 {
-	skh_server_t *server = g_hash_table_lookup(record->servers, id);
+	skh_server_t *server = g_hash_table_lookup(builder->servers, id);
 
 	if (!server)
 		return false;
-	/* A server that said it was leaving does not come back. */
-	if (!lapsed || server->leaving) {
-		(void)g_hash_table_remove(record->servers, id);
+	/* A server that was leaving is not expected to register again. */
+	if (!may_have_expired || server->leaving) {
+		(void)g_hash_table_remove(builder->servers, id);
 		return true;
 	}
 	if (server->grace_expires_us == 0)
@@ -86,15 +86,15 @@
 	return false;
 }
 
-bool skh_roster_builder_retain(skh_roster_builder_t *record, GHashTable *ids, bool lapsed,
-			       int64_t now_us)
+bool skh_roster_builder_retain(skh_roster_builder_t *builder, GHashTable *ids,
+			       bool may_have_expired, int64_t now_us)
 {
-	g_autoptr(GList) known = g_hash_table_get_keys(record->servers);
+	g_autoptr(GList) known = g_hash_table_get_keys(builder->servers);
 	bool changed = false;
 
 	for (const GList *item = known; item; item = item->next) {
 		if (!g_hash_table_contains(ids, item->data) &&
-		    skh_roster_builder_remove(record, item->data, lapsed, now_us))
+		    skh_roster_builder_remove(builder, item->data, may_have_expired, now_us))
 			changed = true;
 	}
 	return changed;
@@ -109,12 +109,12 @@
 	return server->grace_expires_us != 0 && now_us >= server->grace_expires_us;
 }
 
-bool skh_roster_builder_expire(skh_roster_builder_t *record, int64_t now_us)
+bool skh_roster_builder_expire(skh_roster_builder_t *builder, int64_t now_us)
 {
-	return g_hash_table_foreach_remove(record->servers, is_expired, &now_us) > 0;
+	return g_hash_table_foreach_remove(builder->servers, is_expired, &now_us) > 0;
 }
 
-static gint by_id(gconstpointer left, gconstpointer right)
+static gint compare_by_id(gconstpointer left, gconstpointer right)
 {
 	const skh_server_t *const *a = left;
 	const skh_server_t *const *b = right;
@@ -122,7 +122,7 @@
 	return strcmp((*a)->id, (*b)->id);
 }
 
-skh_roster_t *skh_roster_builder_snapshot(const skh_roster_builder_t *record, int64_t revision)
+skh_roster_t *skh_roster_builder_snapshot(const skh_roster_builder_t *builder, int64_t revision)
 {
 	skh_roster_t *roster = g_new0(skh_roster_t, 1);
 	GHashTableIter iter;
@@ -130,10 +130,10 @@
 
 	roster->revision = revision;
 	roster->servers = g_ptr_array_new_with_free_func(free_server);
-	g_hash_table_iter_init(&iter, record->servers);
+	g_hash_table_iter_init(&iter, builder->servers);
 	while (g_hash_table_iter_next(&iter, NULL, &server))
 		g_ptr_array_add(roster->servers, skh_server_copy(server));
-	g_ptr_array_sort(roster->servers, by_id);
+	g_ptr_array_sort(roster->servers, compare_by_id);
 	return roster;
 }
 
--- a/src/roster.h
+++ b/src/roster.h
@@ -4,13 +4,15 @@
 /**
  * DOC: Roster
  *
- * The backend servers as the platform lists them. Pure: the record keeps what
- * was read and when, and decides who may be given new work; the roster is an
- * immutable copy for readers.
+ * The backend servers that are listed in the platform's store. The builder holds
+ * the servers read so far and applies changes; the roster is an immutable
+ * snapshot for readers. Pure state without I/O: callers pass the current time in
+ * microseconds and serialise calls.
  *
- * An entry that disappears has left. But entries also lapse while the store is
- * away and nobody can renew them; those have a while after its return to come
- * back before they count as gone.
+ * A server whose entry is deleted is removed at once. Entries also expire while
+ * the store is unavailable and servers can't renew them; a server whose entry
+ * may have expired that way is kept for SKH_ROSTER_GRACE_US, so that it can
+ * register again.
  */
 
 #include <glib.h>
@@ -23,58 +25,72 @@
 
 /** struct skh_server - one backend server */
 typedef struct skh_server {
-	char *id; /* new with almost every start */
+	char *id; /* changes with almost every start of the server */
 	char *service;
 	char *host; /* IP address */
 	uint16_t port;
 	char *failure_domain;
-	uint32_t slots;		  /* requests that it works on at a time */
-	bool leaving;		  /* takes no new work */
-	int64_t started_unix_ms;  /* Unix time of its start; 0 when not told */
-	int64_t grace_expires_us; /* gone from the list in an outage, used until then; 0: listed */
+	uint32_t slots;		  /* requests that the server runs concurrently */
+	bool leaving;		  /* gets no new requests */
+	int64_t started_unix_ms;  /* Unix time of the server's start; 0 when unknown */
+	int64_t grace_expires_us; /* end of use after the entry expired; 0 while listed */
 } skh_server_t;
 
-/** struct skh_roster - sorted by id */
+/** struct skh_roster - snapshot of the backend servers, sorted by id */
 typedef struct skh_roster {
 	GPtrArray *servers; /* skh_server_t, owned */
-	int64_t revision;   /* of the store */
+	int64_t revision;   /* store revision of the snapshot */
 } skh_roster_t;
 
-/* Entries are back about two seconds after the store is. */
+/* Servers register again about two seconds after the store recovers. */
 #define SKH_ROSTER_GRACE_US ((int64_t)2200000)
 
 typedef struct skh_roster_builder skh_roster_builder_t;
 
+/** skh_roster_builder_new() - returns an empty builder */
 skh_roster_builder_t *skh_roster_builder_new(void);
-void skh_roster_builder_free(skh_roster_builder_t *record);
+void skh_roster_builder_free(skh_roster_builder_t *builder);
 
-/** skh_roster_builder_put() - @server is listed now; owned from here on. True when readers must know. */
-bool skh_roster_builder_put(skh_roster_builder_t *record, skh_server_t *server);
+/**
+ * skh_roster_builder_put() - adds @server or replaces the one with its id
+ * @server: ownership passes to the function
+ * Return: true when the roster changed and readers need a new snapshot.
+ */
+bool skh_roster_builder_put(skh_roster_builder_t *builder, skh_server_t *server);
 
 /**
- * skh_roster_builder_remove() - @id is no longer listed, or its entry can't be read
- * @lapsed: it may have lapsed because the store was away
+ * skh_roster_builder_remove() - handles a server that is no longer listed or has an invalid entry
+ * @may_have_expired: the entry may have expired because the store was unavailable; unless the
+ *                    server was leaving, it is then kept for the grace period
+ * Return: true when the roster changed and readers need a new snapshot.
  */
-bool skh_roster_builder_remove(skh_roster_builder_t *record, const char *id, bool lapsed,
+bool skh_roster_builder_remove(skh_roster_builder_t *builder, const char *id, bool may_have_expired,
 			       int64_t now_us);
 
 /**
- * skh_roster_builder_retain() - only the servers in @ids are listed; the rest is removed
- * @ids: set of ids
+ * skh_roster_builder_retain() - removes all servers that are not in @ids
+ * @ids: set of the listed ids
+ * @may_have_expired: as in skh_roster_builder_remove()
+ * Return: true when the roster changed and readers need a new snapshot.
  */
-bool skh_roster_builder_retain(skh_roster_builder_t *record, GHashTable *ids, bool lapsed,
-			       int64_t now_us);
+bool skh_roster_builder_retain(skh_roster_builder_t *builder, GHashTable *ids,
+			       bool may_have_expired, int64_t now_us);
 
-/** skh_roster_builder_expire() - drop what lapsed and did not come back */
-bool skh_roster_builder_expire(skh_roster_builder_t *record, int64_t now_us);
+/**
+ * skh_roster_builder_expire() - removes servers whose grace period has passed
+ * Return: true when the roster changed and readers need a new snapshot.
+ */
+bool skh_roster_builder_expire(skh_roster_builder_t *builder, int64_t now_us);
 
-/** skh_roster_builder_snapshot() - a copy for readers */
-skh_roster_t *skh_roster_builder_snapshot(const skh_roster_builder_t *record, int64_t revision);
+/** skh_roster_builder_snapshot() - returns a copy for readers; free with skh_roster_free() */
+skh_roster_t *skh_roster_builder_snapshot(const skh_roster_builder_t *builder, int64_t revision);
 
 skh_server_t *skh_server_copy(const skh_server_t *server);
 void skh_server_free(skh_server_t *server);
+/** skh_roster_clear() - frees what @roster owns, not @roster itself */
 void skh_roster_clear(skh_roster_t *roster);
 void skh_roster_free(skh_roster_t *roster);
+/** skh_roster_find() - returns the server called @id, or NULL */
 const skh_server_t *skh_roster_find(const skh_roster_t *roster, const char *id);
 
 #ifdef __cplusplus
