--- a/src/backends.c
+++ b/src/backends.c
@@ -7,42 +7,42 @@
 #include <string.h>
 
 #define PART "backends"
-/* How fast what is known of a server follows its newest answers. */
-#define MEAN_GAIN    0.2
-#define FAILING_GAIN 0.15
-/* A server that can't be reached is left alone for this long, doubled each time. */
-#define AVOID_US   (200 * SKH_US_PER_MS)
-#define AVOID_MOST 5 /* doublings */
-/* A server that turned a request away has room again after about this. */
-#define FULL_US (60 * SKH_US_PER_MS)
-/* The entry of an instance that is gone lapses after three missed heartbeats. */
-#define MISPLACED_US (4 * SKH_US_PER_S)
-#define RATE_SLOT_US (500 * SKH_US_PER_MS)
-/* Beyond its slots a plain server may be given this many, as answers take a moment to arrive. */
-#define OVERCOMMIT_PLAIN 2
-#define OVERCOMMIT_RANK	 1
-#define FIRST_MS_RANK	 150
-#define FIRST_MS_PLAIN	 80
+/* Weight of the newest response in a server's moving averages. */
+#define LATENCY_EWMA_GAIN 0.2
+#define FAILURE_EWMA_GAIN 0.15
+/* An unreachable server is avoided for this long, doubled with each failure in a row. */
+#define AVOID_BASE_US	    (200 * SKH_US_PER_MS)
+#define AVOID_MAX_DOUBLINGS 5
+/* A server that rejected a request as full has room again after about this time. */
+#define FULL_PAUSE_US (60 * SKH_US_PER_MS)
+/* The list names a stopped instance until its entry expires after three missed heartbeats. */
+#define WRONG_INSTANCE_PAUSE_US (4 * SKH_US_PER_S)
+#define RATE_SLOT_US		(500 * SKH_US_PER_MS)
+/* Requests sent beyond a server's slots, because responses take a moment to arrive. */
+#define OVERCOMMIT_PLAIN_REQUESTS    2
+#define OVERCOMMIT_RANK_REQUESTS     1
+#define TYPICAL_FIRST_EVENT_RANK_MS  150
+#define TYPICAL_FIRST_EVENT_PLAIN_MS 80
 
 struct skh_backends {
 	uv_loop_t *loop;
 	const skh_upstream_pool_options_t *options;
 	GHashTable *targets; /* id -> skh_target_t */
-	GHashTable *fronts;  /* service -> skh_target_pool_t */
-	char *paces;	     /* of slow ranks, "\naddress pace" each */
+	GHashTable *pools;   /* service -> skh_target_pool_t */
+	char *slowdowns;     /* "\naddress slowdown" for each slow rank */
 };
 
-static void free_front(gpointer data)
+static void free_pool(gpointer data)
 {
-	skh_target_pool_t *front = data;
+	skh_target_pool_t *pool = data;
 
-	(void)g_ptr_array_free(front->targets, TRUE);
-	skh_request_queue_free(front->queue);
-	g_free(front->service);
-	g_free(front);
+	(void)g_ptr_array_free(pool->targets, TRUE);
+	skh_request_queue_free(pool->queue);
+	g_free(pool->service);
+	g_free(pool);
 }
 
-static void unlist(gpointer data)
+static void unlist_target(gpointer data)
 {
 	skh_target_t *target = data;
 
@@ -57,33 +57,33 @@
 
 	backends->loop = loop;
 	backends->options = options;
-	backends->paces = g_strdup("");
-	backends->targets = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, unlist);
-	backends->fronts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_front);
+	backends->slowdowns = g_strdup("");
+	backends->targets = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, unlist_target);
+	backends->pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_pool);
 	return backends;
 }
 
 void skh_backends_free(skh_backends_t *backends)
 {
 	g_hash_table_unref(backends->targets);
-	g_hash_table_unref(backends->fronts);
-	g_free(backends->paces);
+	g_hash_table_unref(backends->pools);
+	g_free(backends->slowdowns);
 	g_free(backends);
 }
 
 skh_target_pool_t *skh_backends_get_or_create_pool(skh_backends_t *backends, const char *name)
 {
-	skh_target_pool_t *front = g_hash_table_lookup(backends->fronts, name);
-
-	if (front)
-		return front;
-	front = g_new0(skh_target_pool_t, 1);
-	front->service = g_strdup(name);
-	front->targets = g_ptr_array_new();
-	front->queue = skh_request_queue_new();
-	front->typical_first_event_ms = FIRST_MS_PLAIN;
-	g_hash_table_insert(backends->fronts, front->service, front);
-	return front;
+	skh_target_pool_t *pool = g_hash_table_lookup(backends->pools, name);
+
+	if (pool)
+		return pool;
+	pool = g_new0(skh_target_pool_t, 1);
+	pool->service = g_strdup(name);
+	pool->targets = g_ptr_array_new();
+	pool->queue = skh_request_queue_new();
+	pool->typical_first_event_ms = TYPICAL_FIRST_EVENT_PLAIN_MS;
+	g_hash_table_insert(backends->pools, pool->service, pool);
+	return pool;
 }
 
 skh_target_t *skh_backends_find_target(skh_backends_t *backends, const char *id)
@@ -94,11 +94,11 @@
 void skh_backends_for_each_pool(skh_backends_t *backends, skh_target_pool_fn fn, void *context)
 {
 	GHashTableIter iter;
-	gpointer front;
+	gpointer pool;
 
-	g_hash_table_iter_init(&iter, backends->fronts);
-	while (g_hash_table_iter_next(&iter, NULL, &front))
-		fn(front, context);
+	g_hash_table_iter_init(&iter, backends->pools);
+	while (g_hash_table_iter_next(&iter, NULL, &pool))
+		fn(pool, context);
 }
 
 void skh_backends_for_each_target(skh_backends_t *backends, skh_target_fn fn, void *context)
@@ -117,51 +117,52 @@
 	       a->started_unix_ms == b->started_unix_ms && strcmp(a->service, b->service) == 0;
 }
 
-/* After a crash the entry of before stays listed for a while beside the new one. */
-static void note_address(gpointer key, gpointer value, gpointer context)
+/* After a crash the old entry stays listed for a while beside the one of the new instance. */
+static void mark_superseded(gpointer key, gpointer value, gpointer context)
 {
 	skh_target_t *other = value;
-	skh_target_t *fresh = context;
-	bool is_later = fresh->server->started_unix_ms > other->server->started_unix_ms;
+	skh_target_t *added = context;
+	bool is_later = added->server->started_unix_ms > other->server->started_unix_ms;
 
 	(void)key;
-	if (other == fresh || other->server->port != fresh->server->port ||
-	    strcmp(other->server->host, fresh->server->host) != 0 ||
-	    fresh->server->started_unix_ms == other->server->started_unix_ms)
+	if (other == added || other->server->port != added->server->port ||
+	    strcmp(other->server->host, added->server->host) != 0 ||
+	    added->server->started_unix_ms == other->server->started_unix_ms)
 		return;
 	other->superseded = other->superseded || is_later;
-	fresh->superseded = fresh->superseded || !is_later;
-	skh_log(SKH_LOG_INFO, PART, "Address has a new instance.", "address=%s:%u old=%s new=%s",
-		fresh->server->host, fresh->server->port,
-		is_later ? other->server->id : fresh->server->id,
-		is_later ? fresh->server->id : other->server->id);
+	added->superseded = added->superseded || !is_later;
+	skh_log(SKH_LOG_INFO, PART,
+		"Address has a newer instance; the older one gets no new requests.",
+		"address=%s:%u old=%s new=%s", added->server->host, added->server->port,
+		is_later ? other->server->id : added->server->id,
+		is_later ? added->server->id : other->server->id);
 }
 
-/* By the coordinators' last word; each line of it begins after a line's end. */
-static void follow_pace(skh_target_t *target, const char *paces)
+/* Each line of @slowdowns starts after a newline, so a search can't match inside an address. */
+static void update_slowdown(skh_target_t *target, const char *slowdowns)
 {
 	g_autofree char *address =
 		g_strdup_printf("\n%s:%u ", target->server->host, target->server->port);
-	const char *line = strstr(paces, address);
-	double pace = line ? g_ascii_strtod(line + strlen(address), NULL) : 1.0;
+	const char *entry = strstr(slowdowns, address);
+	double slowdown = entry ? g_ascii_strtod(entry + strlen(address), NULL) : 1.0;
 
-	if (pace != target->slowdown)
-		skh_log(SKH_LOG_INFO, PART, "Pace of a rank.", "server=%s pace=%.1f",
-			target->server->id, pace);
-	target->slowdown = pace;
+	if (slowdown != target->slowdown)
+		skh_log(SKH_LOG_INFO, PART, "Slowdown of a server changed.", "server=%s pace=%.1f",
+			target->server->id, slowdown);
+	target->slowdown = slowdown;
 }
 
-static void set_pace(gpointer id, gpointer value, gpointer context)
+static void update_slowdown_entry(gpointer id, gpointer value, gpointer context)
 {
 	(void)id;
-	follow_pace(value, context);
+	update_slowdown(value, context);
 }
 
 void skh_backends_set_slowdowns(skh_backends_t *backends, const char *text)
 {
-	g_free(backends->paces);
-	backends->paces = g_strconcat("\n", text, NULL);
-	g_hash_table_foreach(backends->targets, set_pace, backends->paces);
+	g_free(backends->slowdowns);
+	backends->slowdowns = g_strconcat("\n", text, NULL);
+	g_hash_table_foreach(backends->targets, update_slowdown_entry, backends->slowdowns);
 }
 
 static void add_target(skh_backends_t *backends, const skh_server_t *server)
@@ -175,21 +176,23 @@
 	target->references = 1;
 	target->slowdown = 1.0;
 	target->listed = true;
-	follow_pace(target, backends->paces);
+	update_slowdown(target, backends->slowdowns);
 	g_ptr_array_add(target->target_pool->targets, target);
 	skh_group_breaker_record_rank_start(&target->target_pool->gate, skh_clock_boot_us());
 	g_hash_table_insert(backends->targets, target->server->id, target);
-	g_hash_table_foreach(backends->targets, note_address, target);
-	skh_log(SKH_LOG_INFO, PART, "Server listed.", "server=%s service=%s address=%s:%u",
+	g_hash_table_foreach(backends->targets, mark_superseded, target);
+	skh_log(SKH_LOG_INFO, PART, "Server is listed.", "server=%s service=%s address=%s:%u",
 		server->id, server->service, server->host, server->port);
 }
 
-static void follow_server(skh_backends_t *backends, const skh_server_t *server)
+static void update_server(skh_backends_t *backends, const skh_server_t *server)
 {
 	skh_target_t *target = g_hash_table_lookup(backends->targets, server->id);
 
 	if (target && !is_same_instance(target->server, server)) {
-		skh_log(SKH_LOG_INFO, PART, "Server started anew.", "server=%s", server->id);
+		skh_log(SKH_LOG_INFO, PART,
+			"Server restarted; its connections and statistics are reset.", "server=%s",
+			server->id);
 		(void)g_hash_table_remove(backends->targets, server->id);
 		target = NULL;
 	}
@@ -198,17 +201,19 @@
 		return;
 	}
 	if (server->leaving && !target->server->leaving)
-		skh_log(SKH_LOG_INFO, PART, "Server is leaving.", "server=%s", server->id);
+		skh_log(SKH_LOG_INFO, PART, "Server is leaving and gets no new requests.",
+			"server=%s", server->id);
 	target->server->leaving = server->leaving;
 	target->server->slots = server->slots;
 }
 
-static gboolean is_gone(gpointer id, gpointer value, gpointer context)
+static gboolean is_unlisted(gpointer id, gpointer value, gpointer context)
 {
 	(void)value;
 	if (skh_roster_find(context, id))
 		return FALSE;
-	skh_log(SKH_LOG_INFO, PART, "Server is gone.", "server=%s", (const char *)id);
+	skh_log(SKH_LOG_INFO, PART, "Server is no longer listed and gets no new requests.",
+		"server=%s", (const char *)id);
 	return TRUE;
 }
 
@@ -216,17 +221,17 @@
 		       const skh_routing_t *routing)
 {
 	for (guint i = 0; roster && i < roster->servers->len; i++)
-		follow_server(backends, g_ptr_array_index(roster->servers, i));
+		update_server(backends, g_ptr_array_index(roster->servers, i));
 	if (roster)
-		(void)g_hash_table_foreach_remove(backends->targets, is_gone, (gpointer)roster);
+		(void)g_hash_table_foreach_remove(backends->targets, is_unlisted, (gpointer)roster);
 	for (guint i = 0; routing && i < routing->services->len; i++) {
 		const skh_service_info_t *service = skh_routing_get_service(routing, i);
-		skh_target_pool_t *front = skh_backends_get_or_create_pool(backends, service->name);
+		skh_target_pool_t *pool = skh_backends_get_or_create_pool(backends, service->name);
 
-		front->lock_step = service->has_engine && service->engine.expert_sets > 0;
-		front->max_connections = service->max_connections;
-		front->typical_first_event_ms =
-			service->has_engine ? FIRST_MS_RANK : FIRST_MS_PLAIN;
+		pool->lock_step = service->has_engine && service->engine.expert_sets > 0;
+		pool->max_connections = service->max_connections;
+		pool->typical_first_event_ms = service->has_engine ? TYPICAL_FIRST_EVENT_RANK_MS
+								   : TYPICAL_FIRST_EVENT_PLAIN_MS;
 	}
 }
 
@@ -235,23 +240,23 @@
 	return tried && g_ptr_array_find((GPtrArray *)tried, target, NULL);
 }
 
-skh_target_t *skh_target_pool_select(skh_target_pool_t *front, const GPtrArray *tried,
+skh_target_t *skh_target_pool_select(skh_target_pool_t *pool, const GPtrArray *tried,
 				     int64_t now_us)
 {
-	g_autofree skh_candidate_t *list = g_new0(skh_candidate_t, front->targets->len + 1);
-	skh_selection_view_t view = { .candidates = list,
-				      .n_candidates = front->targets->len,
-				      .lock_step = front->lock_step,
-				      .overcommit =
-					      front->lock_step ? OVERCOMMIT_RANK : OVERCOMMIT_PLAIN,
+	g_autofree skh_candidate_t *candidates = g_new0(skh_candidate_t, pool->targets->len + 1);
+	skh_selection_view_t view = { .candidates = candidates,
+				      .n_candidates = pool->targets->len,
+				      .lock_step = pool->lock_step,
+				      .overcommit = pool->lock_step ? OVERCOMMIT_RANK_REQUESTS
+								    : OVERCOMMIT_PLAIN_REQUESTS,
 				      .random = skh_random_u64() >> 1,
 				      .now_us = now_us };
-	int32_t chosen;
+	int32_t selected;
 
-	for (guint i = 0; i < front->targets->len; i++) {
-		const skh_target_t *target = g_ptr_array_index(front->targets, i);
+	for (guint i = 0; i < pool->targets->len; i++) {
+		const skh_target_t *target = g_ptr_array_index(pool->targets, i);
 
-		list[i] = (skh_candidate_t){
+		candidates[i] = (skh_candidate_t){
 			.slots = target->server->slots,
 			.running = target->own_running + target->peers_running,
 			.expected_tokens = target->expected_tokens,
@@ -265,15 +270,15 @@
 				    was_tried(tried, target),
 		};
 	}
-	chosen = skh_select_server(&view);
-	return chosen == SKH_SELECTION_NONE ? NULL
-					    : g_ptr_array_index(front->targets, (guint)chosen);
+	selected = skh_select_server(&view);
+	return selected == SKH_SELECTION_NONE ? NULL
+					      : g_ptr_array_index(pool->targets, (guint)selected);
 }
 
-bool skh_target_pool_has_servers(const skh_target_pool_t *front)
+bool skh_target_pool_has_servers(const skh_target_pool_t *pool)
 {
-	for (guint i = 0; i < front->targets->len; i++) {
-		const skh_target_t *target = g_ptr_array_index(front->targets, i);
+	for (guint i = 0; i < pool->targets->len; i++) {
+		const skh_target_t *target = g_ptr_array_index(pool->targets, i);
 
 		if (!target->server->leaving && !target->superseded)
 			return true;
@@ -281,36 +286,36 @@
 	return false;
 }
 
-static void advance_rate(skh_target_pool_t *front, int64_t now_us)
+static void advance_rate_slots(skh_target_pool_t *pool, int64_t now_us)
 {
 	int64_t slot = now_us / RATE_SLOT_US;
 
-	if (slot - front->completed_slot > SKH_TARGET_POOL_RATE_SLOTS)
-		front->completed_slot = slot - SKH_TARGET_POOL_RATE_SLOTS;
-	while (front->completed_slot < slot) {
-		front->completed_slot++;
-		front->completed[front->completed_slot % SKH_TARGET_POOL_RATE_SLOTS] = 0.0;
+	if (slot - pool->completed_slot > SKH_TARGET_POOL_RATE_SLOTS)
+		pool->completed_slot = slot - SKH_TARGET_POOL_RATE_SLOTS;
+	while (pool->completed_slot < slot) {
+		pool->completed_slot++;
+		pool->completed[pool->completed_slot % SKH_TARGET_POOL_RATE_SLOTS] = 0.0;
 	}
 }
 
-double skh_target_pool_completion_rate(const skh_target_pool_t *front, int64_t now_us)
+double skh_target_pool_completion_rate(const skh_target_pool_t *pool, int64_t now_us)
 {
 	int64_t slot = now_us / RATE_SLOT_US;
-	double done = 0.0;
+	double completed = 0.0;
 
-	/* The slot that has just begun says little yet. */
+	/* The current slot is left out: it has counted only part of its time. */
 	for (int64_t i = 1; i < SKH_TARGET_POOL_RATE_SLOTS; i++) {
-		int64_t at = slot - i;
+		int64_t past_slot = slot - i;
 
-		if (at <= front->completed_slot &&
-		    at > front->completed_slot - SKH_TARGET_POOL_RATE_SLOTS && at >= 0)
-			done += front->completed[at % SKH_TARGET_POOL_RATE_SLOTS];
+		if (past_slot <= pool->completed_slot &&
+		    past_slot > pool->completed_slot - SKH_TARGET_POOL_RATE_SLOTS && past_slot >= 0)
+			completed += pool->completed[past_slot % SKH_TARGET_POOL_RATE_SLOTS];
 	}
-	return done * (double)SKH_US_PER_S /
+	return completed * (double)SKH_US_PER_S /
 	       (double)(RATE_SLOT_US * (SKH_TARGET_POOL_RATE_SLOTS - 1));
 }
 
-bool skh_target_pool_is_rank_lost(const skh_target_pool_t *front, const skh_target_t *target,
+bool skh_target_pool_is_rank_lost(const skh_target_pool_t *pool, const skh_target_t *target,
 				  int64_t now_us)
 {
 	skh_rank_liveness_view_t view = {
@@ -321,74 +326,74 @@
 		.now_us = now_us,
 	};
 
-	for (guint i = 0; i < front->targets->len; i++) {
-		const skh_target_t *other = g_ptr_array_index(front->targets, i);
+	for (guint i = 0; i < pool->targets->len; i++) {
+		const skh_target_t *other = g_ptr_array_index(pool->targets, i);
 
 		if (other != target)
 			view.group_last_received_us =
 				MAX(view.group_last_received_us, other->last_received_us);
 	}
-	return front->lock_step && skh_rank_liveness_is_unreachable(&view);
+	return pool->lock_step && skh_rank_liveness_is_unreachable(&view);
 }
 
-void skh_target_begin_request(skh_target_t *target, double work, int64_t now_us)
+void skh_target_begin_request(skh_target_t *target, double expected_tokens, int64_t now_us)
 {
 	if (target->own_running == 0)
 		target->busy_since_us = now_us;
 	target->references++;
 	target->own_running++;
-	target->expected_tokens += work;
+	target->expected_tokens += expected_tokens;
 }
 
-static void note_failure(skh_target_t *target, skh_outcome_t outcome, int64_t now_us)
+static void record_failure(skh_target_t *target, skh_outcome_t outcome, int64_t now_us)
 {
-	uint32_t doublings = MIN(target->consecutive_failures, AVOID_MOST);
+	uint32_t doublings = MIN(target->consecutive_failures, AVOID_MAX_DOUBLINGS);
 
-	target->failure_ratio += FAILING_GAIN * (1.0 - target->failure_ratio);
+	target->failure_ratio += FAILURE_EWMA_GAIN * (1.0 - target->failure_ratio);
 	target->consecutive_failures++;
-	/* A server that fails part of its requests is used less; a dead one not at all. */
+	/* A server that fails some requests is used less; an unreachable one is not used at all. */
 	if (outcome == SKH_OUTCOME_UNREACHABLE || target->consecutive_failures > 2)
-		target->avoid_until_us = now_us + (AVOID_US << doublings);
+		target->avoid_until_us = now_us + (AVOID_BASE_US << doublings);
 }
 
 void skh_target_mark_unreachable(skh_target_t *target, int64_t now_us)
 {
-	note_failure(target, SKH_OUTCOME_UNREACHABLE, now_us);
+	record_failure(target, SKH_OUTCOME_UNREACHABLE, now_us);
 }
 
-static void note_success(skh_target_t *target, int64_t took_us, int64_t now_us)
+static void record_success(skh_target_t *target, int64_t latency_us, int64_t now_us)
 {
-	double took_ms = (double)took_us / (double)SKH_US_PER_MS;
+	double latency_ms = (double)latency_us / (double)SKH_US_PER_MS;
 
 	target->consecutive_failures = 0;
 	target->avoid_until_us = 0;
-	target->failure_ratio -= FAILING_GAIN * target->failure_ratio;
-	if (took_us > 0)
+	target->failure_ratio -= FAILURE_EWMA_GAIN * target->failure_ratio;
+	if (latency_us > 0)
 		target->mean_latency_ms =
 			target->mean_latency_ms > 0.0
 				? target->mean_latency_ms +
-					  MEAN_GAIN * (took_ms - target->mean_latency_ms)
-				: took_ms;
-	advance_rate(target->target_pool, now_us);
+					  LATENCY_EWMA_GAIN * (latency_ms - target->mean_latency_ms)
+				: latency_ms;
+	advance_rate_slots(target->target_pool, now_us);
 	target->target_pool
 		->completed[target->target_pool->completed_slot % SKH_TARGET_POOL_RATE_SLOTS] +=
 		1.0;
 }
 
-void skh_target_end_request(skh_target_t *target, const skh_target_result_t *use, int64_t now_us)
+void skh_target_end_request(skh_target_t *target, const skh_target_result_t *result, int64_t now_us)
 {
 	target->own_running--;
-	target->own_streaming -= use->streaming;
-	target->expected_tokens -= use->expected_tokens;
-	if (use->outcome == SKH_OUTCOME_SUCCEEDED)
-		note_success(target, use->latency_us, now_us);
-	else if (use->outcome == SKH_OUTCOME_FULL)
-		target->full_until_us =
-			now_us + FULL_US + (int64_t)(skh_random_u64() % (uint64_t)FULL_US);
-	else if (use->outcome == SKH_OUTCOME_WRONG_INSTANCE)
-		target->wrong_instance_until_us = now_us + MISPLACED_US;
-	else if (use->outcome != SKH_OUTCOME_CANCELED)
-		note_failure(target, use->outcome, now_us);
+	target->own_streaming -= result->streaming;
+	target->expected_tokens -= result->expected_tokens;
+	if (result->outcome == SKH_OUTCOME_SUCCEEDED)
+		record_success(target, result->latency_us, now_us);
+	else if (result->outcome == SKH_OUTCOME_FULL)
+		target->full_until_us = now_us + FULL_PAUSE_US +
+					(int64_t)(skh_random_u64() % (uint64_t)FULL_PAUSE_US);
+	else if (result->outcome == SKH_OUTCOME_WRONG_INSTANCE)
+		target->wrong_instance_until_us = now_us + WRONG_INSTANCE_PAUSE_US;
+	else if (result->outcome != SKH_OUTCOME_CANCELED)
+		record_failure(target, result->outcome, now_us);
 	skh_target_unref(target);
 }
 
--- a/src/backends.h
+++ b/src/backends.h
@@ -4,9 +4,10 @@
 /**
  * DOC: Backend servers as a gateway sees them
  *
- * Keeps, for each server of the roster, its connections and what its answers
- * have shown, and for each service the requests that wait. Runs on the event
- * loop's thread.
+ * Owns the gateway's state of each backend server in the roster (connections,
+ * requests in flight, latency, failures) and of each service (request queue,
+ * retry share, completion rate). All functions run on the gateway's event loop
+ * thread. Times are microseconds of the boot clock.
  */
 
 #include "group_breaker.h"
@@ -24,108 +25,134 @@
 typedef struct skh_target skh_target_t;
 typedef struct skh_target_pool skh_target_pool_t;
 
-/** struct skh_target - one server; counted by reference */
+/**
+ * struct skh_target - one backend server; counted by reference
+ *
+ * The list holds one reference and each request in flight another, so a target
+ * stays valid after its server has left the roster.
+ */
 struct skh_target {
 	skh_server_t *server;
 	skh_target_pool_t *target_pool;
 	skh_upstream_pool_t *pool;
 	uint32_t references;
-	bool listed; /* in the roster */
-	uint32_t own_running;
-	uint32_t own_streaming;	  /* of those, such that have begun to answer */
-	int64_t busy_since_us;	  /* own_running is not 0 since */
-	int64_t last_received_us; /* the last bytes of an answer */
-	double expected_tokens;	  /* expected tokens of those */
-	uint32_t peers_running;	  /* by the other gateways' reports */
+	bool listed;		  /* the server is in the roster */
+	uint32_t own_running;	  /* requests of this gateway in flight at the server */
+	uint32_t own_streaming;	  /* requests in flight whose response has begun */
+	int64_t busy_since_us;	  /* start of the time with requests in flight */
+	int64_t last_received_us; /* last response bytes */
+	double expected_tokens;	  /* expected tokens of the requests in flight */
+	uint32_t peers_running;	  /* requests of the other gateways, by their reports */
 	double mean_latency_ms;
-	double slowdown; /* of a rank, as its coordinator tells; 1 is usual */
+	double slowdown; /* slowdown of a rank, as its coordinator reports; 1 is normal */
 	double failure_ratio;
-	uint32_t consecutive_failures; /* in a row */
+	uint32_t consecutive_failures;
 	int64_t avoid_until_us;
 	int64_t full_until_us;
-	int64_t wrong_instance_until_us; /* another instance answered at its address */
-	bool superseded;		 /* a later start is listed at its address */
+	int64_t wrong_instance_until_us; /* another instance responded at the address */
+	bool superseded;		 /* a server that started later is listed at the address */
 };
 
 #define SKH_TARGET_POOL_RATE_SLOTS 8
 
-/** struct skh_target_pool - one service: its servers and who waits for them */
+/** struct skh_target_pool - one service: its backend servers and its queued requests */
 struct skh_target_pool {
 	char *service;
-	GPtrArray *targets; /* listed ones */
+	GPtrArray *targets; /* skh_target_t of listed servers, not owned */
 	skh_request_queue_t *queue;
 	skh_retry_share_t retry_share;
 	bool lock_step;
-	skh_group_breaker_t gate; /* where the servers are ranks of a group */
+	skh_group_breaker_t gate; /* circuit breaker of a lock-step group */
 	uint32_t max_connections;
-	int64_t typical_first_event_ms;		      /* usual time to the first event or answer */
-	double completed[SKH_TARGET_POOL_RATE_SLOTS]; /* requests that ended, by time slot */
-	int64_t completed_slot;
+	int64_t typical_first_event_ms; /* typical time to the first event or response */
+	double completed[SKH_TARGET_POOL_RATE_SLOTS]; /* successful requests by time slot */
+	int64_t completed_slot;			      /* newest time slot in @completed */
 };
 
 typedef struct skh_backends skh_backends_t;
 
+/** skh_backends_new() - returns an empty set of servers; @loop and @options are borrowed */
 skh_backends_t *skh_backends_new(uv_loop_t *loop, const skh_upstream_pool_options_t *options);
 void skh_backends_free(skh_backends_t *backends);
 
-/** skh_backends_sync() - follow the roster; servers that are gone get nothing new */
+/**
+ * skh_backends_sync() - updates the servers to the roster and the services to the routing table
+ * @roster: listed servers; NULL leaves the servers as they are
+ * @routing: routing table; NULL leaves the services as they are
+ *
+ * Servers that are no longer listed get no new requests.
+ */
 void skh_backends_sync(skh_backends_t *backends, const skh_roster_t *roster,
 		       const skh_routing_t *routing);
 
-/** skh_backends_get_or_create_pool() - the service called @name; made when it is new */
+/** skh_backends_get_or_create_pool() - returns the service called @name; creates an unknown one */
 skh_target_pool_t *skh_backends_get_or_create_pool(skh_backends_t *backends, const char *name);
+/** skh_backends_find_target() - returns the listed server called @id, or NULL; borrowed */
 skh_target_t *skh_backends_find_target(skh_backends_t *backends, const char *id);
 
-typedef void (*skh_target_pool_fn)(skh_target_pool_t *front, void *context);
+typedef void (*skh_target_pool_fn)(skh_target_pool_t *pool, void *context);
 typedef void (*skh_target_fn)(skh_target_t *target, void *context);
 void skh_backends_for_each_pool(skh_backends_t *backends, skh_target_pool_fn fn, void *context);
 void skh_backends_for_each_target(skh_backends_t *backends, skh_target_fn fn, void *context);
 
 /**
- * skh_target_pool_select() - the server that a request goes to now, or NULL when all are full
- * @tried: servers that it has been sent to, skh_target_t
+ * skh_target_pool_select() - selects the server for a request
+ * @tried: skh_target_t of servers that the request was sent to before, or NULL
+ * Return: a borrowed target; NULL when all servers are full or excluded.
  */
-skh_target_t *skh_target_pool_select(skh_target_pool_t *front, const GPtrArray *tried,
+skh_target_t *skh_target_pool_select(skh_target_pool_t *pool, const GPtrArray *tried,
 				     int64_t now_us);
 
-/** skh_backends_set_slowdowns() - @text: "address pace" of slow ranks, a line each; all others are usual */
+/**
+ * skh_backends_set_slowdowns() - sets the slowdown of all listed and later servers
+ * @text: one line "address slowdown" per slow rank; all other servers get 1
+ */
 void skh_backends_set_slowdowns(skh_backends_t *backends, const char *text);
 
-/** skh_target_pool_has_servers() - some server may be used now or later */
-bool skh_target_pool_has_servers(const skh_target_pool_t *front);
+/** skh_target_pool_has_servers() - true when some server can get requests now or later */
+bool skh_target_pool_has_servers(const skh_target_pool_t *pool);
 
-/** skh_target_pool_completion_rate() - requests that end here in a second; 0 when unknown */
-double skh_target_pool_completion_rate(const skh_target_pool_t *front, int64_t now_us);
+/** skh_target_pool_completion_rate() - returns successful requests per second; 0 when unknown */
+double skh_target_pool_completion_rate(const skh_target_pool_t *pool, int64_t now_us);
 
-/** skh_target_pool_is_rank_lost() - the rank is out of reach while others of its group move */
-bool skh_target_pool_is_rank_lost(const skh_target_pool_t *front, const skh_target_t *target,
+/** skh_target_pool_is_rank_lost() - true when a rank is silent while its group makes progress */
+bool skh_target_pool_is_rank_lost(const skh_target_pool_t *pool, const skh_target_t *target,
 				  int64_t now_us);
 
-/* A request is at the server from begin to end. */
-void skh_target_begin_request(skh_target_t *target, double work, int64_t now_us);
+/**
+ * skh_target_begin_request() - counts a request as in flight; takes a reference to @target
+ * @expected_tokens: expected tokens of the request
+ */
+void skh_target_begin_request(skh_target_t *target, double expected_tokens, int64_t now_us);
 
-/** enum skh_outcome - what an attempt says of its server */
+/** enum skh_outcome - outcome of an attempt with regard to its server */
 typedef enum skh_outcome {
 	SKH_OUTCOME_SUCCEEDED,
 	SKH_OUTCOME_FAILED,
 	SKH_OUTCOME_UNREACHABLE,
-	SKH_OUTCOME_FULL,
-	SKH_OUTCOME_WRONG_INSTANCE, /* another instance has its address */
-	SKH_OUTCOME_CANCELED	    /* the caller left: says nothing */
+	SKH_OUTCOME_FULL,	    /* the server rejected the request for lack of room */
+	SKH_OUTCOME_WRONG_INSTANCE, /* another instance responded at the address */
+	SKH_OUTCOME_CANCELED	    /* the caller disconnected; no verdict on the server */
 } skh_outcome_t;
 
-/** struct skh_target_result - one request's use of a server, as it ends */
+/** struct skh_target_result - result of one request at a server */
 typedef struct skh_target_result {
 	double expected_tokens;
-	bool streaming; /* it had begun to answer */
+	bool streaming; /* the response had begun */
 	skh_outcome_t outcome;
-	int64_t latency_us; /* to the first event or the whole answer; 0 when unknown */
+	int64_t latency_us; /* up to the first event or the complete response; 0 when unknown */
 } skh_target_result_t;
 
-void skh_target_end_request(skh_target_t *target, const skh_target_result_t *use, int64_t now_us);
+/**
+ * skh_target_end_request() - ends a request in flight, updates the server's statistics and drops
+ * the request's reference to @target
+ */
+void skh_target_end_request(skh_target_t *target, const skh_target_result_t *result,
+			    int64_t now_us);
 
-/** skh_target_mark_unreachable() - it is out of reach: leave it alone for a while */
+/** skh_target_mark_unreachable() - counts a failure and avoids the server for a back-off time */
 void skh_target_mark_unreachable(skh_target_t *target, int64_t now_us);
+/** skh_target_unref() - drops a reference; the last one frees @target and its connections */
 void skh_target_unref(skh_target_t *target);
 
 #ifdef __cplusplus
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -4,8 +4,8 @@
 /**
  * DOC: Fleet
  *
- * Asks the instances that the platform lists for their status, for the
- * commands.
+ * Reads the platform's list of instances and requests the status of each over
+ * HTTP, for the command line tools. Holds no state; all calls block.
  */
 
 #include "instances.h"
@@ -16,18 +16,22 @@
 extern "C" {
 #endif
 
-/** skh_fleet_read_members() - the platform's list, or NULL with @err */
+/**
+ * skh_fleet_read_members() - reads the platform's list of instances from the store
+ * @instances_prefix: leading part of the keys of instances
+ * Return: the list, to be freed with skh_instances_free(); NULL with @err.
+ */
 skh_instances_t *skh_fleet_read_members(skh_store_t *store, const char *instances_prefix,
 					skh_error_t *err);
 
 /**
- * skh_fleet_get_statuses() - ask all @members for their status, many at a time
+ * skh_fleet_get_statuses() - requests the status of all @instances in parallel
  *
- * A silent one costs its timeout, but does not hold up the others.
- * Return: an array of @members->count JSON objects, NULL for who did not answer;
- * free with skh_fleet_free_statuses().
+ * An instance that does not respond takes its full timeout without delaying the others.
+ * Return: an array of @instances->count JSON values, NULL for an instance without a valid response;
+ * to be freed with skh_fleet_free_statuses().
  */
-json_t **skh_fleet_get_statuses(const skh_instances_t *members);
+json_t **skh_fleet_get_statuses(const skh_instances_t *instances);
 void skh_fleet_free_statuses(json_t **statuses, size_t count);
 
 #ifdef __cplusplus
