--- a/src/dialect.c
+++ b/src/dialect.c
@@ -12,6 +12,6 @@
 		if (strcmp(dialects[i]->name, name) == 0)
 			return dialects[i];
 	}
-	(void)skh_error_set(err, SKH_CONFIG_INVALID, "no dialect is called \"%s\"", name);
+	(void)skh_error_set(err, SKH_CONFIG_INVALID, "unknown dialect \"%s\"", name);
 	return NULL;
 }
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -4,10 +4,11 @@
 /**
  * DOC: Dialects
  *
- * What differs between deployments in how callers, backend servers and the
- * store are spoken to: names of headers, the form of the configuration and of
- * the list of backend servers, calls to engines. The product has no dialect of
- * its own on this path; a folder beside the sources provides one.
+ * Table of what differs between deployments in the protocols with callers,
+ * backend servers, engines and the store: header names, store keys, document
+ * formats, and engine requests. A dialect is constant and its functions are
+ * pure apart from open_store. src/ contains no dialect of its own; platform/
+ * provides one.
  */
 
 #include "buffer.h"
@@ -20,24 +21,24 @@
 extern "C" {
 #endif
 
-/** enum skh_header_name - headers that the gateway reads or sets */
+/** enum skh_header_name - HTTP headers that the gateway reads or sets */
 typedef enum skh_header_name {
-	SKH_HEADER_ATTEMPT_ID,	      /* one try of a caller; echoed by the server */
-	SKH_HEADER_DEADLINE,	      /* milliseconds that are left */
-	SKH_HEADER_LAST_EVENT,	      /* a stream goes on after this event */
-	SKH_HEADER_SIGNATURE,	      /* of the backend server that made an answer */
-	SKH_HEADER_CUSTOMER,	      /* whose key the caller sent */
-	SKH_HEADER_EXPECTED_INSTANCE, /* the server that a request is meant for */
-	SKH_HEADER_LOAD,	      /* running, waiting, slots */
+	SKH_HEADER_ATTEMPT_ID,	      /* id of one attempt of a request; echoed by the server */
+	SKH_HEADER_DEADLINE,	      /* milliseconds left until the deadline */
+	SKH_HEADER_LAST_EVENT,	      /* event after which a stream resumes */
+	SKH_HEADER_SIGNATURE,	      /* signature of the backend server that made the response */
+	SKH_HEADER_CUSTOMER,	      /* customer that owns the caller's key */
+	SKH_HEADER_EXPECTED_INSTANCE, /* instance that the request is meant for */
+	SKH_HEADER_LOAD,	      /* running and queued requests, and slots */
 	SKH_HEADER_NOT_RUN,	      /* the server did not run the request */
-	SKH_HEADER_FAULTY_SERVER,     /* the server at fault in a group */
-	SKH_HEADER_PRIORITY,	      /* of a request at an engine */
-	SKH_HEADER_TOKENS,	      /* prompt tokens, most output tokens */
+	SKH_HEADER_FAULTY_SERVER,     /* faulty server of a group */
+	SKH_HEADER_PRIORITY,	      /* priority of a request at an engine */
+	SKH_HEADER_TOKENS,	      /* prompt tokens and maximum output tokens */
 	SKH_HEADER_LENGTH_HINT,	      /* the caller's estimate of the output tokens */
 	SKH_HEADER_COUNT
 } skh_header_name_t;
 
-/** struct skh_engine_report - an engine's state */
+/** struct skh_engine_report - state of an engine, as it reports it */
 typedef struct skh_engine_report {
 	bool in_group;
 	bool group_open;
@@ -45,22 +46,22 @@
 	uint32_t group_size;
 	uint32_t rank;
 	int64_t epoch;
-	int64_t orders_accepted; /* orders accepted */
-	int64_t pass;		 /* last that was begun */
+	int64_t orders_accepted;
+	int64_t pass; /* last pass that has begun */
 	int64_t map_version;
 	int64_t prepared_version; /* map version whose copies are complete; 0 for none */
 	int64_t armed_version;	  /* map version to switch to; 0 for none */
-	int64_t held_pass;	  /* pass that is not begun before its release; 0 for none */
-	double slowdown;	  /* over 1: slow */
+	int64_t held_pass;	  /* pass that is held until its release; 0 for none */
+	double slowdown;	  /* time relative to normal; over 1 is slow */
 } skh_engine_report_t;
 
 /** enum skh_engine_op - orders of a map switch */
 typedef enum skh_engine_op {
 	SKH_ENGINE_PREPARE, /* copy what the map needs */
-	SKH_ENGINE_ARM,	    /* switch as the pass begins */
-	SKH_ENGINE_DISARM,
-	SKH_ENGINE_HOLD, /* do not begin the pass */
-	SKH_ENGINE_GO	 /* end the hold on the pass */
+	SKH_ENGINE_ARM,	    /* switch at the beginning of the pass */
+	SKH_ENGINE_DISARM,  /* cancel the switch */
+	SKH_ENGINE_HOLD,    /* do not begin the pass */
+	SKH_ENGINE_GO	    /* release the held pass */
 } skh_engine_op_t;
 
 /** struct skh_engine_order - one order; fields that its kind does not use are ignored */
@@ -69,47 +70,51 @@
 	int64_t map_version;
 	int64_t pass;
 	int64_t epoch;
-	int64_t fence;
-	const uint32_t *map; /* expert + 1, [sets][ranks][places]; 0 for an empty place */
+	int64_t fence;	     /* fencing token */
+	const uint32_t *map; /* expert + 1 by [set][rank][slot]; 0 for an empty slot */
 	uint32_t n_sets;
 	uint32_t n_ranks;
 	uint32_t n_slots;
 } skh_engine_order_t;
 
-/** struct skh_engine_counts - tokens that chose each expert since the engine's start */
+/** struct skh_engine_counts - tokens routed to each expert since the engine's start */
 typedef struct skh_engine_counts {
 	int64_t epoch;
 	int64_t pass;
-	uint32_t n;
-	double *counts; /* [sets x experts], free with g_free() */
+	uint32_t n;	/* length of @counts */
+	double *counts; /* by set and expert; free with g_free() */
 } skh_engine_counts_t;
 
-/** struct skh_dialect - one deployment's way of speaking */
+/**
+ * struct skh_dialect - formats and names of one kind of deployment
+ *
+ * The read functions parse @text and return false or NULL with @err when it is invalid.
+ */
 typedef struct skh_dialect {
 	const char *name;
 	const char *headers[SKH_HEADER_COUNT];
-	const char *auth_scheme;    /* before a caller's key */
-	const char *config_key;	    /* of the configuration in the store */
-	const char *servers_prefix; /* of the list of backend servers */
+	const char *auth_scheme;    /* authorization scheme of callers' keys */
+	const char *config_key;	    /* store key of the configuration */
+	const char *servers_prefix; /* store prefix of the list of backend servers */
 	const char *order_path;
 	const char *report_path;
 	const char *counts_path;
 	const char *map_path;
 	skh_store_t *(*open_store)(const char *endpoint, int64_t timeout_ms);
-	/* NULL with @err when the document can't be read. */
+	/* Parses the operators' configuration; free with skh_routing_free(). */
 	skh_routing_t *(*read_config)(skh_chunk_t text, skh_error_t *err);
-	/* NULL with @err when the entry names no server to use. */
+	/* Parses the list entry of server @id; free with skh_server_free(). */
 	skh_server_t *(*read_server)(const char *id, skh_chunk_t text, skh_error_t *err);
 	bool (*read_report)(skh_chunk_t text, skh_engine_report_t *report, skh_error_t *err);
 	bool (*read_counts)(skh_chunk_t text, skh_engine_counts_t *counts, skh_error_t *err);
-	/* The map in use and its version: expert + 1 of this rank, [sets][places]. */
-	bool (*read_map)(skh_chunk_t text, uint32_t sets, uint32_t places, uint32_t *map,
+	/* Parses the rank's part of the map in use: expert + 1 by [set][slot]; 0 for an empty slot. */
+	bool (*read_map)(skh_chunk_t text, uint32_t sets, uint32_t slots, uint32_t *map,
 			 int64_t *version, skh_error_t *err);
-	/* JSON to be freed with free(). */
+	/* Returns the order as JSON; free with free(). */
 	char *(*write_order)(const skh_engine_order_t *order);
 } skh_dialect_t;
 
-/** skh_dialect_find() - the dialect called @name, or NULL with @err */
+/** skh_dialect_find() - returns the dialect called @name, or NULL with @err */
 const skh_dialect_t *skh_dialect_find(const char *name, skh_error_t *err);
 
 #ifdef __cplusplus
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -25,7 +25,7 @@
 					skh_error_t *err);
 
 /**
- * skh_fleet_get_statuses() - requests the status of all @instances in parallel
+ * skh_fleet_get_statuses() - requests the status of all @instances, many in parallel
  *
  * An instance that does not respond takes its full timeout without delaying the others.
  * Return: an array of @instances->count JSON values, NULL for an instance without a valid response;
--- a/test/backends_test.cc
+++ b/test/backends_test.cc
@@ -1,4 +1,5 @@
-// The list of servers after a power loss, when it still names those from before.
+// Guards against requests to servers that no longer exist: after a power loss the list of servers
+// still holds entries of instances that ran before it.
 #include "backends.h"
 #include "clock.h"
 
@@ -7,7 +8,7 @@
 namespace
 {
 
-constexpr int64_t kS = 1000000;
+constexpr int64_t kSecondUs = 1000000;
 
 struct Backends {
 	uv_loop_t loop = {};
@@ -31,7 +32,7 @@
 		EXPECT_EQ(uv_loop_close(&loop), 0);
 		g_ptr_array_unref(roster.servers);
 	}
-	void list(const char *id, const char *host, int64_t born_ms)
+	void add_to_list(const char *id, const char *host, int64_t started_ms)
 	{
 		skh_server_t *server = g_new0(skh_server_t, 1);
 
@@ -41,75 +42,75 @@
 		server->failure_domain = g_strdup("a");
 		server->port = 80;
 		server->slots = 4;
-		server->started_unix_ms = born_ms;
+		server->started_unix_ms = started_ms;
 		g_ptr_array_add(roster.servers, server);
 		roster.revision++;
 		skh_backends_sync(backends, &roster, nullptr);
 	}
-	std::string pick()
+	std::string select()
 	{
-		skh_target_pool_t *front = skh_backends_get_or_create_pool(backends, "s");
-		skh_target_t *target = skh_target_pool_select(front, nullptr, skh_clock_boot_us());
+		skh_target_pool_t *pool = skh_backends_get_or_create_pool(backends, "s");
+		skh_target_t *target = skh_target_pool_select(pool, nullptr, skh_clock_boot_us());
 
 		return target ? target->server->id : "-";
 	}
 };
 
-TEST(Backends, OfTwoAtOneAddressOnlyTheLaterStartIsUsed)
+TEST(Backends, OnlyTheLaterStartedOfTwoServersAtAnAddressIsUsed)
 {
 	Backends t;
 
-	t.list("before", "127.0.0.1", 1000);
-	EXPECT_EQ(t.pick(), "before");
-	t.list("after", "127.0.0.1", 2000);
+	t.add_to_list("before", "127.0.0.1", 1000);
+	EXPECT_EQ(t.select(), "before");
+	t.add_to_list("after", "127.0.0.1", 2000);
 	for (int i = 0; i < 50; i++)
-		EXPECT_EQ(t.pick(), "after");
+		EXPECT_EQ(t.select(), "after");
 }
 
-// What a coordinator tells holds for servers that are listed later, too, until it is taken back.
-TEST(Backends, ASlowRankIsKnownByItsAddress)
+// A slowdown also applies to a server that is listed later, until the coordinator withdraws it.
+TEST(Backends, SlowdownsAreMatchedByAddress)
 {
 	Backends t;
 
-	t.list("a", "10.0.0.1", 1);
+	t.add_to_list("a", "10.0.0.1", 1);
 	skh_backends_set_slowdowns(t.backends, "110.0.0.1:80 9.0\n10.0.0.2:80 4.5\n");
-	t.list("b", "10.0.0.2", 1);
+	t.add_to_list("b", "10.0.0.2", 1);
 	EXPECT_EQ(skh_backends_find_target(t.backends, "a")->slowdown, 1.0);
 	EXPECT_EQ(skh_backends_find_target(t.backends, "b")->slowdown, 4.5);
 	skh_backends_set_slowdowns(t.backends, "");
 	EXPECT_EQ(skh_backends_find_target(t.backends, "b")->slowdown, 1.0);
 }
 
-TEST(Backends, TheOrderOfTheListDoesNotMatter)
+TEST(Backends, AnOlderServerListedLaterIsNotUsed)
 {
 	Backends t;
 
-	t.list("after", "127.0.0.1", 2000);
-	t.list("before", "127.0.0.1", 1000);
+	t.add_to_list("after", "127.0.0.1", 2000);
+	t.add_to_list("before", "127.0.0.1", 1000);
 	for (int i = 0; i < 50; i++)
-		EXPECT_EQ(t.pick(), "after");
+		EXPECT_EQ(t.select(), "after");
 }
 
-// Its entry may still be on its way: the address belongs to somebody else meanwhile.
-TEST(Backends, AServerWhoseAddressAnsweredForAnotherIsLeftAlone)
+// Another instance has the server's address, but the list may not show that yet.
+TEST(Backends, AServerIsAvoidedAfterAnotherInstanceRespondedAtItsAddress)
 {
 	Backends t;
 	skh_target_t *target;
 
-	t.list("one", "127.0.0.1", 1000);
-	t.list("two", "127.0.0.2", 1000);
+	t.add_to_list("one", "127.0.0.1", 1000);
+	t.add_to_list("two", "127.0.0.2", 1000);
 	target = skh_backends_find_target(t.backends, "one");
 	target->references++;
-	skh_target_result_t use = {};
+	skh_target_result_t result = {};
 
-	use.expected_tokens = 1.0;
-	use.outcome = SKH_OUTCOME_WRONG_INSTANCE;
+	result.expected_tokens = 1.0;
+	result.outcome = SKH_OUTCOME_WRONG_INSTANCE;
 	skh_target_begin_request(target, 1.0, skh_clock_boot_us());
-	skh_target_end_request(target, &use, skh_clock_boot_us());
+	skh_target_end_request(target, &result, skh_clock_boot_us());
 	for (int i = 0; i < 50; i++)
-		EXPECT_EQ(t.pick(), "two");
+		EXPECT_EQ(t.select(), "two");
 	EXPECT_TRUE(skh_target_pool_select(target->target_pool, nullptr,
-					   skh_clock_boot_us() + 60 * kS));
+					   skh_clock_boot_us() + 60 * kSecondUs));
 	skh_target_unref(target);
 }
 
--- a/test/engine_test.cc
+++ b/test/engine_test.cc
@@ -1,4 +1,5 @@
-// What engines report, late, with gaps and sometimes broken.
+// Guards against wrong engine state from cache events with gaps or duplicates and from invalid
+// reports.
 #include "engine.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 namespace
 {
 
-skh_engine_view_t fresh()
+skh_engine_view_t make_view()
 {
 	skh_engine_view_t view = {};
 
@@ -22,9 +23,9 @@
 	return skh_engine_read_events(skh_chunk_make(text.data(), text.size()), view);
 }
 
-TEST(Engine, GapsInTheEventsAreCountedAndRepeatsIgnored)
+TEST(Engine, EventGapsAreCountedAndDuplicatesIgnored)
 {
-	skh_engine_view_t view = fresh();
+	skh_engine_view_t view = make_view();
 
 	EXPECT_TRUE(read_events(
 		"[{\"seq\":1,\"event\":\"stored\"},{\"seq\":4,\"event\":\"stored\"}]", &view));
@@ -38,9 +39,9 @@
 	EXPECT_EQ(view.cached_prefixes, 0U);
 }
 
-TEST(Engine, ABrokenReportChangesNothing)
+TEST(Engine, AnInvalidLoadReportLeavesTheViewUnchanged)
 {
-	skh_engine_view_t view = fresh();
+	skh_engine_view_t view = make_view();
 	const std::string good = "{\"running\":3,\"queued\":1}";
 	const std::string bad = "{\"running\":-3,\"queued\":1}";
 
@@ -50,9 +51,9 @@
 	EXPECT_EQ(view.queued, 1U);
 }
 
-RC_GTEST_PROP(Engine, AnyBytesAreRefusedOrSafe, (const std::string &text))
+RC_GTEST_PROP(Engine, ArbitraryBytesAreRejectedOrSafe, (const std::string &text))
 {
-	skh_engine_view_t view = fresh();
+	skh_engine_view_t view = make_view();
 
 	(void)read_events(text, &view);
 	(void)skh_engine_read_load(skh_chunk_make(text.data(), text.size()), &view);
--- a/test/platform_test.cc
+++ b/test/platform_test.cc
@@ -1,4 +1,4 @@
-// What engines say on the users' platform, read into the product's own terms.
+// Guards against misread expert counts in the platform's engine format.
 #include "dialect.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace
 {
 
-const skh_dialect_t *dialect()
+const skh_dialect_t *find_dialect()
 {
 	skh_error_t err;
 
@@ -23,8 +23,8 @@
 	{
 		skh_error_t err;
 
-		read = dialect()->read_counts(skh_chunk_make(text.data(), text.size()), &counts,
-					      &err);
+		read = find_dialect()->read_counts(skh_chunk_make(text.data(), text.size()),
+						   &counts, &err);
 	}
 	~Counts()
 	{
@@ -32,26 +32,26 @@
 	}
 };
 
-TEST(Platform, CountsComeByPassAndSet)
+TEST(Platform, CountsAreReadByPassAndSet)
 {
-	Counts one(R"({"step":812,"epoch":3,"counts":[[5120,88],[940,0.5]]})");
+	Counts by_set(R"({"step":812,"epoch":3,"counts":[[5120,88],[940,0.5]]})");
 
-	ASSERT_TRUE(one.read);
-	EXPECT_EQ(one.counts.pass, 812);
-	EXPECT_EQ(one.counts.epoch, 3);
-	ASSERT_EQ(one.counts.n, 4U);
-	EXPECT_EQ(one.counts.counts[2], 940.0);
-	EXPECT_EQ(one.counts.counts[3], 0.5);
+	ASSERT_TRUE(by_set.read);
+	EXPECT_EQ(by_set.counts.pass, 812);
+	EXPECT_EQ(by_set.counts.epoch, 3);
+	ASSERT_EQ(by_set.counts.n, 4U);
+	EXPECT_EQ(by_set.counts.counts[2], 940.0);
+	EXPECT_EQ(by_set.counts.counts[3], 0.5);
 
-	// One list for all sets; fields that mean nothing here.
-	Counts two(R"({"counts":[1,2,3],"other":[7,[8]],"step":4,"epoch":1,"x":{"y":9}})");
+	// One list for all sets, among unknown fields.
+	Counts flat(R"({"counts":[1,2,3],"other":[7,[8]],"step":4,"epoch":1,"x":{"y":9}})");
 
-	ASSERT_TRUE(two.read);
-	EXPECT_EQ(two.counts.n, 3U);
-	EXPECT_EQ(two.counts.pass, 4);
+	ASSERT_TRUE(flat.read);
+	EXPECT_EQ(flat.counts.n, 3U);
+	EXPECT_EQ(flat.counts.pass, 4);
 }
 
-TEST(Platform, CountsThatCantBeReadAreSaidSo)
+TEST(Platform, InvalidCountsAreRejected)
 {
 	for (const char *text : { "", "7", "[1,2]", "{}", R"({"counts":5})", R"({"counts":[1,2)",
 				  R"({"counts":[1,2]} and more)", "\xff\xfe" }) {
