--- a/src/backends.c
+++ b/src/backends.c
@@ -138,7 +138,10 @@
 		is_later ? added->server->id : other->server->id);
 }
 
-/* Each line of @slowdowns starts after a newline, so a search can't match inside an address. */
+/*
+ * @slowdowns is what the coordinators reported last. Each line starts after a newline, so a search
+ * can't match inside an address.
+ */
 static void update_slowdown(skh_target_t *target, const char *slowdowns)
 {
 	g_autofree char *address =
@@ -147,7 +150,7 @@
 	double slowdown = entry ? g_ascii_strtod(entry + strlen(address), NULL) : 1.0;
 
 	if (slowdown != target->slowdown)
-		skh_log(SKH_LOG_INFO, PART, "Slowdown of a server changed.", "server=%s pace=%.1f",
+		skh_log(SKH_LOG_INFO, PART, "Slowdown of a rank changed.", "server=%s pace=%.1f",
 			target->server->id, slowdown);
 	target->slowdown = slowdown;
 }
@@ -191,8 +194,8 @@
 
 	if (target && !is_same_instance(target->server, server)) {
 		skh_log(SKH_LOG_INFO, PART,
-			"Server restarted; its connections and statistics are reset.", "server=%s",
-			server->id);
+			"Server has started again; its connections and statistics are reset.",
+			"server=%s", server->id);
 		(void)g_hash_table_remove(backends->targets, server->id);
 		target = NULL;
 	}
@@ -212,7 +215,7 @@
 	(void)value;
 	if (skh_roster_find(context, id))
 		return FALSE;
-	skh_log(SKH_LOG_INFO, PART, "Server is no longer listed and gets no new requests.",
+	skh_log(SKH_LOG_INFO, PART, "Server is gone from the list and gets no new requests.",
 		"server=%s", (const char *)id);
 	return TRUE;
 }
--- a/src/backends.h
+++ b/src/backends.h
@@ -64,7 +64,7 @@
 	bool lock_step;
 	skh_group_breaker_t gate; /* circuit breaker of a lock-step group */
 	uint32_t max_connections;
-	int64_t typical_first_event_ms; /* typical time to the first event or response */
+	int64_t typical_first_event_ms;		      /* up to the first event or the response */
 	double completed[SKH_TARGET_POOL_RATE_SLOTS]; /* successful requests by time slot */
 	int64_t completed_slot;			      /* newest time slot in @completed */
 };
--- a/src/feed.c
+++ b/src/feed.c
@@ -30,7 +30,7 @@
 	skh_roster_builder_t *builder;
 	int64_t read_revision; /* revision up to which changes were read; 0 for a full read */
 	int64_t config_revision;
-	int64_t last_response_us; /* last response of the store */
+	int64_t last_response_us; /* boot clock; 0 before the first response */
 	int64_t recovered_us;	  /* end of the store's last outage; 0 for none */
 	int64_t backoff_us;
 	bool is_unavailable;
@@ -69,7 +69,7 @@
 	/* Entries may also have expired while this process was suspended or could not poll. */
 	if (now_us - feed->last_response_us > UNAVAILABLE_AFTER_US && feed->last_response_us != 0) {
 		feed->recovered_us = now_us;
-		skh_log(SKH_LOG_INFO, PART, "Store is available again.",
+		skh_log(SKH_LOG_INFO, PART, "Store is back after an outage.",
 			"silent_ms=%" G_GINT64_FORMAT,
 			(now_us - feed->last_response_us) / SKH_US_PER_MS);
 	}
@@ -269,7 +269,7 @@
 				      &changes, err)) {
 		if (err->kind == SKH_STORE_COMPACTED) {
 			skh_log(SKH_LOG_INFO, PART,
-				"Store history was compacted; reading the full state.",
+				"Store history is gone after a compaction; reading the full state.",
 				"revision=%" G_GINT64_FORMAT, feed->read_revision);
 			feed->read_revision = 0;
 			record_response(feed);
--- a/src/peers.c
+++ b/src/peers.c
@@ -174,7 +174,7 @@
 		peer->next_hello_us = now_us + HELLO_BUSY_INTERVAL_US;
 	else
 		peer->next_hello_us = now_us + idle_interval_us(peers);
-	/* Frames of running requests prove that a busy sidecar is alive; hellos are for silence. */
+	/* Running requests send frames, so a reachable busy sidecar gets a hello only when silent. */
 	return !peer->reachable || peer->own_in_flight == 0 || is_silent;
 }
 
