--- a/src/fair_queue.c
+++ b/src/fair_queue.c
@@ -5,34 +5,34 @@
 typedef struct account {
 	uint64_t customer;
 	double weight;
-	double finish; /* tag of its next request, if it is not behind */
+	double finish_tag; /* finish tag of the last request; lower bound of the next start tag */
 	uint32_t waiting;
 	uint32_t running;
 } account_t;
 
 struct skh_fair_queue {
-	double now;	      /* greatest tag that has started */
-	double active_weight; /* of all customers that wait or run */
+	double virtual_time;  /* greatest start tag of a started request */
+	double active_weight; /* sum for the customers with waiting or running requests */
 	GHashTable *accounts; /* customer -> account_t */
 };
 
 skh_fair_queue_t *skh_fair_queue_new(void)
 {
-	skh_fair_queue_t *fair = g_new0(skh_fair_queue_t, 1);
+	skh_fair_queue_t *queue = g_new0(skh_fair_queue_t, 1);
 
-	fair->accounts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	return fair;
+	queue->accounts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+	return queue;
 }
 
-void skh_fair_queue_free(skh_fair_queue_t *fair)
+void skh_fair_queue_free(skh_fair_queue_t *queue)
 {
-	g_hash_table_unref(fair->accounts);
-	g_free(fair);
+	g_hash_table_unref(queue->accounts);
+	g_free(queue);
 }
 
-static account_t *find(const skh_fair_queue_t *fair, uint64_t customer)
+static account_t *find_account(const skh_fair_queue_t *queue, uint64_t customer)
 {
-	return g_hash_table_lookup(fair->accounts, &customer);
+	return g_hash_table_lookup(queue->accounts, &customer);
 }
 
 static bool is_active(const account_t *account)
@@ -40,81 +40,82 @@
 	return account->waiting > 0 || account->running > 0;
 }
 
-/* The only place where the counts change, so that the sum of weights follows. */
-static void count(skh_fair_queue_t *fair, account_t *account, int32_t waiting, int32_t running)
+/* All changes of the counts go through this function, which keeps active_weight in step. */
+static void update_counts(skh_fair_queue_t *queue, account_t *account, int32_t waiting,
+			  int32_t running)
 {
 	bool was_active = is_active(account);
 
 	account->waiting += (uint32_t)waiting;
 	account->running += (uint32_t)running;
 	if (is_active(account) && !was_active)
-		fair->active_weight += account->weight;
+		queue->active_weight += account->weight;
 	else if (!is_active(account) && was_active)
-		fair->active_weight -= account->weight;
+		queue->active_weight -= account->weight;
 }
 
-static account_t *account_of(skh_fair_queue_t *fair, uint64_t customer, double weight)
+static account_t *get_or_create_account(skh_fair_queue_t *queue, uint64_t customer, double weight)
 {
-	account_t *account = find(fair, customer);
+	account_t *account = find_account(queue, customer);
 
 	if (!account) {
 		account = g_new0(account_t, 1);
 		account->customer = customer;
-		g_hash_table_insert(fair->accounts, &account->customer, account);
+		g_hash_table_insert(queue->accounts, &account->customer, account);
 	}
-	/* A changed weight counts from when the customer next comes from rest. */
+	/* active_weight includes the old weight as long as the customer is active. */
 	if (!is_active(account))
 		account->weight = weight > 0.0 ? weight : 1.0;
 	return account;
 }
 
-double skh_fair_queue_enqueue(skh_fair_queue_t *fair, uint64_t customer, double weight)
+double skh_fair_queue_enqueue(skh_fair_queue_t *queue, uint64_t customer, double weight)
 {
-	account_t *account = account_of(fair, customer, weight);
-	double tag = MAX(fair->now, account->finish);
+	account_t *account = get_or_create_account(queue, customer, weight);
+	double tag = MAX(queue->virtual_time, account->finish_tag);
 
-	account->finish = tag + 1.0 / account->weight;
-	count(fair, account, 1, 0);
+	account->finish_tag = tag + 1.0 / account->weight;
+	update_counts(queue, account, 1, 0);
 	return tag;
 }
 
-void skh_fair_queue_start(skh_fair_queue_t *fair, uint64_t customer, double tag)
+void skh_fair_queue_start(skh_fair_queue_t *queue, uint64_t customer, double tag)
 {
-	fair->now = MAX(fair->now, tag);
-	count(fair, find(fair, customer), -1, 1);
+	queue->virtual_time = MAX(queue->virtual_time, tag);
+	update_counts(queue, find_account(queue, customer), -1, 1);
 }
 
-void skh_fair_queue_cancel(skh_fair_queue_t *fair, uint64_t customer)
+void skh_fair_queue_cancel(skh_fair_queue_t *queue, uint64_t customer)
 {
-	account_t *account = find(fair, customer);
+	account_t *account = find_account(queue, customer);
 
-	account->finish -= 1.0 / account->weight;
-	count(fair, account, -1, 0);
+	account->finish_tag -= 1.0 / account->weight;
+	update_counts(queue, account, -1, 0);
 }
 
-void skh_fair_queue_finish(skh_fair_queue_t *fair, uint64_t customer)
+void skh_fair_queue_finish(skh_fair_queue_t *queue, uint64_t customer)
 {
-	count(fair, find(fair, customer), 0, -1);
+	update_counts(queue, find_account(queue, customer), 0, -1);
 }
 
-bool skh_fair_queue_is_over_share(const skh_fair_queue_t *fair, uint64_t customer,
+bool skh_fair_queue_is_over_share(const skh_fair_queue_t *queue, uint64_t customer,
 				  uint32_t capacity)
 {
-	const account_t *account = find(fair, customer);
+	const account_t *account = find_account(queue, customer);
 
 	return account && account->running > 0 &&
-	       account->running * fair->active_weight >= capacity * account->weight;
+	       account->running * queue->active_weight >= capacity * account->weight;
 }
 
-static gboolean is_even(gpointer key, gpointer value, gpointer now)
+static gboolean can_evict(gpointer key, gpointer value, gpointer virtual_time)
 {
 	const account_t *account = value;
 
 	(void)key;
-	return !is_active(account) && account->finish <= *(const double *)now;
+	return !is_active(account) && account->finish_tag <= *(const double *)virtual_time;
 }
 
-void skh_fair_queue_evict_idle(skh_fair_queue_t *fair)
+void skh_fair_queue_evict_idle(skh_fair_queue_t *queue)
 {
-	g_hash_table_foreach_remove(fair->accounts, is_even, &fair->now);
+	g_hash_table_foreach_remove(queue->accounts, can_evict, &queue->virtual_time);
 }
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -4,9 +4,13 @@
 /**
  * DOC: Fair queueing
  *
- * Start-time fair queueing among customers by weight: each request gets a tag,
- * and the smallest tag goes first. A customer that sends more than its share
- * only delays itself. Pure state; the owner serialises calls.
+ * Start-time fair queueing: shares the capacity of a server among customers in
+ * proportion to their weights. Each request gets a start tag in virtual time, and
+ * the caller starts waiting requests in ascending order of their tags. A customer
+ * that sends more than its share delays only its own requests.
+ *
+ * Owns the counters of the customers, but not the requests, and does no I/O. The
+ * caller serialises calls.
  */
 
 #include <stdbool.h>
@@ -19,31 +23,44 @@
 typedef struct skh_fair_queue skh_fair_queue_t;
 
 skh_fair_queue_t *skh_fair_queue_new(void);
-void skh_fair_queue_free(skh_fair_queue_t *fair);
+void skh_fair_queue_free(skh_fair_queue_t *queue);
 
 /**
- * skh_fair_queue_enqueue() - one more request of @customer waits
- * @customer: hash of its name
- * @weight: its share; 0 or less counts as 1
- * Return: the request's tag.
+ * skh_fair_queue_enqueue() - count a new waiting request of @customer
+ * @customer: hash of the customer's name
+ * @weight: relative share of the customer; 0 or less counts as 1. A changed
+ *          weight takes effect when the customer is next idle.
+ *
+ * Each call needs skh_fair_queue_start() and later skh_fair_queue_finish(), or
+ * skh_fair_queue_cancel().
+ *
+ * Return: the start tag of the request.
  */
-double skh_fair_queue_enqueue(skh_fair_queue_t *fair, uint64_t customer, double weight);
+double skh_fair_queue_enqueue(skh_fair_queue_t *queue, uint64_t customer, double weight);
 
-/** skh_fair_queue_start() - the request of @customer with @tag no longer waits but runs */
-void skh_fair_queue_start(skh_fair_queue_t *fair, uint64_t customer, double tag);
+/** skh_fair_queue_start() - record that the waiting request of @customer with @tag has started */
+void skh_fair_queue_start(skh_fair_queue_t *queue, uint64_t customer, double tag);
 
-/** skh_fair_queue_cancel() - a request of @customer leaves without having run */
-void skh_fair_queue_cancel(skh_fair_queue_t *fair, uint64_t customer);
+/** skh_fair_queue_cancel() - remove a waiting request of @customer and refund its share */
+void skh_fair_queue_cancel(skh_fair_queue_t *queue, uint64_t customer);
 
-/** skh_fair_queue_finish() - a request of @customer has run */
-void skh_fair_queue_finish(skh_fair_queue_t *fair, uint64_t customer);
+/** skh_fair_queue_finish() - record the end of a started request of @customer */
+void skh_fair_queue_finish(skh_fair_queue_t *queue, uint64_t customer);
 
-/** skh_fair_queue_is_over_share() - whether @customer runs its share of @capacity or more already */
-bool skh_fair_queue_is_over_share(const skh_fair_queue_t *fair, uint64_t customer,
+/**
+ * skh_fair_queue_is_over_share() - whether @customer already runs its share of @capacity or more
+ * @capacity: number of requests that the server runs at the same time
+ */
+bool skh_fair_queue_is_over_share(const skh_fair_queue_t *queue, uint64_t customer,
 				  uint32_t capacity);
 
-/** skh_fair_queue_evict_idle() - forget customers that have nothing to catch up */
-void skh_fair_queue_evict_idle(skh_fair_queue_t *fair);
+/**
+ * skh_fair_queue_evict_idle() - free the counters of idle customers
+ *
+ * Keeps an idle customer that has used more than its share so far; without its
+ * counters it would be treated as a new customer and get that service twice.
+ */
+void skh_fair_queue_evict_idle(skh_fair_queue_t *queue);
 
 #ifdef __cplusplus
 }
