--- a/src/retry_budget.c
+++ b/src/retry_budget.c
@@ -4,30 +4,33 @@
 
 #include <glib.h>
 
-/* Repetitions that a request pays for. */
-#define PER_REQUEST 0.08
-/* So that lost work of a quiet customer goes on, too. */
-#define PER_SECOND 0.1
-/* What a purse holds: a loss of this part of the open requests is made good at once. */
-#define OPEN_PART  0.1
-#define LEAST_MOST 20.0
-
-typedef struct purse {
+/* Retries that each request adds to the budget. */
+#define TOKENS_PER_REQUEST 0.08
+/* Added over time, so that a customer with few requests can retry lost ones, too. */
+#define TOKENS_PER_S 0.1
+/*
+ * Capacity of a bucket: this many tokens per open request, and at least the minimum. If
+ * this ratio of the open requests is lost at the same time, all of them are retried at once.
+ */
+#define MAX_TOKENS_PER_OPEN_REQUEST 0.1
+#define MIN_BUCKET_CAPACITY	    20.0
+
+typedef struct bucket {
 	double tokens;
-	int64_t filled_at_us;
-	uint32_t open; /* requests under way */
-} purse_t;
+	int64_t refilled_at_us;
+	uint32_t open_requests;
+} bucket_t;
 
 struct skh_retry_budget {
-	purse_t entry;
-	GHashTable *customers; /* name -> purse_t */
+	bucket_t entry;
+	GHashTable *customers; /* customer name -> bucket_t */
 };
 
 skh_retry_budget_t *skh_retry_budget_new(void)
 {
 	skh_retry_budget_t *budget = g_new0(skh_retry_budget_t, 1);
 
-	budget->entry.tokens = LEAST_MOST;
+	budget->entry.tokens = MIN_BUCKET_CAPACITY;
 	budget->customers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return budget;
 }
@@ -38,53 +41,55 @@
 	g_free(budget);
 }
 
-static void fill(purse_t *purse, double tokens, int64_t now_us)
+static void refill(bucket_t *bucket, double tokens, int64_t now_us)
 {
-	if (purse->filled_at_us > 0)
-		tokens +=
-			PER_SECOND * (double)(now_us - purse->filled_at_us) / (double)SKH_US_PER_S;
-	purse->filled_at_us = now_us;
-	purse->tokens = MIN(purse->tokens + tokens, MAX(LEAST_MOST, OPEN_PART * purse->open));
+	if (bucket->refilled_at_us > 0)
+		tokens += TOKENS_PER_S * (double)(now_us - bucket->refilled_at_us) /
+			  (double)SKH_US_PER_S;
+	bucket->refilled_at_us = now_us;
+	bucket->tokens =
+		MIN(bucket->tokens + tokens,
+		    MAX(MIN_BUCKET_CAPACITY, MAX_TOKENS_PER_OPEN_REQUEST * bucket->open_requests));
 }
 
-static purse_t *purse_of(skh_retry_budget_t *budget, const char *customer)
+static bucket_t *get_or_create_bucket(skh_retry_budget_t *budget, const char *customer)
 {
-	purse_t *purse = g_hash_table_lookup(budget->customers, customer);
-
-	if (purse)
-		return purse;
-	purse = g_new0(purse_t, 1);
-	purse->tokens = LEAST_MOST;
-	g_hash_table_insert(budget->customers, g_strdup(customer), purse);
-	return purse;
+	bucket_t *bucket = g_hash_table_lookup(budget->customers, customer);
+
+	if (bucket)
+		return bucket;
+	bucket = g_new0(bucket_t, 1);
+	bucket->tokens = MIN_BUCKET_CAPACITY;
+	g_hash_table_insert(budget->customers, g_strdup(customer), bucket);
+	return bucket;
 }
 
 void skh_retry_budget_record_request(skh_retry_budget_t *budget, const char *customer,
 				     int64_t now_us)
 {
-	purse_t *purse = purse_of(budget, customer);
+	bucket_t *bucket = get_or_create_bucket(budget, customer);
 
-	budget->entry.open++;
-	purse->open++;
-	fill(&budget->entry, PER_REQUEST, now_us);
-	fill(purse, PER_REQUEST, now_us);
+	budget->entry.open_requests++;
+	bucket->open_requests++;
+	refill(&budget->entry, TOKENS_PER_REQUEST, now_us);
+	refill(bucket, TOKENS_PER_REQUEST, now_us);
 }
 
 void skh_retry_budget_record_end(skh_retry_budget_t *budget, const char *customer)
 {
-	budget->entry.open--;
-	purse_of(budget, customer)->open--;
+	budget->entry.open_requests--;
+	get_or_create_bucket(budget, customer)->open_requests--;
 }
 
 bool skh_retry_budget_acquire(skh_retry_budget_t *budget, const char *customer, int64_t now_us)
 {
-	purse_t *purse = purse_of(budget, customer);
+	bucket_t *bucket = get_or_create_bucket(budget, customer);
 
-	fill(&budget->entry, 0.0, now_us);
-	fill(purse, 0.0, now_us);
-	if (budget->entry.tokens < 1.0 || purse->tokens < 1.0)
+	refill(&budget->entry, 0.0, now_us);
+	refill(bucket, 0.0, now_us);
+	if (budget->entry.tokens < 1.0 || bucket->tokens < 1.0)
 		return false;
 	budget->entry.tokens -= 1.0;
-	purse->tokens -= 1.0;
+	bucket->tokens -= 1.0;
 	return true;
 }
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -4,11 +4,13 @@
 /**
  * DOC: Retry budgets
  *
- * Lost work is sent again only as far as a budget allows, so that servers that
- * fail all they get do not multiply the load. Each request adds a little to its
- * customer's budget and to the entry's; each repetition takes one from both.
- * Only entries repeat work; no other layer does. Pure state; the owner
- * serialises calls.
+ * Limits the retries of one entry with token buckets, so that servers that fail
+ * every request do not multiply the load. Each request adds a fraction of a token
+ * to the bucket of its customer and to that of the entry; each retry takes one
+ * token from both. Only entries retry requests; no other layer does.
+ *
+ * Owns the buckets and does no I/O. The caller serialises calls. Times are in
+ * microseconds on the monotonic clock.
  */
 
 #include <stdbool.h>
@@ -23,14 +25,23 @@
 skh_retry_budget_t *skh_retry_budget_new(void);
 void skh_retry_budget_free(skh_retry_budget_t *budget);
 
-/** skh_retry_budget_record_request() - a new request of @customer is about to be sent */
+/**
+ * skh_retry_budget_record_request() - count a new request of @customer before its first attempt
+ *
+ * Each call needs one call of skh_retry_budget_record_end() when the request ends.
+ */
 void skh_retry_budget_record_request(skh_retry_budget_t *budget, const char *customer,
 				     int64_t now_us);
 
-/** skh_retry_budget_record_end() - a request of @customer has ended */
+/** skh_retry_budget_record_end() - record the end of a request of @customer */
 void skh_retry_budget_record_end(skh_retry_budget_t *budget, const char *customer);
 
-/** skh_retry_budget_acquire() - whether lost work of @customer may be sent again now */
+/**
+ * skh_retry_budget_acquire() - take the tokens for one retry of a lost request of @customer
+ *
+ * Return: true if the retry is allowed; false, with no token taken, if the bucket
+ * of the customer or that of the entry holds less than one token.
+ */
 bool skh_retry_budget_acquire(skh_retry_budget_t *budget, const char *customer, int64_t now_us);
 
 #ifdef __cplusplus
