--- a/src/retry_policy.c
+++ b/src/retry_policy.c
@@ -1,11 +1,11 @@
 #include "retry_policy.h"
 
-static bool may_go_again(const skh_retry_policy_view_t *view)
+static bool can_retry(const skh_retry_policy_view_t *view)
 {
 	if (view->sends >= SKH_RETRY_POLICY_MAX_SENDS ||
 	    view->now_us + SKH_RETRY_POLICY_MIN_TIME_US >= view->deadline_us)
 		return false;
-	/* Wherever it may have run, another server is another run. */
+	/* If an attempt may have run, a retry at another server may run the request once more. */
 	if (view->possible_runs > 0 &&
 	    (view->retry_mode == SKH_RETRY_MODE_NEVER || view->possible_runs >= view->max_attempts))
 		return false;
@@ -26,13 +26,13 @@
 
 skh_retry_decision_t skh_retry_policy_decide(const skh_retry_policy_view_t *view)
 {
-	if (may_go_again(view))
+	if (can_retry(view))
 		return SKH_RETRY_DECISION_RETRY;
 	if (view->end == SKH_END_STREAM_BROKEN)
 		return SKH_RETRY_DECISION_CLOSE_STREAM;
 	if (view->end == SKH_END_ERROR)
 		return SKH_RETRY_DECISION_FORWARD_RESPONSE;
-	/* An earlier attempt may have run even if this one has not. */
+	/* An earlier attempt may have run even if the last one has not. */
 	if (view->end == SKH_END_LOST || view->possible_runs > 0)
 		return SKH_RETRY_DECISION_OUTCOME_UNKNOWN;
 	return SKH_RETRY_DECISION_REJECT;
