--- a/src/claim_backlog.h
+++ b/src/claim_backlog.h
@@ -4,10 +4,15 @@
 /**
  * DOC: Claim backlog
  *
- * Records of claims that could not be written while the key-value service was
- * away: that a claim is given back, or how its run ended. Each is written later,
- * and only over a record of the same owner, so that its key does not stay
- * "unknown" until it expires. Pure state; the owner carries the writes.
+ * Holds claim records whose write failed because the key-value service was
+ * unavailable: releases of claims and results of runs. Each is written later, but
+ * only over a record of the same owner. If it were dropped, requests with its key
+ * would get "outcome unknown" until the key expires.
+ *
+ * Owns copies of the records and does no I/O: the caller executes the writes,
+ * reports their results and serialises calls. A write is given up after
+ * SKH_CLAIM_MAX_KEY_AGE_MS, because its key has expired by then. Times are in
+ * microseconds on the monotonic clock.
  */
 
 #include "claim.h"
@@ -22,13 +27,15 @@
 void skh_claim_backlog_free(skh_claim_backlog_t *backlog);
 
 /**
- * skh_claim_backlog_add() - @claim should stand at @path
- * @expected: mod revision of this owner's record there; 0 when it may not be there
+ * skh_claim_backlog_add() - add a write of @claim to @path; copies both
+ * @expected_revision: mod revision of the owner's record at @path; 0 if the record may not exist
+ *
+ * The write is dropped if the backlog is full.
  */
 void skh_claim_backlog_add(skh_claim_backlog_t *backlog, const char *path, const skh_claim_t *claim,
-			   int64_t expected, int64_t now_us);
+			   int64_t expected_revision, int64_t now_us);
 
-/** struct skh_claim_backlog_write - a write to be tried now; texts borrowed until its result */
+/** struct skh_claim_backlog_write - a due write; its strings are valid until its result is known */
 typedef struct skh_claim_backlog_write {
 	uint64_t id; /* has SKH_WIRE_LOCAL_TRANSFER_BIT set */
 	const char *path;
@@ -36,19 +43,30 @@
 	int64_t expected_revision;
 } skh_claim_backlog_write_t;
 
-/** skh_claim_backlog_next_due() - the next write that is due; false when there is none */
+/**
+ * skh_claim_backlog_next_due() - get a due write and mark it as in progress
+ *
+ * Each write that is returned needs its result: skh_claim_backlog_mark_written(),
+ * skh_claim_backlog_mark_failed() or skh_claim_backlog_resolve_conflict().
+ *
+ * Return: false if no write is due.
+ */
 bool skh_claim_backlog_next_due(skh_claim_backlog_t *backlog, int64_t now_us,
 				skh_claim_backlog_write_t *write);
 
-/** skh_claim_backlog_mark_written() - write @id is done */
+/** skh_claim_backlog_mark_written() - remove write @id after it succeeded */
 void skh_claim_backlog_mark_written(skh_claim_backlog_t *backlog, uint64_t id);
 
-/** skh_claim_backlog_mark_failed() - write @id is to be tried again later */
+/** skh_claim_backlog_mark_failed() - schedule a retry of write @id after a delay */
 void skh_claim_backlog_mark_failed(skh_claim_backlog_t *backlog, uint64_t id, int64_t now_us);
 
 /**
- * skh_claim_backlog_resolve_conflict() - something else stands there than write @id expected
- * @found: its value, or NULL when nothing stands there
+ * skh_claim_backlog_resolve_conflict() - handle a revision conflict of write @id
+ * @found: value stored at the path, or NULL if there is none
+ * @mod_revision: revision of @found
+ *
+ * If @found is an open claim of the same owner, or there is no record, the write is
+ * due again at once with the new revision; otherwise it is removed.
  */
 void skh_claim_backlog_resolve_conflict(skh_claim_backlog_t *backlog, uint64_t id,
 					const char *found, int64_t mod_revision, int64_t now_us);
