--- a/src/server_selection.c
+++ b/src/server_selection.c
@@ -2,15 +2,16 @@
 
 #include <glib.h>
 
-/* Requests that a server with a failing part of 1 seems to have more than it has. */
-#define FAILING_WEIGHT 12.0
+/* Requests added to the load of a server with a failure ratio of 1; proportional below. */
+#define FAILURE_PENALTY_REQUESTS 12.0
 /*
- * A step of a rank without writers takes as long as about so many writers do. What a slow
- * rank does at a pace of 2 counts as twice its writers and these, less these.
+ * Fixed cost of a rank's step: a step without generating requests takes about as long as
+ * this many requests add to it. A rank with n requests and a slowdown of 2 is therefore as
+ * loaded as a normal rank with 2 * (n + IDLE_STEP_REQUESTS) - IDLE_STEP_REQUESTS requests.
  */
-#define IDLE_STEP_WRITERS 4.0
-/* Time of an answer before one was seen; ordinary servers are near it. */
-#define DEFAULT_MEAN_MS 60.0
+#define IDLE_STEP_REQUESTS 4.0
+/* Assumed response time of a server without completed requests; typical servers are close. */
+#define DEFAULT_RESPONSE_MS 60.0
 
 static bool is_full(const skh_selection_view_t *view, const skh_candidate_t *candidate)
 {
@@ -23,34 +24,35 @@
 	return view->now_us < candidate->avoid_until_us;
 }
 
-static double cost_of(const skh_selection_view_t *view, const skh_candidate_t *candidate)
+static double estimate_cost(const skh_selection_view_t *view, const skh_candidate_t *candidate)
 {
-	double mean_ms = candidate->mean_ms > 0.0 ? candidate->mean_ms : DEFAULT_MEAN_MS;
-	double load = (double)candidate->running + FAILING_WEIGHT * candidate->failure_ratio;
+	double mean_ms = candidate->mean_ms > 0.0 ? candidate->mean_ms : DEFAULT_RESPONSE_MS;
+	double load =
+		(double)candidate->running + FAILURE_PENALTY_REQUESTS * candidate->failure_ratio;
 
-	/* Work only tells servers with as many requests apart. */
+	/* The small factor makes expected_tokens break ties between equally loaded ranks only. */
 	if (view->lock_step)
-		return (load + IDLE_STEP_WRITERS) * MAX(candidate->slowdown, 1.0) +
+		return (load + IDLE_STEP_REQUESTS) * MAX(candidate->slowdown, 1.0) +
 		       candidate->expected_tokens * 1e-6;
 	return (load + 1.0) / (double)candidate->slots * mean_ms;
 }
 
-static int32_t pick_among(const skh_selection_view_t *view, bool avoided)
+static int32_t select_cheapest(const skh_selection_view_t *view, bool avoided)
 {
 	int32_t best = SKH_SELECTION_NONE;
 	double best_cost = 0.0;
 
 	for (uint32_t i = 0; i < view->n_candidates; i++) {
-		uint32_t at = (uint32_t)((view->random + i) % view->n_candidates);
-		const skh_candidate_t *candidate = &view->candidates[at];
+		uint32_t position = (uint32_t)((view->random + i) % view->n_candidates);
+		const skh_candidate_t *candidate = &view->candidates[position];
 		double cost;
 
 		if (candidate->excluded || is_full(view, candidate) ||
 		    is_avoided(view, candidate) != avoided)
 			continue;
-		cost = cost_of(view, candidate);
+		cost = estimate_cost(view, candidate);
 		if (best == SKH_SELECTION_NONE || cost < best_cost) {
-			best = (int32_t)at;
+			best = (int32_t)position;
 			best_cost = cost;
 		}
 	}
@@ -59,14 +61,14 @@
 
 int32_t skh_select_server(const skh_selection_view_t *view)
 {
-	bool any_sound = false;
+	bool has_unavoided = false;
 
 	if (view->n_candidates == 0)
 		return SKH_SELECTION_NONE;
 	for (uint32_t i = 0; i < view->n_candidates; i++)
-		any_sound = any_sound || (!view->candidates[i].excluded &&
-					  !is_avoided(view, &view->candidates[i]));
-	return pick_among(view, !any_sound);
+		has_unavoided = has_unavoided || (!view->candidates[i].excluded &&
+						  !is_avoided(view, &view->candidates[i]));
+	return select_cheapest(view, !has_unavoided);
 }
 
 bool skh_selection_has_candidate(const skh_selection_view_t *view)
--- a/src/server_selection.h
+++ b/src/server_selection.h
@@ -2,14 +2,18 @@
 #define SKH_SERVER_SELECTION_H
 
 /**
- * DOC: Which backend server gets a request
+ * DOC: Selection of a backend server
  *
- * Pure. In a lock-step group every rank waits for the one with the most
- * writers, so requests go where the fewest run, and fewer to a rank that takes
- * longer than the others. Plain servers differ in speed,
- * so there the expected time decides. A server that failed of late is left
- * alone for a while, then tried with a single request; when nothing else is
- * left it is used all the same.
+ * Selects the backend server for one attempt by load, speed and recent failures.
+ * In a lock-step group every rank waits for the rank with the most generating
+ * requests, so the rank with the fewest requests is selected, and a slow rank gets
+ * fewer than the others. Plain servers differ in speed, so the one with the lowest
+ * expected response time is selected. A server that failed recently is avoided for
+ * a period, and afterwards its load counts as higher in proportion to its failure
+ * ratio; if all servers are avoided, they are used nevertheless.
+ *
+ * Pure functions without state; any thread may call them. Times are in microseconds
+ * on one monotonic clock.
  */
 
 #include <stdbool.h>
@@ -21,33 +25,38 @@
 
 #define SKH_SELECTION_NONE (-1)
 
-/** struct skh_candidate - what is known of one server */
+/** struct skh_candidate - state of one server */
 typedef struct skh_candidate {
 	uint32_t slots;
-	uint32_t running;	/* requests sent there and not ended, by all gateways */
-	double expected_tokens; /* expected tokens of those, or 0 */
-	double mean_ms;		/* of its recent answers; 0 when unknown */
-	double slowdown;	/* of a rank: time that it takes, 1 is usual */
-	double failure_ratio;	/* part of recent requests that failed, 0 to 1 */
-	int64_t avoid_until_us; /* it failed; 0 when it did not */
-	int64_t full_until_us;	/* it turned a request away; 0 when it did not */
-	bool excluded;		/* leaving, or tried by this request already */
+	uint32_t running;	/* requests in flight at the server, from all gateways */
+	double expected_tokens; /* expected tokens of the running requests, or 0 */
+	double mean_ms;		/* mean response time of recent requests; 0 if unknown */
+	double slowdown;	/* time that a rank takes relative to normal; 1 is normal */
+	double failure_ratio;	/* ratio of recent requests that failed, 0 to 1 */
+	int64_t avoid_until_us; /* end of the avoidance period after a failure; 0 for none */
+	int64_t full_until_us;	/* counts as full until then after a rejection; 0 for none */
+	bool excluded;		/* not eligible: leaving, or already tried by the request */
 } skh_candidate_t;
 
 /** struct skh_selection_view - all candidates of a service */
 typedef struct skh_selection_view {
 	const skh_candidate_t *candidates;
 	uint32_t n_candidates;
-	bool lock_step;	     /* ranks of one group */
-	uint32_t overcommit; /* requests beyond its slots that a server may be given */
-	uint64_t random;     /* random, to break ties */
+	bool lock_step;	     /* the candidates are ranks of one lock-step group */
+	uint32_t overcommit; /* requests that a server may get in excess of its slots */
+	uint64_t random;     /* random number, breaks ties */
 	int64_t now_us;
 } skh_selection_view_t;
 
-/** skh_select_server() - index into the list, or SKH_SELECTION_NONE when all are full */
+/**
+ * skh_select_server() - select the server for one attempt
+ *
+ * Return: index into the candidates, or SKH_SELECTION_NONE if every eligible server
+ * is full.
+ */
 int32_t skh_select_server(const skh_selection_view_t *view);
 
-/** skh_selection_has_candidate() - some server could be used now or later */
+/** skh_selection_has_candidate() - whether any server is eligible, even if it is full now */
 bool skh_selection_has_candidate(const skh_selection_view_t *view);
 
 #ifdef __cplusplus
