--- a/src/peer_selection.c
+++ b/src/peer_selection.c
@@ -5,19 +5,20 @@
 #include <glib.h>
 #include <string.h>
 
-/* Affinity may load its server this much above the mean, as in bounded-load hashing. */
-#define AFFINITY_HEADROOM 1.25
-#define AFFINITY_SLACK	  0.10
-/* Homes of a prefix that are looked at, best first; the hottest need many. */
-#define AFFINITY_HOMES 16
-/* After this many refusals a free slot is worth more than a cached prefix. */
-#define HEAT_SPREAD 3.0
-#define HOME_TRIES  5
-/* A server that was full longer ago than this is worth asking again. */
-#define FULL_MEMORY_US (100 * SKH_US_PER_MS)
-/* A remote failure domain is used when the local choice is fuller by this much. */
-#define LOCAL_PREFERENCE 0.25
-#define RETRY_US	 (1 * SKH_US_PER_S)
+/* A peer selected by affinity may exceed the mean load this far, as in bounded-load hashing. */
+#define AFFINITY_MAX_LOAD_RATIO 1.25
+#define AFFINITY_LOAD_SLACK	0.10
+/* Peers considered for a prefix, in rank order; the most frequent prefixes need many. */
+#define MAX_AFFINITY_PEERS 16
+/* A prefix with a share s of the requests is spread over s * PREFIX_SPREAD_RATIO of the peers. */
+#define PREFIX_SPREAD_RATIO 3.0
+/* After this many rejected attempts a free slot is worth more than a cached prefix. */
+#define MAX_AFFINITY_TRIES 5
+/* A peer that reported itself full longer ago than this may have room again. */
+#define FULL_REPORT_VALID_US (100 * SKH_US_PER_MS)
+/* A peer in a remote failure domain is selected when the local one is more loaded by this much. */
+#define REMOTE_DOMAIN_PENALTY 0.25
+#define RETRY_DELAY_US	      (1 * SKH_US_PER_S)
 
 double skh_peer_load(const skh_peer_t *peer)
 {
@@ -40,8 +41,8 @@
 	       !was_tried(query, peer->id);
 }
 
-static GPtrArray *candidates(const skh_peers_t *peers, const skh_peer_query_t *query,
-			     bool with_avoided, int64_t now_us)
+static GPtrArray *find_candidates(const skh_peers_t *peers, const skh_peer_query_t *query,
+				  bool include_avoided, int64_t now_us)
 {
 	GPtrArray *list = g_ptr_array_new();
 
@@ -50,7 +51,7 @@
 
 		if (!skh_peer_can_accept(peer, query))
 			continue;
-		if (with_avoided || peer->avoid_until_us <= now_us)
+		if (include_avoided || peer->avoid_until_us <= now_us)
 			g_ptr_array_add(list, peer);
 	}
 	return list;
@@ -65,30 +66,31 @@
 	return sum / (double)list->len;
 }
 
-typedef struct home {
+typedef struct ranked_peer {
 	skh_peer_t *peer;
 	uint64_t weight;
-} home_t;
+} ranked_peer_t;
 
 /*
- * Highest random weight: each prefix has an order of homes that all entries
- * agree on, and only 1/n of the prefixes move when a server comes or goes.
+ * Rendezvous hashing (highest random weight): all entries rank the peers of a prefix in the
+ * same order, and only 1/n of the prefixes move when a server is added or removed.
  */
-static size_t find_homes(const GPtrArray *list, uint64_t prefix_hash, home_t *homes)
+static size_t rank_peers(const GPtrArray *list, uint64_t prefix_hash, ranked_peer_t *ranked)
 {
 	size_t n = 0;
 
 	for (size_t i = 0; i < list->len; i++) {
 		skh_peer_t *peer = list->pdata[i];
 		uint64_t weight = skh_chunk_hash(skh_chunk_from_string(peer->id), prefix_hash);
-		size_t place;
+		size_t position;
 
-		if (n == AFFINITY_HOMES && weight <= homes[n - 1].weight)
+		if (n == MAX_AFFINITY_PEERS && weight <= ranked[n - 1].weight)
 			continue;
-		n = MIN(n + 1, AFFINITY_HOMES);
-		for (place = n - 1; place > 0 && homes[place - 1].weight < weight; place--)
-			homes[place] = homes[place - 1];
-		homes[place] = (home_t){ peer, weight };
+		n = MIN(n + 1, MAX_AFFINITY_PEERS);
+		for (position = n - 1; position > 0 && ranked[position - 1].weight < weight;
+		     position--)
+			ranked[position] = ranked[position - 1];
+		ranked[position] = (ranked_peer_t){ peer, weight };
 	}
 	return n;
 }
@@ -96,84 +98,86 @@
 static bool is_full(const skh_peer_t *peer, int64_t now_us)
 {
 	return skh_peers_estimate_load(peer) >= peer->capacity &&
-	       now_us - peer->last_received_us < FULL_MEMORY_US;
+	       now_us - peer->last_received_us < FULL_REPORT_VALID_US;
 }
 
-static double cost(const skh_peer_t *peer, const skh_peer_query_t *query)
+static double estimate_cost(const skh_peer_t *peer, const skh_peer_query_t *query)
 {
 	bool local = strcmp(peer->failure_domain, query->failure_domain) == 0;
 
-	return skh_peer_load(peer) + (local ? 0.0 : LOCAL_PREFERENCE);
+	return skh_peer_load(peer) + (local ? 0.0 : REMOTE_DOMAIN_PENALTY);
 }
 
-static skh_peer_t *better_of_two(const GPtrArray *list, const skh_peer_query_t *query,
-				 uint64_t random)
+static skh_peer_t *select_less_loaded_of_two(const GPtrArray *list, const skh_peer_query_t *query,
+					     uint64_t random)
 {
 	skh_peer_t *first = list->pdata[(uint32_t)random % list->len];
 	skh_peer_t *second = list->pdata[(uint32_t)(random >> 32) % list->len];
 
-	return cost(second, query) < cost(first, query) ? second : first;
+	return estimate_cost(second, query) < estimate_cost(first, query) ? second : first;
 }
 
-/* A hot prefix fills several homes: enough for its part of all work, and one more. */
-static size_t homes_of_heat(const GPtrArray *list, double heat)
+/* A frequent prefix needs several peers: enough for its share of all requests, and one more. */
+static size_t count_affinity_peers(const GPtrArray *list, double prefix_share)
 {
-	return (size_t)(heat * HEAT_SPREAD * (double)list->len) + 1;
+	return (size_t)(prefix_share * PREFIX_SPREAD_RATIO * (double)list->len) + 1;
 }
 
-/* The first home that is neither full nor far above the others. */
-static skh_peer_t *first_home(const GPtrArray *list, const home_t *homes, size_t n, int64_t now_us)
+/* Returns the first ranked peer that is neither full nor loaded far above the mean. */
+static skh_peer_t *find_first_with_room(const GPtrArray *list, const ranked_peer_t *ranked,
+					size_t n, int64_t now_us)
 {
-	double bound = mean_load(list) * AFFINITY_HEADROOM + AFFINITY_SLACK;
+	double max_load = mean_load(list) * AFFINITY_MAX_LOAD_RATIO + AFFINITY_LOAD_SLACK;
 
 	for (size_t i = 0; i < n; i++) {
-		skh_peer_t *peer = homes[i].peer;
+		skh_peer_t *peer = ranked[i].peer;
 
-		if (!is_full(peer, now_us) && skh_peer_load(peer) <= bound)
+		if (!is_full(peer, now_us) && skh_peer_load(peer) <= max_load)
 			return peer;
 	}
 	return NULL;
 }
 
 /*
- * A prefix that several homes hold anyway goes to the emptier of two of them,
- * which leaves room for the prefixes that have only one.
+ * A prefix that several peers have cached goes to the less loaded of two of them, which
+ * leaves room for the prefixes that only one peer has cached.
  */
-static skh_peer_t *pick_home(const GPtrArray *list, const skh_peer_query_t *query, uint64_t random,
-			     int64_t now_us)
+static skh_peer_t *select_by_affinity(const GPtrArray *list, const skh_peer_query_t *query,
+				      uint64_t random, int64_t now_us)
 {
-	home_t homes[AFFINITY_HOMES];
-	size_t n = find_homes(list, query->prefix_hash, homes);
-	size_t warm = MIN(homes_of_heat(list, query->prefix_share), n);
+	ranked_peer_t ranked[MAX_AFFINITY_PEERS];
+	size_t n = rank_peers(list, query->prefix_hash, ranked);
+	size_t n_preferred = MIN(count_affinity_peers(list, query->prefix_share), n);
 	skh_peer_t *first;
 	skh_peer_t *second;
 
-	if (warm < 2)
-		return first_home(list, homes, n, now_us);
-	first = homes[(uint32_t)random % warm].peer;
-	second = homes[(uint32_t)(random >> 32) % warm].peer;
+	if (n_preferred < 2)
+		return find_first_with_room(list, ranked, n, now_us);
+	first = ranked[(uint32_t)random % n_preferred].peer;
+	second = ranked[(uint32_t)(random >> 32) % n_preferred].peer;
 	return skh_peer_load(second) < skh_peer_load(first) ? second : first;
 }
 
 skh_peer_t *skh_select_peer(const skh_peers_t *peers, const skh_peer_query_t *query,
 			    uint64_t random, int64_t now_us, skh_error_t *err)
 {
-	g_autoptr(GPtrArray) list = candidates(peers, query, false, now_us);
-	skh_peer_t *home;
+	g_autoptr(GPtrArray) list = find_candidates(peers, query, false, now_us);
+	skh_peer_t *affinity_peer;
 
-	/* Ejecting outliers must not empty the pool. */
+	/* If all candidates are avoided, use them nevertheless: ejection must leave a server. */
 	if (list->len == 0) {
 		g_ptr_array_unref(list);
-		list = candidates(peers, query, true, now_us);
+		list = find_candidates(peers, query, true, now_us);
 	}
 	if (list->len == 0) {
 		(void)skh_error_set(err, SKH_NO_BACKEND,
-				    "no backend server of \"%s\" takes new work", query->service);
-		err->retry_at_us = now_us + RETRY_US;
+				    "no backend server of service \"%s\" accepts new requests",
+				    query->service);
+		err->retry_at_us = now_us + RETRY_DELAY_US;
 		return NULL;
 	}
-	home = query->prefix_hash != 0 && query->n_tried < HOME_TRIES
-		       ? pick_home(list, query, random, now_us)
-		       : NULL;
-	return home ? home : better_of_two(list, query, random);
+	affinity_peer = query->prefix_hash != 0 && query->n_tried < MAX_AFFINITY_TRIES
+				? select_by_affinity(list, query, random, now_us)
+				: NULL;
+	return affinity_peer ? affinity_peer : select_less_loaded_of_two(list, query, random);
 }
--- a/src/peer_selection.h
+++ b/src/peer_selection.h
@@ -2,10 +2,14 @@
 #define SKH_PEER_SELECTION_H
 
 /**
- * DOC: Routing
+ * DOC: Selection of a sidecar
  *
- * Chooses the sidecar for one attempt. A pure function of the entry's view of
- * its peers, the time and a random number.
+ * Selects the sidecar for one attempt of an entry by prefix affinity, or else as the
+ * less loaded of two random candidates. The result depends only on the entry's table
+ * of peers, the time and a random number.
+ *
+ * Keeps no state and does no I/O. The owner of the peer table serialises calls.
+ * Times are in microseconds on the monotonic clock.
  */
 
 #include "peers.h"
@@ -15,31 +19,33 @@
 #endif
 
 #define SKH_PEER_QUERY_MAX_TRIED 16
-/** SKH_MAX_NO_QUEUE_ATTEMPTS - placements that are refused rather than queued at a full server */
+/** SKH_MAX_NO_QUEUE_ATTEMPTS - attempts that a full server rejects instead of queueing them */
 #define SKH_MAX_NO_QUEUE_ATTEMPTS 7
 
-/** struct skh_peer_query - what an attempt needs */
+/** struct skh_peer_query - requirements of one attempt */
 typedef struct skh_peer_query {
 	const char *service;
-	const char *failure_domain; /* of the asking entry */
-	uint64_t prefix_hash;	    /* of the prompt's start; 0 for no affinity */
-	double prefix_share;	    /* part of the requests that share it, see prefix_share.h */
-	const char *tried[SKH_PEER_QUERY_MAX_TRIED];
+	const char *failure_domain; /* failure domain of the entry */
+	uint64_t prefix_hash;	    /* hash of the prompt's prefix; 0 for no affinity */
+	double prefix_share;	    /* ratio of requests with the same prefix, see prefix_share.h */
+	const char *tried[SKH_PEER_QUERY_MAX_TRIED]; /* ids of peers that are not selected again */
 	size_t n_tried;
 } skh_peer_query_t;
 
 /**
- * skh_select_peer() - the peer to send to
- * @random: any number; the same inputs give the same choice
- * Return: NULL with @err set when no peer may take new work.
+ * skh_select_peer() - select the sidecar for one attempt
+ * @random: random number; equal inputs give equal results
+ *
+ * Return: the peer, owned by @peers; or NULL with @err set to SKH_NO_BACKEND, and its
+ * retry_at_us, if no peer accepts new requests.
  */
 skh_peer_t *skh_select_peer(const skh_peers_t *peers, const skh_peer_query_t *query,
 			    uint64_t random, int64_t now_us, skh_error_t *err);
 
-/** skh_peer_can_accept() - whether @peer may be given new work at all */
+/** skh_peer_can_accept() - whether @peer is ready, serves the service and was not tried yet */
 bool skh_peer_can_accept(const skh_peer_t *peer, const skh_peer_query_t *query);
 
-/** skh_peer_load() - estimated work per unit of capacity at @peer */
+/** skh_peer_load() - estimated requests at @peer, running or queued, per unit of capacity */
 double skh_peer_load(const skh_peer_t *peer);
 
 #ifdef __cplusplus
