--- a/src/crash_suspects.c
+++ b/src/crash_suspects.c
@@ -7,128 +7,135 @@
 
 #define MAX_LOSSES 512
 
-/* A request that was lost and whose server may have crashed. */
+/* A lost request whose server may have crashed; unused if lost_at_us is 0. */
 typedef struct loss {
-	uint64_t content;
-	uint64_t server;
-	int64_t at_us;
+	uint64_t content_hash;
+	uint64_t server_hash;
+	int64_t lost_at_us;
 } loss_t;
 
-typedef struct record {
-	uint64_t crashes[SKH_CRASH_SUSPECTS_REJECT_CRASHES];
+typedef struct suspect {
+	uint64_t crash_ids[SKH_CRASH_SUSPECTS_REJECT_CRASHES];
 	uint32_t n_crashes;
-	int64_t until_us;
-} record_t;
+	int64_t expires_us;
+} suspect_t;
 
 struct skh_crash_suspects {
-	loss_t losses[MAX_LOSSES]; /* a ring */
-	uint32_t next;
-	GHashTable *records; /* content -> record_t */
+	loss_t losses[MAX_LOSSES]; /* ring buffer; a new loss overwrites the oldest */
+	uint32_t next_loss;
+	GHashTable *by_content; /* content hash -> suspect_t */
 };
 
 skh_crash_suspects_t *skh_crash_suspects_new(void)
 {
-	skh_crash_suspects_t *culprits = g_new0(skh_crash_suspects_t, 1);
+	skh_crash_suspects_t *suspects = g_new0(skh_crash_suspects_t, 1);
 
-	culprits->records = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	return culprits;
+	suspects->by_content = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	return suspects;
 }
 
-void skh_crash_suspects_free(skh_crash_suspects_t *culprits)
+void skh_crash_suspects_free(skh_crash_suspects_t *suspects)
 {
-	g_hash_table_unref(culprits->records);
-	g_free(culprits);
+	g_hash_table_unref(suspects->by_content);
+	g_free(suspects);
 }
 
-static uint64_t server_hash(const char *server)
+static uint64_t hash_server_id(const char *server)
 {
 	return skh_chunk_hash(skh_chunk_from_string(server), 0);
 }
 
-void skh_crash_suspects_record_loss(skh_crash_suspects_t *culprits, uint64_t content,
+void skh_crash_suspects_record_loss(skh_crash_suspects_t *suspects, uint64_t content_hash,
 				    const char *server, int64_t now_us)
 {
-	culprits->losses[culprits->next] = (loss_t){ content, server_hash(server), now_us };
-	culprits->next = (culprits->next + 1) % MAX_LOSSES;
+	suspects->losses[suspects->next_loss] =
+		(loss_t){ content_hash, hash_server_id(server), now_us };
+	suspects->next_loss = (suspects->next_loss + 1) % MAX_LOSSES;
 }
 
-static record_t *record_of(skh_crash_suspects_t *culprits, uint64_t content, int64_t now_us)
+static suspect_t *get_or_create_suspect(skh_crash_suspects_t *suspects, uint64_t content_hash,
+					int64_t now_us)
 {
-	const int64_t key = (int64_t)content;
-	record_t *record = g_hash_table_lookup(culprits->records, &key);
-
-	if (record && now_us < record->until_us)
-		return record;
-	record = g_new0(record_t, 1);
-	(void)g_hash_table_replace(culprits->records, g_memdup2(&key, sizeof(key)), record);
-	return record;
+	const int64_t key = (int64_t)content_hash;
+	suspect_t *suspect = g_hash_table_lookup(suspects->by_content, &key);
+
+	if (suspect && now_us < suspect->expires_us)
+		return suspect;
+	suspect = g_new0(suspect_t, 1);
+	(void)g_hash_table_replace(suspects->by_content, g_memdup2(&key, sizeof(key)), suspect);
+	return suspect;
 }
 
-static bool add_crash(skh_crash_suspects_t *culprits, uint64_t content, uint64_t crash,
+static bool add_crash(skh_crash_suspects_t *suspects, uint64_t content_hash, uint64_t crash_id,
 		      int64_t now_us)
 {
-	record_t *record = record_of(culprits, content, now_us);
+	suspect_t *suspect = get_or_create_suspect(suspects, content_hash, now_us);
 
-	for (uint32_t i = 0; i < record->n_crashes; i++) {
-		if (record->crashes[i] == crash)
+	for (uint32_t i = 0; i < suspect->n_crashes; i++) {
+		if (suspect->crash_ids[i] == crash_id)
 			return false;
 	}
-	record->until_us = now_us + SKH_CRASH_SUSPECTS_EXPIRY_US;
-	if (record->n_crashes == SKH_CRASH_SUSPECTS_REJECT_CRASHES)
+	suspect->expires_us = now_us + SKH_CRASH_SUSPECTS_EXPIRY_US;
+	if (suspect->n_crashes == SKH_CRASH_SUSPECTS_REJECT_CRASHES)
 		return false;
-	record->crashes[record->n_crashes++] = crash;
+	suspect->crash_ids[suspect->n_crashes++] = crash_id;
 	return true;
 }
 
-void skh_crash_suspects_record_crash(skh_crash_suspects_t *culprits, const char *server,
+void skh_crash_suspects_record_crash(skh_crash_suspects_t *suspects, const char *server,
 				     int64_t now_us, skh_crash_suspects_fn fn, void *context)
 {
-	uint64_t hash = server_hash(server);
+	uint64_t server_hash = hash_server_id(server);
 
 	for (uint32_t i = 0; i < MAX_LOSSES; i++) {
-		loss_t *loss = &culprits->losses[i];
-		uint64_t crash;
+		loss_t *loss = &suspects->losses[i];
+		uint64_t crash_id;
 
-		if (loss->at_us == 0 || loss->server != hash ||
-		    now_us - loss->at_us > SKH_CRASH_SUSPECTS_LOSS_WINDOW_US)
+		if (loss->lost_at_us == 0 || loss->server_hash != server_hash ||
+		    now_us - loss->lost_at_us > SKH_CRASH_SUSPECTS_LOSS_WINDOW_US)
 			continue;
-		/* A server may crash again under its old id; copies lost together count once. */
-		crash = hash + (uint64_t)(loss->at_us / SKH_CRASH_SUSPECTS_LOSS_WINDOW_US);
-		loss->at_us = 0;
-		if (add_crash(culprits, loss->content, crash, now_us) && fn)
-			fn(context, loss->content, crash);
+		/*
+		 * A server can crash again under the same id, so the id of a crash includes the
+		 * time window of the loss. Copies of a request lost together count as one crash.
+		 */
+		crash_id = server_hash +
+			   (uint64_t)(loss->lost_at_us / SKH_CRASH_SUSPECTS_LOSS_WINDOW_US);
+		loss->lost_at_us = 0;
+		if (add_crash(suspects, loss->content_hash, crash_id, now_us) && fn)
+			fn(context, loss->content_hash, crash_id);
 	}
 }
 
-void skh_crash_suspects_add_remote_crash(skh_crash_suspects_t *culprits, uint64_t content,
-					 uint64_t crash, int64_t now_us)
+void skh_crash_suspects_add_remote_crash(skh_crash_suspects_t *suspects, uint64_t content_hash,
+					 uint64_t crash_id, int64_t now_us)
 {
-	(void)add_crash(culprits, content, crash, now_us);
+	(void)add_crash(suspects, content_hash, crash_id, now_us);
 }
 
-void skh_crash_suspects_clear(skh_crash_suspects_t *culprits, uint64_t content)
+void skh_crash_suspects_clear(skh_crash_suspects_t *suspects, uint64_t content_hash)
 {
-	const int64_t key = (int64_t)content;
+	const int64_t key = (int64_t)content_hash;
 
-	(void)g_hash_table_remove(culprits->records, &key);
+	(void)g_hash_table_remove(suspects->by_content, &key);
 }
 
-static uint32_t crashes_of(const skh_crash_suspects_t *culprits, uint64_t content, int64_t now_us)
+static uint32_t count_crashes(const skh_crash_suspects_t *suspects, uint64_t content_hash,
+			      int64_t now_us)
 {
-	const int64_t key = (int64_t)content;
-	const record_t *record = g_hash_table_lookup(culprits->records, &key);
+	const int64_t key = (int64_t)content_hash;
+	const suspect_t *suspect = g_hash_table_lookup(suspects->by_content, &key);
 
-	return record && now_us < record->until_us ? record->n_crashes : 0;
+	return suspect && now_us < suspect->expires_us ? suspect->n_crashes : 0;
 }
 
-bool skh_crash_suspects_is_retry_blocked(const skh_crash_suspects_t *culprits, uint64_t content,
-					 int64_t now_us)
+bool skh_crash_suspects_is_retry_blocked(const skh_crash_suspects_t *suspects,
+					 uint64_t content_hash, int64_t now_us)
 {
-	return crashes_of(culprits, content, now_us) >= SKH_CRASH_SUSPECTS_NO_RETRY_CRASHES;
+	return count_crashes(suspects, content_hash, now_us) >= SKH_CRASH_SUSPECTS_NO_RETRY_CRASHES;
 }
 
-bool skh_crash_suspects_is_rejected(const skh_crash_suspects_t *culprits, uint64_t content,
+bool skh_crash_suspects_is_rejected(const skh_crash_suspects_t *suspects, uint64_t content_hash,
 				    int64_t now_us)
 {
-	return crashes_of(culprits, content, now_us) >= SKH_CRASH_SUSPECTS_REJECT_CRASHES;
+	return count_crashes(suspects, content_hash, now_us) >= SKH_CRASH_SUSPECTS_REJECT_CRASHES;
 }
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -2,14 +2,18 @@
 #define SKH_CRASH_SUSPECTS_H
 
 /**
- * DOC: Requests that crash their servers
+ * DOC: Crash suspects
  *
- * Pure. A lost connection alone accuses nobody: connections are reset for many
- * reasons. Only when the server turns out to have crashed is that crash held
- * against the requests that were lost there. A request that is innocent is
- * answered the next time and cleared; one that crashes server after server is
- * not repeated any more, and then not sent any more. Requests are known by their
- * content, so that one sent again under a new id is recognised.
+ * Tracks requests that are suspected of crashing their servers. A lost connection
+ * alone does not count, because connections are reset for many reasons. Once the server
+ * is known to have crashed, the crash is counted for the requests that were lost there.
+ * A complete response clears a request, so one that did not cause the crash is cleared
+ * by its next attempt. A request that crashes several servers is first no longer
+ * retried, then rejected. Requests are identified by a hash of their content, so that
+ * one sent again under a new id is recognised.
+ *
+ * Owns its records and does no I/O. The caller serialises calls. Times are in
+ * microseconds on one monotonic clock.
  */
 
 #include <stdbool.h>
@@ -19,41 +23,50 @@
 extern "C" {
 #endif
 
-/* Crashes after which a gateway no longer repeats a request by itself. */
+/* Number of crashes from which a gateway no longer retries a request. */
 #define SKH_CRASH_SUSPECTS_NO_RETRY_CRASHES 2
-/* Crashes after which it is not sent to any server. */
+/* Number of crashes from which a request is rejected. */
 #define SKH_CRASH_SUSPECTS_REJECT_CRASHES 3
-/* How long a crash is held against a request: callers send it again for minutes. */
+/* Time for which crashes are kept after the last one, because callers retry for minutes. */
 #define SKH_CRASH_SUSPECTS_EXPIRY_US ((int64_t)600 * 1000000)
-/* A crash is seen within this time of the loss. */
+/* Maximum time between the loss of a request and the detection of the server's crash. */
 #define SKH_CRASH_SUSPECTS_LOSS_WINDOW_US ((int64_t)5 * 1000000)
 
 typedef struct skh_crash_suspects skh_crash_suspects_t;
 
 skh_crash_suspects_t *skh_crash_suspects_new(void);
-void skh_crash_suspects_free(skh_crash_suspects_t *culprits);
+void skh_crash_suspects_free(skh_crash_suspects_t *suspects);
 
-/** skh_crash_suspects_record_loss() - @content was lost at @server */
-void skh_crash_suspects_record_loss(skh_crash_suspects_t *culprits, uint64_t content,
+/**
+ * skh_crash_suspects_record_loss() - record that a request was lost at @server
+ * @content_hash: hash that identifies the request
+ * @server: id of the server
+ */
+void skh_crash_suspects_record_loss(skh_crash_suspects_t *suspects, uint64_t content_hash,
 				    const char *server, int64_t now_us);
 
-/** typedef skh_crash_suspects_fn - a crash is held against @content, newly */
-typedef void (*skh_crash_suspects_fn)(void *context, uint64_t content, uint64_t crash);
+/** typedef skh_crash_suspects_fn - called when @crash_id is newly counted for @content_hash */
+typedef void (*skh_crash_suspects_fn)(void *context, uint64_t content_hash, uint64_t crash_id);
 
-/** skh_crash_suspects_record_crash() - @server has crashed; @fn, which may be NULL, makes it known */
-void skh_crash_suspects_record_crash(skh_crash_suspects_t *culprits, const char *server,
+/**
+ * skh_crash_suspects_record_crash() - count a crash of @server for the requests lost there
+ * @fn: called for each request with a newly counted crash, to report it to the other
+ *      gateways; may be NULL
+ * @context: first argument of @fn
+ */
+void skh_crash_suspects_record_crash(skh_crash_suspects_t *suspects, const char *server,
 				     int64_t now_us, skh_crash_suspects_fn fn, void *context);
 
-/** skh_crash_suspects_add_remote_crash() - another gateway holds @crash against @content */
-void skh_crash_suspects_add_remote_crash(skh_crash_suspects_t *culprits, uint64_t content,
-					 uint64_t crash, int64_t now_us);
+/** skh_crash_suspects_add_remote_crash() - count a crash that another gateway reported */
+void skh_crash_suspects_add_remote_crash(skh_crash_suspects_t *suspects, uint64_t content_hash,
+					 uint64_t crash_id, int64_t now_us);
 
-/** skh_crash_suspects_clear() - @content was answered */
-void skh_crash_suspects_clear(skh_crash_suspects_t *culprits, uint64_t content);
+/** skh_crash_suspects_clear() - forget the crashes of a request that got a complete response */
+void skh_crash_suspects_clear(skh_crash_suspects_t *suspects, uint64_t content_hash);
 
-bool skh_crash_suspects_is_retry_blocked(const skh_crash_suspects_t *culprits, uint64_t content,
-					 int64_t now_us);
-bool skh_crash_suspects_is_rejected(const skh_crash_suspects_t *culprits, uint64_t content,
+bool skh_crash_suspects_is_retry_blocked(const skh_crash_suspects_t *suspects,
+					 uint64_t content_hash, int64_t now_us);
+bool skh_crash_suspects_is_rejected(const skh_crash_suspects_t *suspects, uint64_t content_hash,
 				    int64_t now_us);
 
 #ifdef __cplusplus
