--- a/src/curve_auth.h
+++ b/src/curve_auth.h
@@ -2,12 +2,15 @@
 #define SKH_CURVE_AUTH_H
 
 /**
- * DOC: Guard
+ * DOC: CURVE authentication
  *
- * Who may connect between the system's own processes: ZeroMQ's CURVE, with the
- * key pair that the settings give to every process. A connection from anybody
- * else is closed before a frame of it is read, so whoever gives a sidecar
- * work or an order is one of ours.
+ * Authenticates connections between the processes of the system with ZeroMQ's CURVE
+ * mechanism and the key pair that the settings give to every process. A connection
+ * with any other key is closed before a frame of it is read, so only processes of the
+ * system can send work or orders to a sidecar.
+ *
+ * Owns the ZAP socket of a context and the thread that serves it. Without keys in the
+ * settings, connections are neither authenticated nor encrypted.
  */
 
 #include "settings.h"
@@ -18,13 +21,17 @@
 
 typedef struct skh_curve_auth skh_curve_auth_t;
 
-/** skh_curve_auth_start() - answer ZeroMQ's questions about peers of @context; NULL without keys */
+/**
+ * skh_curve_auth_start() - start the ZAP handler of @context, a ZeroMQ context
+ *
+ * Return: the handler, to be stopped with skh_curve_auth_stop(); NULL without keys.
+ */
 skh_curve_auth_t *skh_curve_auth_start(void *context, const skh_settings_t *settings);
 
-/** skh_curve_auth_stop() - before the context is terminated; NULL is allowed */
-void skh_curve_auth_stop(skh_curve_auth_t *guard);
+/** skh_curve_auth_stop() - stop and free the handler before its context ends; NULL is allowed */
+void skh_curve_auth_stop(skh_curve_auth_t *auth);
 
-/* Call just before the socket binds or connects; nothing happens without keys. */
+/* Set the keys of a socket before it binds or connects; without keys they do nothing. */
 void skh_curve_auth_set_server(void *socket, const skh_settings_t *settings);
 void skh_curve_auth_set_client(void *socket, const skh_settings_t *settings);
 
