--- a/src/prefix_share.c
+++ b/src/prefix_share.c
@@ -6,68 +6,68 @@
 #include <math.h>
 #include <string.h>
 
-#define BUCKETS	  4096
-#define WINDOW_US (30 * SKH_US_PER_S)
+#define BUCKET_COUNT 4096
+#define WINDOW_US    (30 * SKH_US_PER_S)
 
 typedef struct window {
-	uint16_t count[BUCKETS];
+	uint16_t count[BUCKET_COUNT];
 	uint32_t total;
 } window_t;
 
 struct skh_prefix_share {
-	window_t *now;
-	window_t *before;
-	int64_t ends_at_us; /* of the window under way; 0 before the first request */
+	window_t *current;
+	window_t *previous;
+	int64_t current_end_us; /* end of the current window; 0 before the first request */
 };
 
 skh_prefix_share_t *skh_prefix_share_new(void)
 {
-	skh_prefix_share_t *heat = g_new0(skh_prefix_share_t, 1);
+	skh_prefix_share_t *share = g_new0(skh_prefix_share_t, 1);
 
-	heat->now = g_new0(window_t, 1);
-	heat->before = g_new0(window_t, 1);
-	return heat;
+	share->current = g_new0(window_t, 1);
+	share->previous = g_new0(window_t, 1);
+	return share;
 }
 
-void skh_prefix_share_free(skh_prefix_share_t *heat)
+void skh_prefix_share_free(skh_prefix_share_t *share)
 {
-	g_free(heat->now);
-	g_free(heat->before);
-	g_free(heat);
+	g_free(share->current);
+	g_free(share->previous);
+	g_free(share);
 }
 
-static void turn_over(skh_prefix_share_t *heat, int64_t now_us)
+static void rotate_windows(skh_prefix_share_t *share, int64_t now_us)
 {
-	window_t *oldest = heat->before;
+	window_t *oldest = share->previous;
 
-	if (now_us < heat->ends_at_us)
+	if (now_us < share->current_end_us)
 		return;
-	heat->before = heat->now;
-	heat->now = oldest;
+	share->previous = share->current;
+	share->current = oldest;
 	memset(oldest, 0, sizeof(*oldest));
-	/* After a long silence the window before says nothing, either. */
-	if (now_us >= heat->ends_at_us + WINDOW_US)
-		memset(heat->before, 0, sizeof(*heat->before));
-	heat->ends_at_us = now_us + WINDOW_US;
+	/* After a whole window without requests the previous counts are outdated, too. */
+	if (now_us >= share->current_end_us + WINDOW_US)
+		memset(share->previous, 0, sizeof(*share->previous));
+	share->current_end_us = now_us + WINDOW_US;
 }
 
-/* What of a count is no chance: a prefix seen once or twice is not hot. */
-static double sure_part(uint32_t count)
+/* Reduces a count by what chance explains: a prefix seen once or twice is not frequent. */
+static double subtract_chance(uint32_t count)
 {
 	return MAX((double)count - 1.0 - sqrt((double)count), 0.0);
 }
 
-double skh_prefix_share_record(skh_prefix_share_t *heat, uint64_t prefix_hash, int64_t now_us)
+double skh_prefix_share_record(skh_prefix_share_t *share, uint64_t prefix_hash, int64_t now_us)
 {
-	uint32_t bucket = (uint32_t)(prefix_hash >> 32) % BUCKETS;
+	uint32_t bucket = (uint32_t)(prefix_hash >> 32) % BUCKET_COUNT;
 	uint32_t count;
 	uint32_t total;
 
-	turn_over(heat, now_us);
-	if (heat->now->count[bucket] < UINT16_MAX)
-		heat->now->count[bucket]++;
-	heat->now->total++;
-	total = heat->now->total + heat->before->total;
-	count = (uint32_t)heat->now->count[bucket] + heat->before->count[bucket];
-	return sure_part(count) / (double)total;
+	rotate_windows(share, now_us);
+	if (share->current->count[bucket] < UINT16_MAX)
+		share->current->count[bucket]++;
+	share->current->total++;
+	total = share->current->total + share->previous->total;
+	count = (uint32_t)share->current->count[bucket] + share->previous->count[bucket];
+	return subtract_chance(count) / (double)total;
 }
--- a/src/prefix_share.h
+++ b/src/prefix_share.h
@@ -2,10 +2,13 @@
 #define SKH_PREFIX_SHARE_H
 
 /**
- * DOC: Heat of prefixes
+ * DOC: Share of a prompt prefix
  *
- * How large a part of an entry's requests shares a prompt prefix, counted over
- * two windows in a table of fixed size. Pure state; the owner serialises calls.
+ * Estimates the share of an entry's recent requests that have the same prompt prefix,
+ * counted over two windows in a table of fixed size.
+ *
+ * Owns the table and does no I/O. The caller serialises calls. Times are in
+ * microseconds on the monotonic clock.
  */
 
 #include <stdint.h>
@@ -17,13 +20,15 @@
 typedef struct skh_prefix_share skh_prefix_share_t;
 
 skh_prefix_share_t *skh_prefix_share_new(void);
-void skh_prefix_share_free(skh_prefix_share_t *heat);
+void skh_prefix_share_free(skh_prefix_share_t *share);
 
 /**
- * skh_prefix_share_record() - one request with @prefix_hash arrived
- * Return: the part of recent requests that share its prefix, 0 to 1.
+ * skh_prefix_share_record() - count a request with @prefix_hash
+ *
+ * Return: share of recent requests with the same prefix, 0 to 1; 0 for a prefix that
+ * was seen only once or twice.
  */
-double skh_prefix_share_record(skh_prefix_share_t *heat, uint64_t prefix_hash, int64_t now_us);
+double skh_prefix_share_record(skh_prefix_share_t *share, uint64_t prefix_hash, int64_t now_us);
 
 #ifdef __cplusplus
 }
