--- a/src/claim_backlog.h
+++ b/src/claim_backlog.h
@@ -6,7 +6,7 @@
  *
  * Holds claim records whose write failed because the key-value service was
  * unavailable: releases of claims and results of runs. Each is written later, but
- * only over a record of the same owner. If it were dropped, requests with its key
+ * only over a record of the same owner. Without the write, requests with the same key
  * would get "outcome unknown" until the key expires.
  *
  * Owns copies of the records and does no I/O: the caller executes the writes,
--- a/src/curve_auth.h
+++ b/src/curve_auth.h
@@ -31,8 +31,10 @@
 /** skh_curve_auth_stop() - stop and free the handler before its context ends; NULL is allowed */
 void skh_curve_auth_stop(skh_curve_auth_t *auth);
 
-/* Set the keys of a socket before it binds or connects; without keys they do nothing. */
+/** skh_curve_auth_set_server() - set the keys of a socket before it binds; no-op without keys */
 void skh_curve_auth_set_server(void *socket, const skh_settings_t *settings);
+
+/** skh_curve_auth_set_client() - set the keys of a socket before it connects; no-op without keys */
 void skh_curve_auth_set_client(void *socket, const skh_settings_t *settings);
 
 #ifdef __cplusplus
--- a/src/fair_queue.c
+++ b/src/fair_queue.c
@@ -40,7 +40,7 @@
 	return account->waiting > 0 || account->running > 0;
 }
 
-/* All changes of the counts go through this function, which keeps active_weight in step. */
+/* The only function that changes the counts, so that active_weight follows every change. */
 static void update_counts(skh_fair_queue_t *queue, account_t *account, int32_t waiting,
 			  int32_t running)
 {
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -57,8 +57,8 @@
 /**
  * skh_fair_queue_evict_idle() - free the counters of idle customers
  *
- * Keeps an idle customer that has used more than its share so far; without its
- * counters it would be treated as a new customer and get that service twice.
+ * The counters of an idle customer that has used more than its share are kept, so that its
+ * next requests are delayed in return.
  */
 void skh_fair_queue_evict_idle(skh_fair_queue_t *queue);
 
--- a/src/group_breaker.c
+++ b/src/group_breaker.c
@@ -2,13 +2,13 @@
 
 /* Interval of probes while tripped; a group forms again within a few hundred ms. */
 #define PROBE_INTERVAL_US ((int64_t)150000)
-/* One or two rejections may come from a single rank; after this time the group counts as down. */
+/* One or two rejections may come from a single rank; a group that rejects for longer is down. */
 #define DOWN_AFTER_US ((int64_t)500000)
 
 /* Time from a rank's start to passes: 0.6 s to form, and other ranks may start slightly later. */
 #define FORMING_TIME_US ((int64_t)1500000)
 
-/* A pass takes 0.05 to 0.2 s, so a group without any stream event for this time runs none. */
+/* A pass takes 0.05 to 0.2 s; a group without a stream event for longer runs no passes. */
 #define SILENCE_TIMEOUT_US ((int64_t)400000)
 /* Events of open streams show that the group runs again; probes are for groups without streams. */
 #define SILENT_PROBE_INTERVAL_US ((int64_t)1000000)
--- a/src/peer_selection.c
+++ b/src/peer_selection.c
@@ -5,18 +5,18 @@
 #include <glib.h>
 #include <string.h>
 
-/* A peer selected by affinity may exceed the mean load this far, as in bounded-load hashing. */
+/* Load limit of a peer selected by affinity: mean * ratio + slack, as in bounded-load hashing. */
 #define AFFINITY_MAX_LOAD_RATIO 1.25
 #define AFFINITY_LOAD_SLACK	0.10
 /* Peers considered for a prefix, in rank order; the most frequent prefixes need many. */
 #define MAX_AFFINITY_PEERS 16
 /* A prefix with a share s of the requests is spread over s * PREFIX_SPREAD_RATIO of the peers. */
 #define PREFIX_SPREAD_RATIO 3.0
-/* After this many rejected attempts a free slot is worth more than a cached prefix. */
+/* Attempts that use affinity; after as many rejections a free slot outweighs a cached prefix. */
 #define MAX_AFFINITY_TRIES 5
-/* A peer that reported itself full longer ago than this may have room again. */
+/* Validity of a report that a peer is full; afterwards the peer may have room again. */
 #define FULL_REPORT_VALID_US (100 * SKH_US_PER_MS)
-/* A peer in a remote failure domain is selected when the local one is more loaded by this much. */
+/* Extra load at which a local peer loses to one in a remote failure domain. */
 #define REMOTE_DOMAIN_PENALTY 0.25
 #define RETRY_DELAY_US	      (1 * SKH_US_PER_S)
 
@@ -164,7 +164,7 @@
 	g_autoptr(GPtrArray) list = find_candidates(peers, query, false, now_us);
 	skh_peer_t *affinity_peer;
 
-	/* If all candidates are avoided, use them nevertheless: ejection must leave a server. */
+	/* Outlier ejection must not leave an empty pool, so avoided peers are the fallback. */
 	if (list->len == 0) {
 		g_ptr_array_unref(list);
 		list = find_candidates(peers, query, true, now_us);
--- a/src/retry_budget.c
+++ b/src/retry_budget.c
@@ -6,11 +6,11 @@
 
 /* Retries that each request adds to the budget. */
 #define TOKENS_PER_REQUEST 0.08
-/* Added over time, so that a customer with few requests can retry lost ones, too. */
+/* Retries added over time, so that customers with few requests can retry lost requests, too. */
 #define TOKENS_PER_S 0.1
 /*
- * Capacity of a bucket: this many tokens per open request, and at least the minimum. If
- * this ratio of the open requests is lost at the same time, all of them are retried at once.
+ * Capacity of a full bucket: tokens per open request, and at least a minimum. A loss of the
+ * same ratio of the open requests can be retried at once.
  */
 #define MAX_TOKENS_PER_OPEN_REQUEST 0.1
 #define MIN_BUCKET_CAPACITY	    20.0
--- a/src/retry_policy.h
+++ b/src/retry_policy.h
@@ -44,14 +44,14 @@
 typedef enum skh_retry_decision {
 	SKH_RETRY_DECISION_RETRY,	     /* send the request to another server */
 	SKH_RETRY_DECISION_FORWARD_RESPONSE, /* forward the server's own response */
-	SKH_RETRY_DECISION_REJECT,	     /* report that it has not run and will not run */
-	SKH_RETRY_DECISION_OUTCOME_UNKNOWN,  /* report that it may have run */
+	SKH_RETRY_DECISION_REJECT,	     /* report that the request did not and will not run */
+	SKH_RETRY_DECISION_OUTCOME_UNKNOWN,  /* report that the request may have run */
 	SKH_RETRY_DECISION_CLOSE_STREAM	     /* close the stream without an end marker */
 } skh_retry_decision_t;
 
 /* Maximum number of attempts per request, including those that the server rejects. */
 #define SKH_RETRY_POLICY_MAX_SENDS 4
-/* Minimum time left before the deadline for a retry; a server can't respond in less. */
+/* Minimum time left before the deadline for a retry; no server can respond in less time. */
 #define SKH_RETRY_POLICY_MIN_TIME_US ((int64_t)60000)
 
 /** skh_retry_policy_decide() - decide what follows the failed attempt described by @view */
--- a/src/server_selection.c
+++ b/src/server_selection.c
@@ -5,9 +5,10 @@
 /* Requests added to the load of a server with a failure ratio of 1; proportional below. */
 #define FAILURE_PENALTY_REQUESTS 12.0
 /*
- * Fixed cost of a rank's step: a step without generating requests takes about as long as
- * this many requests add to it. A rank with n requests and a slowdown of 2 is therefore as
- * loaded as a normal rank with 2 * (n + IDLE_STEP_REQUESTS) - IDLE_STEP_REQUESTS requests.
+ * Fixed cost of a rank's step, in requests: a step without generating requests takes about
+ * as long as IDLE_STEP_REQUESTS generating requests add to a step. A rank with n requests and
+ * a slowdown of 2 is therefore as loaded as a normal rank with
+ * 2 * (n + IDLE_STEP_REQUESTS) - IDLE_STEP_REQUESTS requests.
  */
 #define IDLE_STEP_REQUESTS 4.0
 /* Assumed response time of a server without completed requests; typical servers are close. */
