--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -7,94 +7,96 @@
 #include <math.h>
 #include <string.h>
 
-#define MAX_CHANGE 4 /* loads that are decided together */
-/* Of the ways to move an expert away this many are looked at closely. */
-#define MAX_DEPARTURES 4
+#define MAX_CHANGE_COPIES 4 /* in one change; a swap through a scratch slot takes four */
+/* Only for this many of the best relocations are all refills of the vacated slot evaluated. */
+#define MAX_RELOCATIONS 4
 
-/* One or two slots that get another expert; the second only after the first. */
+/* Copies that are accepted or rejected together; they are executed in the order listed. */
 typedef struct change {
-	uint32_t rank[MAX_CHANGE];
-	uint32_t slot[MAX_CHANGE];
-	uint32_t expert[MAX_CHANGE];
-	uint32_t n;
-	double norm; /* of the state after it */
+	uint32_t rank[MAX_CHANGE_COPIES];
+	uint32_t slot[MAX_CHANGE_COPIES];
+	uint32_t expert[MAX_CHANGE_COPIES];
+	uint32_t n_copies;
+	double norm; /* norm of the layout after the change */
 } change_t;
 
-/* For each number of loads, less one: the change that lowers the norm most. */
-typedef struct choice {
-	change_t best[MAX_CHANGE];
-	const uint32_t *left; /* loads that each rank may still get */
-} choice_t;
+/* The change with the lowest norm for each number of copies; best[i] takes i + 1 copies. */
+typedef struct candidates {
+	change_t best[MAX_CHANGE_COPIES];
+	const uint32_t *copies_left; /* copies that each rank may still get */
+} candidates_t;
 
-double skh_rebalance_skew(const skh_rebalance_input_t *view, const uint32_t *placement,
+double skh_rebalance_skew(const skh_rebalance_input_t *input, const uint32_t *placement,
 			  const double *shares)
 {
-	g_autofree uint64_t *hosts = g_new(uint64_t, view->n_experts);
+	g_autofree uint64_t *hosts = g_new(uint64_t, input->n_experts);
 
-	skh_layout_find_hosts(view, placement, hosts);
-	return skh_layout_compute_skew(view, hosts, shares);
+	skh_layout_find_hosts(input, placement, hosts);
+	return skh_layout_compute_skew(input, hosts, shares);
 }
 
-static bool has_room(const change_t *change, const uint32_t *left)
+static bool is_within_rank_limits(const change_t *change, const uint32_t *copies_left)
 {
-	for (uint32_t i = 0; i < change->n; i++) {
-		uint32_t loads = 0;
+	for (uint32_t i = 0; i < change->n_copies; i++) {
+		uint32_t copies = 0;
 
-		for (uint32_t j = 0; j < change->n; j++)
-			loads += change->rank[j] == change->rank[i];
-		if (loads > left[change->rank[i]])
+		for (uint32_t j = 0; j < change->n_copies; j++)
+			copies += change->rank[j] == change->rank[i];
+		if (copies > copies_left[change->rank[i]])
 			return false;
 	}
 	return true;
 }
 
-static void choose_better(const change_t *change, choice_t *choice)
+static void keep_if_better(const change_t *change, candidates_t *candidates)
 {
-	change_t *best = &choice->best[change->n - 1];
+	change_t *best = &candidates->best[change->n_copies - 1];
 
-	if (change->norm < best->norm && has_room(change, choice->left))
+	if (change->norm < best->norm && is_within_rank_limits(change, candidates->copies_left))
 		*best = *change;
 }
 
-static void consider(const skh_layout_t *state, const skh_layout_trial_t *trial, change_t *change,
-		     choice_t *choice)
+static void evaluate_change(const skh_layout_t *state, const skh_layout_trial_t *trial,
+			    change_t *change, candidates_t *candidates)
 {
 	change->norm = skh_layout_trial_norm(state, trial);
-	choose_better(change, choice);
+	keep_if_better(change, candidates);
 }
 
-/* What @change brings in the objective, its cost taken off, for each of its loads. */
-static double gain_per_load(const skh_layout_t *state, const change_t *change)
+/* Improvement of the objective by @change, net of the copy cost, divided by its copies. */
+static double compute_gain_per_copy(const skh_layout_t *state, const change_t *change)
 {
-	const skh_rebalance_input_t *view = state->view;
-	double relief;
+	const skh_rebalance_input_t *input = state->view;
+	double skew_reduction;
 
-	if (change->n == 0)
+	if (change->n_copies == 0)
 		return 0.0;
-	relief = skh_layout_smooth_skew(state, state->norm) -
-		 skh_layout_smooth_skew(state, change->norm);
-	return view->skew_weight * relief / (double)change->n - view->cost_weight * view->copy_cost;
+	skew_reduction = skh_layout_smooth_skew(state, state->norm) -
+			 skh_layout_smooth_skew(state, change->norm);
+	return input->skew_weight * skew_reduction / (double)change->n_copies -
+	       input->cost_weight * input->copy_cost;
 }
 
-static const change_t *choose(const skh_layout_t *state, const choice_t *choice, uint32_t room)
+static const change_t *select_change(const skh_layout_t *state, const candidates_t *candidates,
+				     uint32_t max_copies)
 {
-	const change_t *chosen = NULL;
-	double most = 0.0;
+	const change_t *selected = NULL;
+	double max_gain = 0.0;
 
-	for (uint32_t i = 0; i < MIN(MAX_CHANGE, room); i++) {
-		double gain = gain_per_load(state, &choice->best[i]);
+	for (uint32_t i = 0; i < MIN(MAX_CHANGE_COPIES, max_copies); i++) {
+		double gain = compute_gain_per_copy(state, &candidates->best[i]);
 
-		if (gain > most) {
-			most = gain;
-			chosen = &choice->best[i];
+		if (gain > max_gain) {
+			max_gain = gain;
+			selected = &candidates->best[i];
 		}
 	}
-	return chosen;
+	return selected;
 }
 
-/* @expert replaces a replica of an expert that stands elsewhere, too. */
-static void consider_replace(const skh_layout_t *state, uint32_t rank, uint32_t slot,
-			     uint32_t expert, choice_t *choice)
+/* Evaluates a copy of @expert to a slot whose present expert has another replica. */
+static void evaluate_replacement(const skh_layout_t *state, uint32_t rank, uint32_t slot,
+				 uint32_t expert, candidates_t *candidates)
 {
 	uint32_t dropped = skh_layout_expert_at(state, rank, slot);
 	uint64_t dropped_after = state->hosts[dropped] & ~(1ULL << rank);
@@ -109,56 +111,60 @@
 		return;
 	skh_layout_trial_change_hosts(state, &trial, dropped, state->hosts[dropped], dropped_after);
 	skh_layout_trial_change_hosts(state, &trial, expert, state->hosts[expert], expert_after);
-	consider(state, &trial, &change, choice);
+	evaluate_change(state, &trial, &change, candidates);
 }
 
-/* A slot whose expert also stands elsewhere, for a while taken by @expert. */
-static bool find_scratch(const skh_layout_t *state, uint32_t expert, uint64_t not_on,
-			 uint32_t *rank, uint32_t *slot)
+/* Finds a redundant slot that can hold @expert for a while; @excluded_ranks is a bit mask. */
+static bool find_scratch_slot(const skh_layout_t *state, uint32_t expert, uint64_t excluded_ranks,
+			      uint32_t *rank, uint32_t *slot)
 {
 	for (uint32_t i = 0; i < state->n_redundant_slots; i++) {
 		*rank = state->redundant_slots[i].rank;
 		*slot = state->redundant_slots[i].slot;
-		if ((not_on >> *rank & 1) == 0 && !skh_layout_has_expert(state, *rank, expert))
+		if ((excluded_ranks >> *rank & 1) == 0 &&
+		    !skh_layout_has_expert(state, *rank, expert))
 			return true;
 	}
 	return false;
 }
 
-static void add_load_step(change_t *change, uint32_t rank, uint32_t slot, uint32_t expert)
+static void add_copy_step(change_t *change, uint32_t rank, uint32_t slot, uint32_t expert)
 {
-	change->rank[change->n] = rank;
-	change->slot[change->n] = slot;
-	change->expert[change->n] = expert;
-	change->n++;
+	change->rank[change->n_copies] = rank;
+	change->slot[change->n_copies] = slot;
+	change->expert[change->n_copies] = expert;
+	change->n_copies++;
 }
 
-/* Whether @rank, given @work more, would be fuller than @full is now. */
-static bool would_be_fuller(const skh_layout_t *state, uint32_t rank, double work, uint32_t full)
+/* True if @added_work would raise the load of @rank to the present load of @bottleneck or above. */
+static bool would_reach_load(const skh_layout_t *state, uint32_t rank, double added_work,
+			     uint32_t bottleneck)
 {
-	return state->load[rank] + work * state->inverse_speed[rank] >= state->load[full];
+	return state->load[rank] + added_work * state->inverse_speed[rank] >=
+	       state->load[bottleneck];
 }
 
 /*
- * Two experts change places. If one stands elsewhere, too, its slot is
- * overwritten first: two loads. Else one waits in a scratch slot: four.
+ * Evaluates a swap of two experts between ranks. A swap takes two copies if one
+ * of the experts has another replica, as its slot can be overwritten first.
+ * Otherwise one expert is held in a scratch slot, which takes four copies.
  */
-static void consider_swap(const skh_layout_t *state, uint32_t rank_a, uint32_t slot_a,
-			  uint32_t rank_b, uint32_t slot_b, choice_t *choice)
+static void evaluate_swap(const skh_layout_t *state, uint32_t rank_a, uint32_t slot_a,
+			  uint32_t rank_b, uint32_t slot_b, candidates_t *candidates)
 {
 	uint32_t a = skh_layout_expert_at(state, rank_a, slot_a);
 	uint32_t b = skh_layout_expert_at(state, rank_b, slot_b);
-	uint64_t both = 1ULL << rank_a | 1ULL << rank_b;
-	change_t change = { .n = 0 };
+	uint64_t both_ranks = 1ULL << rank_a | 1ULL << rank_b;
+	change_t change = { .n_copies = 0 };
 	skh_layout_trial_t trial = { .changed_ranks = 0 };
 
 	if (skh_layout_replica_work(state, b) >= skh_layout_replica_work(state, a) ||
-	    would_be_fuller(state, rank_b,
-			    skh_layout_replica_work(state, a) - skh_layout_replica_work(state, b),
-			    rank_a) ||
+	    would_reach_load(state, rank_b,
+			     skh_layout_replica_work(state, a) - skh_layout_replica_work(state, b),
+			     rank_a) ||
 	    skh_layout_has_expert(state, rank_b, a) || skh_layout_has_expert(state, rank_a, b) ||
-	    !skh_layout_keeps_spread(state, a, state->hosts[a] ^ both) ||
-	    !skh_layout_keeps_spread(state, b, state->hosts[b] ^ both))
+	    !skh_layout_keeps_spread(state, a, state->hosts[a] ^ both_ranks) ||
+	    !skh_layout_keeps_spread(state, b, state->hosts[b] ^ both_ranks))
 		return;
 	skh_layout_trial_add_load(state, &trial, rank_a,
 				  skh_layout_replica_work(state, b) -
@@ -170,221 +176,231 @@
 	if (skh_layout_replica_count(state, b) >= 2 || skh_layout_replica_count(state, a) >= 2) {
 		bool b_first = skh_layout_replica_count(state, b) >= 2;
 
-		add_load_step(&change, b_first ? rank_b : rank_a, b_first ? slot_b : slot_a,
+		add_copy_step(&change, b_first ? rank_b : rank_a, b_first ? slot_b : slot_a,
 			      b_first ? a : b);
-		add_load_step(&change, b_first ? rank_a : rank_b, b_first ? slot_a : slot_b,
+		add_copy_step(&change, b_first ? rank_a : rank_b, b_first ? slot_a : slot_b,
 			      b_first ? b : a);
 	} else {
 		uint32_t rank = 0;
 		uint32_t slot = 0;
 
-		if (change.norm >= choice->best[MAX_CHANGE - 1].norm ||
-		    !find_scratch(state, a, both, &rank, &slot))
+		if (change.norm >= candidates->best[MAX_CHANGE_COPIES - 1].norm ||
+		    !find_scratch_slot(state, a, both_ranks, &rank, &slot))
 			return;
-		add_load_step(&change, rank, slot, a);
-		add_load_step(&change, rank_a, slot_a, b);
-		add_load_step(&change, rank_b, slot_b, a);
-		add_load_step(&change, rank, slot, skh_layout_expert_at(state, rank, slot));
+		add_copy_step(&change, rank, slot, a);
+		add_copy_step(&change, rank_a, slot_a, b);
+		add_copy_step(&change, rank_b, slot_b, a);
+		add_copy_step(&change, rank, slot, skh_layout_expert_at(state, rank, slot));
 	}
-	choose_better(&change, choice);
+	keep_if_better(&change, candidates);
 }
 
-/* An expert leaves a slot of the fullest rank for that of a replica elsewhere. */
-typedef struct departure {
-	uint32_t slot; /* that it leaves */
-	uint32_t rank; /* to which it goes ... */
-	uint32_t into; /* ... and the slot there */
-	double norm;   /* with the slot that it leaves empty */
-} departure_t;
-
-/* Loads after @departure; false when the expert can't go there. */
-static bool try_departure(const skh_layout_t *state, uint32_t full, const departure_t *departure,
-			  skh_layout_trial_t *trial)
+/* Moves an expert from a slot of the most loaded rank to a redundant slot of another rank. */
+typedef struct relocation {
+	uint32_t from_slot; /* slot of the most loaded rank */
+	uint32_t to_rank;
+	uint32_t to_slot;
+	double norm; /* norm of the layout with @from_slot empty */
+} relocation_t;
+
+/* Sets @trial to the loads after @relocation; false if the expert can't move there. */
+static bool try_relocation(const skh_layout_t *state, uint32_t bottleneck,
+			   const relocation_t *relocation, skh_layout_trial_t *trial)
 {
-	uint32_t expert = skh_layout_expert_at(state, full, departure->slot);
-	uint32_t dropped = skh_layout_expert_at(state, departure->rank, departure->into);
-	uint64_t dropped_after = state->hosts[dropped] & ~(1ULL << departure->rank);
-	uint64_t both = 1ULL << full | 1ULL << departure->rank;
+	uint32_t expert = skh_layout_expert_at(state, bottleneck, relocation->from_slot);
+	uint32_t dropped = skh_layout_expert_at(state, relocation->to_rank, relocation->to_slot);
+	uint64_t dropped_after = state->hosts[dropped] & ~(1ULL << relocation->to_rank);
+	uint64_t both_ranks = 1ULL << bottleneck | 1ULL << relocation->to_rank;
 
 	if (skh_layout_replica_count(state, dropped) < 2 ||
-	    skh_layout_has_expert(state, departure->rank, expert) ||
-	    !skh_layout_keeps_spread(state, expert, state->hosts[expert] ^ both))
+	    skh_layout_has_expert(state, relocation->to_rank, expert) ||
+	    !skh_layout_keeps_spread(state, expert, state->hosts[expert] ^ both_ranks))
 		return false;
 	trial->changed_ranks = 0;
 	skh_layout_trial_change_hosts(state, trial, expert, state->hosts[expert],
-				      state->hosts[expert] ^ both);
+				      state->hosts[expert] ^ both_ranks);
 	skh_layout_trial_change_hosts(state, trial, dropped, state->hosts[dropped], dropped_after);
 	return true;
 }
 
-/* The best departures, best first. */
-static uint32_t find_departures(const skh_layout_t *state, uint32_t full,
-				departure_t best[MAX_DEPARTURES])
+/* Returns the number of relocations found; @best is sorted by norm, lowest first. */
+static uint32_t find_relocations(const skh_layout_t *state, uint32_t bottleneck,
+				 relocation_t best[MAX_RELOCATIONS])
 {
 	uint32_t n = 0;
 
 	for (uint32_t i = 0; i < state->view->n_slots * state->n_redundant_slots; i++) {
-		skh_rank_slot_t spare = state->redundant_slots[i % state->n_redundant_slots];
-		departure_t departure = { i / state->n_redundant_slots, spare.rank, spare.slot,
-					  0.0 };
-		uint32_t place;
+		skh_rank_slot_t redundant = state->redundant_slots[i % state->n_redundant_slots];
+		relocation_t relocation = { i / state->n_redundant_slots, redundant.rank,
+					    redundant.slot, 0.0 };
+		uint32_t position;
 		skh_layout_trial_t trial;
 
-		if (departure.rank == full || !try_departure(state, full, &departure, &trial))
+		if (relocation.to_rank == bottleneck ||
+		    !try_relocation(state, bottleneck, &relocation, &trial))
 			continue;
-		departure.norm = skh_layout_trial_norm(state, &trial);
-		if (n == MAX_DEPARTURES && departure.norm >= best[n - 1].norm)
+		relocation.norm = skh_layout_trial_norm(state, &trial);
+		if (n == MAX_RELOCATIONS && relocation.norm >= best[n - 1].norm)
 			continue;
-		n = MIN(n + 1, MAX_DEPARTURES);
-		for (place = n - 1; place > 0 && best[place - 1].norm > departure.norm; place--)
-			best[place] = best[place - 1];
-		best[place] = departure;
+		n = MIN(n + 1, MAX_RELOCATIONS);
+		for (position = n - 1; position > 0 && best[position - 1].norm > relocation.norm;
+		     position--)
+			best[position] = best[position - 1];
+		best[position] = relocation;
 	}
 	return n;
 }
 
-/* The slot that the expert left gets one more replica of another expert. */
-static void consider_arrival(const skh_layout_t *state, uint32_t full, const departure_t *departure,
-			     uint32_t arrival, choice_t *choice)
+/* Evaluates @relocation with an additional replica of @incoming in the vacated slot. */
+static void evaluate_refill(const skh_layout_t *state, uint32_t bottleneck,
+			    const relocation_t *relocation, uint32_t incoming,
+			    candidates_t *candidates)
 {
-	uint32_t expert = skh_layout_expert_at(state, full, departure->slot);
-	uint64_t before = state->hosts[arrival];
-	change_t change = { .n = 0 };
+	uint32_t expert = skh_layout_expert_at(state, bottleneck, relocation->from_slot);
+	uint64_t before = state->hosts[incoming];
+	change_t change = { .n_copies = 0 };
 	skh_layout_trial_t trial;
 
-	if (arrival == skh_layout_expert_at(state, departure->rank, departure->into))
-		before &= ~(1ULL << departure->rank);
-	if (arrival == expert || skh_layout_has_expert(state, full, arrival) ||
-	    !skh_layout_keeps_spread(state, arrival, before | 1ULL << full))
+	if (incoming == skh_layout_expert_at(state, relocation->to_rank, relocation->to_slot))
+		before &= ~(1ULL << relocation->to_rank);
+	if (incoming == expert || skh_layout_has_expert(state, bottleneck, incoming) ||
+	    !skh_layout_keeps_spread(state, incoming, before | 1ULL << bottleneck))
 		return;
-	(void)try_departure(state, full, departure, &trial);
-	skh_layout_trial_change_hosts(state, &trial, arrival, before, before | 1ULL << full);
-	add_load_step(&change, departure->rank, departure->into, expert);
-	add_load_step(&change, full, departure->slot, arrival);
-	consider(state, &trial, &change, choice);
+	(void)try_relocation(state, bottleneck, relocation, &trial);
+	skh_layout_trial_change_hosts(state, &trial, incoming, before, before | 1ULL << bottleneck);
+	add_copy_step(&change, relocation->to_rank, relocation->to_slot, expert);
+	add_copy_step(&change, bottleneck, relocation->from_slot, incoming);
+	evaluate_change(state, &trial, &change, candidates);
 }
 
-/* It gets a lighter expert from a third rank, which takes the replica that was dropped. */
-static void consider_rotation(const skh_layout_t *state, uint32_t full,
-			      const departure_t *departure, uint32_t third, uint32_t slot,
-			      choice_t *choice)
+/*
+ * Evaluates @relocation with a lighter expert of rank @third in the vacated slot.
+ * The expert that the relocation overwrites moves to @slot of @third.
+ */
+static void evaluate_rotation(const skh_layout_t *state, uint32_t bottleneck,
+			      const relocation_t *relocation, uint32_t third, uint32_t slot,
+			      candidates_t *candidates)
 {
-	uint32_t expert = skh_layout_expert_at(state, full, departure->slot);
-	uint32_t dropped = skh_layout_expert_at(state, departure->rank, departure->into);
-	uint32_t arrival = skh_layout_expert_at(state, third, slot);
-	uint64_t arrival_after = state->hosts[arrival] ^ (1ULL << third | 1ULL << full);
-	uint64_t dropped_after = state->hosts[dropped] ^ (1ULL << departure->rank | 1ULL << third);
-	change_t change = { .n = 0 };
+	uint32_t expert = skh_layout_expert_at(state, bottleneck, relocation->from_slot);
+	uint32_t dropped = skh_layout_expert_at(state, relocation->to_rank, relocation->to_slot);
+	uint32_t incoming = skh_layout_expert_at(state, third, slot);
+	uint64_t incoming_after = state->hosts[incoming] ^ (1ULL << third | 1ULL << bottleneck);
+	uint64_t dropped_after =
+		state->hosts[dropped] ^ (1ULL << relocation->to_rank | 1ULL << third);
+	change_t change = { .n_copies = 0 };
 	skh_layout_trial_t trial = { .changed_ranks = 0 };
 
-	if (arrival == dropped || skh_layout_has_expert(state, full, arrival) ||
+	if (incoming == dropped || skh_layout_has_expert(state, bottleneck, incoming) ||
 	    skh_layout_has_expert(state, third, dropped) ||
-	    skh_layout_replica_work(state, arrival) >= skh_layout_replica_work(state, expert) ||
-	    would_be_fuller(state, third,
-			    skh_layout_replica_work(state, dropped) -
-				    skh_layout_replica_work(state, arrival),
-			    full) ||
-	    would_be_fuller(state, departure->rank,
-			    skh_layout_replica_work(state, expert) -
-				    skh_layout_replica_work(state, dropped),
-			    full) ||
-	    !skh_layout_keeps_spread(state, arrival, arrival_after) ||
+	    skh_layout_replica_work(state, incoming) >= skh_layout_replica_work(state, expert) ||
+	    would_reach_load(state, third,
+			     skh_layout_replica_work(state, dropped) -
+				     skh_layout_replica_work(state, incoming),
+			     bottleneck) ||
+	    would_reach_load(state, relocation->to_rank,
+			     skh_layout_replica_work(state, expert) -
+				     skh_layout_replica_work(state, dropped),
+			     bottleneck) ||
+	    !skh_layout_keeps_spread(state, incoming, incoming_after) ||
 	    !skh_layout_keeps_spread(state, dropped, dropped_after))
 		return;
-	skh_layout_trial_add_load(state, &trial, full,
-				  skh_layout_replica_work(state, arrival) -
+	skh_layout_trial_add_load(state, &trial, bottleneck,
+				  skh_layout_replica_work(state, incoming) -
 					  skh_layout_replica_work(state, expert));
-	skh_layout_trial_add_load(state, &trial, departure->rank,
+	skh_layout_trial_add_load(state, &trial, relocation->to_rank,
 				  skh_layout_replica_work(state, expert) -
 					  skh_layout_replica_work(state, dropped));
 	skh_layout_trial_add_load(state, &trial, third,
 				  skh_layout_replica_work(state, dropped) -
-					  skh_layout_replica_work(state, arrival));
-	add_load_step(&change, departure->rank, departure->into, expert);
-	add_load_step(&change, full, departure->slot, arrival);
-	add_load_step(&change, third, slot, dropped);
-	consider(state, &trial, &change, choice);
+					  skh_layout_replica_work(state, incoming));
+	add_copy_step(&change, relocation->to_rank, relocation->to_slot, expert);
+	add_copy_step(&change, bottleneck, relocation->from_slot, incoming);
+	add_copy_step(&change, third, slot, dropped);
+	evaluate_change(state, &trial, &change, candidates);
 }
 
-static void consider_arrivals(const skh_layout_t *state, uint32_t full,
-			      const departure_t *departure, choice_t *choice)
+static void evaluate_refills(const skh_layout_t *state, uint32_t bottleneck,
+			     const relocation_t *relocation, candidates_t *candidates)
 {
-	const skh_rebalance_input_t *view = state->view;
+	const skh_rebalance_input_t *input = state->view;
 
-	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
-		if (rank == full || !skh_layout_is_rank_live(view, rank))
+	for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
+		if (rank == bottleneck || !skh_layout_is_rank_live(input, rank))
 			continue;
-		for (uint32_t slot = 0; slot < view->n_slots; slot++) {
-			uint32_t arrival = skh_layout_expert_at(state, rank, slot);
+		for (uint32_t slot = 0; slot < input->n_slots; slot++) {
+			uint32_t incoming = skh_layout_expert_at(state, rank, slot);
 
-			/* One more replica is worth having where ranks are full. */
+			/* An additional replica helps only if it relieves a rank with much load. */
 			if (state->load[rank] * state->inverse_mean_load > 1.0 ||
-			    rank == departure->rank)
-				consider_arrival(state, full, departure, arrival, choice);
-			if (rank != departure->rank)
-				consider_rotation(state, full, departure, rank, slot, choice);
+			    rank == relocation->to_rank)
+				evaluate_refill(state, bottleneck, relocation, incoming,
+						candidates);
+			if (rank != relocation->to_rank)
+				evaluate_rotation(state, bottleneck, relocation, rank, slot,
+						  candidates);
 		}
 	}
 }
 
-static void consider_moves(const skh_layout_t *state, uint32_t full, choice_t *choice)
+static void evaluate_relocations(const skh_layout_t *state, uint32_t bottleneck,
+				 candidates_t *candidates)
 {
-	departure_t departures[MAX_DEPARTURES];
-	uint32_t n = find_departures(state, full, departures);
+	relocation_t relocations[MAX_RELOCATIONS];
+	uint32_t n = find_relocations(state, bottleneck, relocations);
 
 	for (uint32_t i = 0; i < n; i++)
-		consider_arrivals(state, full, &departures[i], choice);
+		evaluate_refills(state, bottleneck, &relocations[i], candidates);
 }
 
-/* What relieves @full: another replica of one of its experts, or a swap. */
-static void consider_rank(const skh_layout_t *state, uint32_t full, choice_t *choice)
+/* Evaluates all changes that lower the load of @bottleneck: replicas, swaps and relocations. */
+static void evaluate_rank(const skh_layout_t *state, uint32_t bottleneck, candidates_t *candidates)
 {
-	const skh_rebalance_input_t *view = state->view;
+	const skh_rebalance_input_t *input = state->view;
 
-	for (uint32_t mine = 0; mine < view->n_slots; mine++) {
-		uint32_t expert = skh_layout_expert_at(state, full, mine);
+	for (uint32_t own_slot = 0; own_slot < input->n_slots; own_slot++) {
+		uint32_t expert = skh_layout_expert_at(state, bottleneck, own_slot);
 
-		for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
-			if (rank == full || !skh_layout_is_rank_live(view, rank))
+		for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
+			if (rank == bottleneck || !skh_layout_is_rank_live(input, rank))
 				continue;
-			for (uint32_t slot = 0; slot < view->n_slots; slot++)
-				consider_swap(state, full, mine, rank, slot, choice);
+			for (uint32_t slot = 0; slot < input->n_slots; slot++)
+				evaluate_swap(state, bottleneck, own_slot, rank, slot, candidates);
 		}
 		for (uint32_t i = 0; i < state->n_redundant_slots; i++)
-			consider_replace(state, state->redundant_slots[i].rank,
-					 state->redundant_slots[i].slot, expert, choice);
-		/* Dropping a replica here for a colder expert may relieve it, too. */
+			evaluate_replacement(state, state->redundant_slots[i].rank,
+					     state->redundant_slots[i].slot, expert, candidates);
+		/* Overwriting a replica on @bottleneck with a colder expert lowers its load, too. */
 		for (uint32_t other = 0;
-		     skh_layout_replica_count(state, expert) >= 2 && other < view->n_experts;
+		     skh_layout_replica_count(state, expert) >= 2 && other < input->n_experts;
 		     other++)
-			consider_replace(state, full, mine, other, choice);
+			evaluate_replacement(state, bottleneck, own_slot, other, candidates);
 	}
-	consider_moves(state, full, choice);
+	evaluate_relocations(state, bottleneck, candidates);
 }
 
-static uint32_t fullest(const skh_layout_t *state)
+static uint32_t find_bottleneck(const skh_layout_t *state)
 {
-	uint32_t best = 0;
+	uint32_t bottleneck = 0;
 
 	for (uint32_t rank = 1; rank < state->view->n_ranks; rank++) {
-		if (state->load[rank] > state->load[best])
-			best = rank;
+		if (state->load[rank] > state->load[bottleneck])
+			bottleneck = rank;
 	}
-	return best;
+	return bottleneck;
 }
 
-/* Loads that may still be added. */
-static uint32_t room_in(const skh_layout_t *state, const skh_rebalance_plan_t *plan)
+/* Copies that can still be added to @plan. */
+static uint32_t compute_copies_left(const skh_layout_t *state, const skh_rebalance_plan_t *plan)
 {
 	return MIN(state->view->max_copies, SKH_REBALANCE_MAX_COPIES) - plan->n_copies;
 }
 
-static bool plan_load(skh_layout_t *state, skh_rebalance_plan_t *plan, uint32_t rank, uint32_t slot,
+static bool plan_copy(skh_layout_t *state, skh_rebalance_plan_t *plan, uint32_t rank, uint32_t slot,
 		      uint32_t expert)
 {
 	uint32_t *cell = &state->placement[rank * state->view->n_slots + slot];
 
-	if (room_in(state, plan) == 0 || state->copies_left[rank] == 0)
+	if (compute_copies_left(state, plan) == 0 || state->copies_left[rank] == 0)
 		return false;
 	state->copies_left[rank]--;
 	plan->copies[plan->n_copies++] = (skh_expert_copy_t){ rank, slot, expert, 0 };
@@ -394,79 +410,83 @@
 	return true;
 }
 
-/* The slot whose replica is missed least, on the emptiest rank that has one. */
-static bool find_spare(const skh_layout_t *state, uint32_t expert, uint32_t *rank, uint32_t *slot)
+/*
+ * Finds the redundant slot with the lowest cost: the load of its rank plus the
+ * whole share of the expert in the slot at the speed of that rank.
+ */
+static bool find_cheapest_redundant_slot(const skh_layout_t *state, uint32_t expert, uint32_t *rank,
+					 uint32_t *slot)
 {
-	const skh_rebalance_input_t *view = state->view;
-	double least = INFINITY;
+	const skh_rebalance_input_t *input = state->view;
+	double min_cost = INFINITY;
 
 	for (uint32_t i = 0; i < state->n_redundant_slots; i++) {
-		skh_rank_slot_t spare = state->redundant_slots[i];
-		uint32_t held = skh_layout_expert_at(state, spare.rank, spare.slot);
-		double cost = state->load[spare.rank] +
-			      view->forecast_shares[held] * state->inverse_speed[spare.rank];
+		skh_rank_slot_t redundant = state->redundant_slots[i];
+		uint32_t held = skh_layout_expert_at(state, redundant.rank, redundant.slot);
+		double cost = state->load[redundant.rank] +
+			      input->forecast_shares[held] * state->inverse_speed[redundant.rank];
 
-		if (skh_layout_has_expert(state, spare.rank, expert) || cost >= least ||
-		    state->copies_left[spare.rank] == 0)
+		if (skh_layout_has_expert(state, redundant.rank, expert) || cost >= min_cost ||
+		    state->copies_left[redundant.rank] == 0)
 			continue;
-		least = cost;
-		*rank = spare.rank;
-		*slot = spare.slot;
+		min_cost = cost;
+		*rank = redundant.rank;
+		*slot = redundant.slot;
 	}
-	return least < INFINITY;
+	return min_cost < INFINITY;
 }
 
-/* Experts whose last rank is lost come back first, the most used before others. */
-static bool restore_missing(skh_layout_t *state, skh_rebalance_plan_t *plan)
+/* Plans a copy for each expert without a live replica, in descending order of forecast share. */
+static bool restore_missing_experts(skh_layout_t *state, skh_rebalance_plan_t *plan)
 {
-	const skh_rebalance_input_t *view = state->view;
+	const skh_rebalance_input_t *input = state->view;
 
 	for (;;) {
-		uint32_t missing = view->n_experts;
+		uint32_t missing = input->n_experts;
 		uint32_t rank = 0;
 		uint32_t slot = 0;
 
-		for (uint32_t expert = 0; expert < view->n_experts; expert++) {
+		for (uint32_t expert = 0; expert < input->n_experts; expert++) {
 			if (state->hosts[expert] == 0 &&
-			    (missing == view->n_experts ||
-			     view->forecast_shares[expert] > view->forecast_shares[missing]))
+			    (missing == input->n_experts ||
+			     input->forecast_shares[expert] > input->forecast_shares[missing]))
 				missing = expert;
 		}
-		if (missing == view->n_experts)
+		if (missing == input->n_experts)
 			return true;
-		if (!find_spare(state, missing, &rank, &slot) ||
-		    !plan_load(state, plan, rank, slot, missing))
+		if (!find_cheapest_redundant_slot(state, missing, &rank, &slot) ||
+		    !plan_copy(state, plan, rank, slot, missing))
 			return false;
 		skh_layout_recompute(state);
 	}
 }
 
-static void apply(skh_layout_t *state, skh_rebalance_plan_t *plan, const change_t *change)
+static void apply_change(skh_layout_t *state, skh_rebalance_plan_t *plan, const change_t *change)
 {
-	for (uint32_t i = 0; i < change->n; i++)
-		(void)plan_load(state, plan, change->rank[i], change->slot[i], change->expert[i]);
+	for (uint32_t i = 0; i < change->n_copies; i++)
+		(void)plan_copy(state, plan, change->rank[i], change->slot[i], change->expert[i]);
 	skh_layout_recompute(state);
 }
 
-/* Takes the best change as long as one is worth its cost. */
-static void descend(skh_layout_t *state, skh_rebalance_plan_t *plan)
+/* Applies the best change until none is worth its cost. */
+static void run_descent(skh_layout_t *state, skh_rebalance_plan_t *plan)
 {
 	for (;;) {
-		choice_t choice = { .left = state->copies_left };
+		candidates_t candidates = { .copies_left = state->copies_left };
 		const change_t *best;
-		uint32_t full = fullest(state);
+		uint32_t bottleneck = find_bottleneck(state);
 
-		for (uint32_t i = 0; i < MAX_CHANGE; i++)
-			choice.best[i].norm = state->norm;
-		consider_rank(state, full, &choice);
-		best = choose(state, &choice, room_in(state, plan));
+		for (uint32_t i = 0; i < MAX_CHANGE_COPIES; i++)
+			candidates.best[i].norm = state->norm;
+		evaluate_rank(state, bottleneck, &candidates);
+		best = select_change(state, &candidates, compute_copies_left(state, plan));
 		if (!best)
 			return;
-		apply(state, plan, best);
+		apply_change(state, plan, best);
 	}
 }
 
-static uint32_t heaviest_on(const skh_layout_t *state, uint32_t rank)
+static uint32_t find_heaviest_expert(const skh_layout_t *state, uint32_t rank)
 {
 	uint32_t heaviest = skh_layout_expert_at(state, rank, 0);
 
@@ -478,75 +498,84 @@
 	return heaviest;
 }
 
-/* One more replica of @expert where it does least harm, though that be a new fullest rank. */
-static bool find_kick(const skh_layout_t *state, uint32_t expert, change_t *kick)
+/*
+ * Finds the additional replica of @expert that gives the lowest norm, even if it
+ * raises the norm or makes another rank the most loaded one.
+ */
+static bool find_perturbation(const skh_layout_t *state, uint32_t expert, change_t *perturbation)
 {
-	choice_t choice = { .best = { { .norm = INFINITY } }, .left = state->copies_left };
+	candidates_t candidates = { .best = { { .norm = INFINITY } },
+				    .copies_left = state->copies_left };
 
 	for (uint32_t i = 0; i < state->n_redundant_slots; i++)
-		consider_replace(state, state->redundant_slots[i].rank,
-				 state->redundant_slots[i].slot, expert, &choice);
-	*kick = choice.best[0];
-	return kick->n > 0;
+		evaluate_replacement(state, state->redundant_slots[i].rank,
+				     state->redundant_slots[i].slot, expert, &candidates);
+	*perturbation = candidates.best[0];
+	return perturbation->n_copies > 0;
 }
 
 /*
- * An expert that fills a rank alone can only be relieved by one more replica,
- * and that needs a rank which is emptied first: worse before it gets better.
+ * Escapes a local minimum: adds a replica of the heaviest expert, runs the descent
+ * from there and keeps the result if the objective improves, net of copy costs.
+ *
+ * An expert that fills a rank alone can only be relieved by another replica on a
+ * rank that is emptied first. The intermediate layout is worse, so the descent
+ * alone doesn't reach it.
  */
-static bool kick(skh_layout_t **state, skh_rebalance_plan_t *plan)
+static bool try_perturbation(skh_layout_t **state, skh_rebalance_plan_t *plan)
 {
-	const skh_rebalance_input_t *view = (*state)->view;
-	skh_rebalance_plan_t *trial_plan;
-	skh_layout_t *trial;
+	const skh_rebalance_input_t *input = (*state)->view;
+	skh_rebalance_plan_t *candidate_plan;
+	skh_layout_t *candidate;
 	change_t change;
 	double gain;
 
-	if (room_in(*state, plan) == 0 ||
-	    !find_kick(*state, heaviest_on(*state, fullest(*state)), &change))
+	if (compute_copies_left(*state, plan) == 0 ||
+	    !find_perturbation(*state, find_heaviest_expert(*state, find_bottleneck(*state)),
+			       &change))
 		return false;
-	trial = skh_layout_copy(*state);
-	trial_plan = g_memdup2(plan, sizeof(*plan));
-	apply(trial, trial_plan, &change);
-	descend(trial, trial_plan);
-	gain = view->skew_weight * (skh_layout_smooth_skew(*state, (*state)->norm) -
-				    skh_layout_smooth_skew(trial, trial->norm)) -
-	       view->cost_weight * view->copy_cost *
-		       (double)(trial_plan->n_copies - plan->n_copies);
+	candidate = skh_layout_copy(*state);
+	candidate_plan = g_memdup2(plan, sizeof(*plan));
+	apply_change(candidate, candidate_plan, &change);
+	run_descent(candidate, candidate_plan);
+	gain = input->skew_weight * (skh_layout_smooth_skew(*state, (*state)->norm) -
+				     skh_layout_smooth_skew(candidate, candidate->norm)) -
+	       input->cost_weight * input->copy_cost *
+		       (double)(candidate_plan->n_copies - plan->n_copies);
 	if (gain > 0.0) {
-		skh_layout_t *old = *state;
+		skh_layout_t *previous = *state;
 
-		*state = trial;
-		*plan = *trial_plan;
-		trial = old;
+		*state = candidate;
+		*plan = *candidate_plan;
+		candidate = previous;
 	}
-	skh_layout_free(trial);
-	g_free(trial_plan);
+	skh_layout_free(candidate);
+	g_free(candidate_plan);
 	return gain > 0.0;
 }
 
-static void improve(skh_layout_t **state, skh_rebalance_plan_t *plan)
+static void run_local_search(skh_layout_t **state, skh_rebalance_plan_t *plan)
 {
 	do
-		descend(*state, plan);
-	while (kick(state, plan));
+		run_descent(*state, plan);
+	while (try_perturbation(state, plan));
 }
 
-bool skh_rebalance_compute_plan(const skh_rebalance_input_t *view, skh_rebalance_plan_t *plan)
+bool skh_rebalance_compute_plan(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan)
 {
 	skh_layout_t *state;
 	bool complete;
 
 	memset(plan, 0, sizeof(*plan));
-	if (view->n_ranks > SKH_REBALANCE_MAX_RANKS)
+	if (input->n_ranks > SKH_REBALANCE_MAX_RANKS)
 		return false;
-	state = skh_layout_new(view);
-	plan->skew_before = skh_layout_compute_skew(view, state->hosts, view->forecast_shares);
-	complete = state->n_live_ranks > 0 && restore_missing(state, plan);
+	state = skh_layout_new(input);
+	plan->skew_before = skh_layout_compute_skew(input, state->hosts, input->forecast_shares);
+	complete = state->n_live_ranks > 0 && restore_missing_experts(state, plan);
 	if (complete)
-		improve(&state, plan);
-	plan->skew_after = skh_layout_compute_skew(view, state->hosts, view->forecast_shares);
-	skh_stages_assign(view, plan);
+		run_local_search(&state, plan);
+	plan->skew_after = skh_layout_compute_skew(input, state->hosts, input->forecast_shares);
+	skh_stages_assign(input, plan);
 	skh_layout_free(state);
 	return complete;
 }
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -2,17 +2,21 @@
 #define SKH_REBALANCE_H
 
 /**
- * DOC: Expert balance
+ * DOC: Expert rebalancing
  *
- * Decides which experts of a layer stand on which ranks of a group. Pure
- * functions of a view: the placement in force, a forecast of each expert's
- * share of tokens, the ranks' speeds and failure domains, and the weights of
- * the manifest. In lock-step the fullest rank sets the pace, so skew is the
- * greatest rank load over the mean; a move costs the loading of weights.
+ * Plans which experts of a layer are copied to which ranks of a group, by a local
+ * search over placements. The functions are pure and keep no state between calls,
+ * so they run on any thread.
  *
- * A plan is a list of loads in stages. Within a stage a slot is overwritten
- * only while its expert stands somewhere else, so that no rank needs memory
- * for two maps and no expert is ever missing.
+ * The input is the current placement, a forecast of each expert's share of tokens,
+ * the speeds and failure domains of the ranks, and weights from the manifest. In
+ * lock-step, a pass takes as long as its most loaded rank, so the search minimizes
+ * skew: the greatest rank load over the mean. Each copy of an expert's weights
+ * counts as a cost.
+ *
+ * A plan lists copies in stages. Within a stage, a slot is overwritten only if
+ * its expert has another replica, so that no rank needs memory for two maps and
+ * every expert stays available.
  */
 
 #include <stdbool.h>
@@ -27,16 +31,19 @@
 #define SKH_REBALANCE_MAX_COPIES 512
 
 /**
- * struct skh_rebalance_input - what one decision is made from; all borrowed
- * @placement: expert in each slot, [@n_ranks][@n_slots]; a rank holds an expert once
- * @forecast: expected share of tokens, [@n_experts], any unit
- * @speed: of each rank, [@n_ranks]; 1 is nominal, 0 is lost
- * @domain: failure domain of each rank, [@n_ranks]
- * @skew_weight: of step-time skew in the objective
- * @cost_weight: of moves in the objective
- * @load_cost: step time that one load costs, as a part of a mean step
- * @max_loads: the weight store's rate over one interval
- * @rank_loads: most loads of each rank, [@n_ranks]; NULL for no limit
+ * struct skh_rebalance_input - input of one plan; all arrays are borrowed
+ * @n_ranks: ranks of the group, at most SKH_REBALANCE_MAX_RANKS
+ * @n_slots: slots of each rank
+ * @n_experts: experts of the layer
+ * @placement: expert in each slot, [@n_ranks][@n_slots]; a rank holds an expert at most once
+ * @forecast_shares: expected share of tokens of each expert, [@n_experts], any unit
+ * @speed: speed of each rank, [@n_ranks]; 1 is nominal, 0 marks a lost rank
+ * @failure_domain: failure domain of each rank, [@n_ranks]
+ * @skew_weight: weight of step-time skew in the objective
+ * @cost_weight: weight of copies in the objective
+ * @copy_cost: step time that one copy costs, as a fraction of the mean step time
+ * @max_copies: maximum copies of the plan: what the weight store delivers in one interval
+ * @max_rank_copies: maximum copies to each rank, [@n_ranks]; NULL for no limit
  */
 typedef struct skh_rebalance_input {
 	uint32_t n_ranks;
@@ -53,7 +60,7 @@
 	const uint32_t *max_rank_copies;
 } skh_rebalance_input_t;
 
-/** struct skh_expert_copy - load @expert into a slot during @stage, counted from 0 */
+/** struct skh_expert_copy - copy of the weights of @expert to a slot in @stage, counted from 0 */
 typedef struct skh_expert_copy {
 	uint32_t rank;
 	uint32_t slot;
@@ -61,7 +68,13 @@
 	uint32_t stage;
 } skh_expert_copy_t;
 
-/** struct skh_rebalance_plan - the decision; moves in the order of their stages */
+/**
+ * struct skh_rebalance_plan - copies to execute, sorted by stage
+ * @n_copies: copies planned; 0 if none is worth its cost
+ * @n_stages: stages that the copies take
+ * @skew_before: skew of the current placement
+ * @skew_after: skew after all copies
+ */
 typedef struct skh_rebalance_plan {
 	skh_expert_copy_t copies[SKH_REBALANCE_MAX_COPIES];
 	uint32_t n_copies;
@@ -71,14 +84,26 @@
 } skh_rebalance_plan_t;
 
 /**
- * skh_rebalance_compute_plan() - the moves that are worth their cost; often none
- * Return: false when some expert stands on no rank that is left and none of
- * the loads allowed can mend that.
+ * skh_rebalance_compute_plan() - plan the copies that are worth their cost
+ * @input: borrowed for the call
+ * @plan: overwritten
+ *
+ * Experts without a live replica are restored first, regardless of cost. Often no
+ * copy is worth its cost and the plan is empty.
+ *
+ * Return: false if there are too many ranks, or if an expert has no live replica
+ * and the copies allowed can't restore it; @plan then has only the experts that
+ * could be restored.
  */
-bool skh_rebalance_compute_plan(const skh_rebalance_input_t *view, skh_rebalance_plan_t *plan);
+bool skh_rebalance_compute_plan(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan);
 
-/** skh_rebalance_skew() - greatest rank load over the mean, for a placement and shares */
-double skh_rebalance_skew(const skh_rebalance_input_t *view, const uint32_t *placement,
+/**
+ * skh_rebalance_skew() - compute the greatest rank load over the mean
+ * @input: gives the sizes and the speeds of the ranks
+ * @placement: placement to rate, in place of the one in @input
+ * @shares: share of tokens of each expert, [n_experts], any unit
+ */
+double skh_rebalance_skew(const skh_rebalance_input_t *input, const uint32_t *placement,
 			  const double *shares);
 
 #ifdef __cplusplus
