--- a/src/greedy_rebalance.c
+++ b/src/greedy_rebalance.c
@@ -5,319 +5,344 @@
 #include <string.h>
 
 struct skh_greedy_rebalance {
-	skh_greedy_rebalance_input_t view;
+	skh_greedy_rebalance_input_t input;
 	uint32_t *map;
-	uint32_t *loads_left;				     /* of all sets */
-	uint32_t spare_left[SKH_GREEDY_REBALANCE_MAX_RANKS]; /* of this one */
-	uint32_t *count;				     /* ranks that hold an expert */
-	double *highest;				     /* load of the fullest of them */
+	uint32_t *copies_left; /* per rank over all sets, borrowed */
+	uint32_t set_copies_left[SKH_GREEDY_REBALANCE_MAX_RANKS]; /* per rank in this set */
+	uint32_t *replica_count; /* per expert: ranks that hold it */
+	double *max_holder_load; /* per expert: greatest load among those ranks */
 	double load[SKH_GREEDY_REBALANCE_MAX_RANKS];
-	/* These follow from the above: */
-	uint32_t full;	  /* the fullest rank */
-	double roughness; /* sum of squares: falls when any full rank is relieved */
+	/* Derived from @load by update_totals(): */
+	uint32_t bottleneck; /* the most loaded rank */
+	double load_squares; /* sum of squared loads: also falls if one of several bottlenecks is relieved */
 };
 
-/* One load: @expert comes to @place of @rank; what stood there leaves. */
-typedef struct step {
+/* Copy of @expert to @slot of @rank; the replica in the slot is overwritten. */
+typedef struct copy {
 	uint32_t rank;
-	uint32_t place;
+	uint32_t slot;
 	uint32_t expert;
-	double height; /* greatest load among the ranks that it touches */
-} step_t;
+	double max_load; /* estimated greatest load among the ranks affected */
+} copy_t;
 
-static double pace_of(const skh_greedy_rebalance_t *state, uint32_t rank)
+static double get_slowdown(const skh_greedy_rebalance_t *state, uint32_t rank)
 {
-	return state->view.slowdowns ? state->view.slowdowns[rank] : 1.0;
+	return state->input.slowdowns ? state->input.slowdowns[rank] : 1.0;
 }
 
-static uint32_t *row_of(const skh_greedy_rebalance_t *state, uint32_t rank)
+static uint32_t *get_slots(const skh_greedy_rebalance_t *state, uint32_t rank)
 {
-	return state->map + (size_t)rank * state->view.n_slots;
+	return state->map + (size_t)rank * state->input.n_slots;
 }
 
-static double part_of(const skh_greedy_rebalance_t *state, uint32_t expert)
+static double compute_replica_share(const skh_greedy_rebalance_t *state, uint32_t expert)
 {
-	return state->view.shares[expert] / (double)MAX(state->count[expert], 1);
+	return state->input.shares[expert] / (double)MAX(state->replica_count[expert], 1);
 }
 
-static bool holds(const skh_greedy_rebalance_t *state, uint32_t rank, uint32_t expert)
+static bool has_expert(const skh_greedy_rebalance_t *state, uint32_t rank, uint32_t expert)
 {
-	const uint32_t *row = row_of(state, rank);
+	const uint32_t *slots = get_slots(state, rank);
 
-	for (uint32_t i = 0; i < state->view.n_slots; i++) {
-		if (row[i] == expert + 1)
+	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+		if (slots[i] == expert + 1)
 			return true;
 	}
 	return false;
 }
 
-static void count_holders(skh_greedy_rebalance_t *state)
+static void count_replicas(skh_greedy_rebalance_t *state)
 {
-	uint32_t n = state->view.n_ranks * state->view.n_slots;
+	uint32_t n = state->input.n_ranks * state->input.n_slots;
 
-	memset(state->count, 0, sizeof(uint32_t) * state->view.n_experts);
+	memset(state->replica_count, 0, sizeof(uint32_t) * state->input.n_experts);
 	for (uint32_t i = 0; i < n; i++) {
 		if (state->map[i] > 0)
-			state->count[state->map[i] - 1]++;
+			state->replica_count[state->map[i] - 1]++;
 	}
 }
 
-static void find_highest(skh_greedy_rebalance_t *state)
+static void update_max_holder_loads(skh_greedy_rebalance_t *state)
 {
-	memset(state->highest, 0, sizeof(double) * state->view.n_experts);
-	for (uint32_t rank = 0; rank < state->view.n_ranks; rank++) {
-		const uint32_t *row = row_of(state, rank);
-
-		for (uint32_t i = 0; i < state->view.n_slots; i++) {
-			if (row[i] > 0 && state->load[rank] > state->highest[row[i] - 1])
-				state->highest[row[i] - 1] = state->load[rank];
+	memset(state->max_holder_load, 0, sizeof(double) * state->input.n_experts);
+	for (uint32_t rank = 0; rank < state->input.n_ranks; rank++) {
+		const uint32_t *slots = get_slots(state, rank);
+
+		for (uint32_t i = 0; i < state->input.n_slots; i++) {
+			if (slots[i] > 0 &&
+			    state->load[rank] > state->max_holder_load[slots[i] - 1])
+				state->max_holder_load[slots[i] - 1] = state->load[rank];
 		}
 	}
 }
 
-static void sum_up(skh_greedy_rebalance_t *state)
+static void update_totals(skh_greedy_rebalance_t *state)
 {
-	state->full = 0;
-	state->roughness = 0.0;
-	for (uint32_t rank = 0; rank < state->view.n_ranks; rank++) {
-		state->roughness += state->load[rank] * state->load[rank];
-		if (state->load[rank] > state->load[state->full])
-			state->full = rank;
+	state->bottleneck = 0;
+	state->load_squares = 0.0;
+	for (uint32_t rank = 0; rank < state->input.n_ranks; rank++) {
+		state->load_squares += state->load[rank] * state->load[rank];
+		if (state->load[rank] > state->load[state->bottleneck])
+			state->bottleneck = rank;
 	}
 }
 
-static void find_loads(skh_greedy_rebalance_t *state)
+static void compute_loads(skh_greedy_rebalance_t *state)
 {
-	count_holders(state);
-	for (uint32_t rank = 0; rank < state->view.n_ranks; rank++) {
-		const uint32_t *row = row_of(state, rank);
+	count_replicas(state);
+	for (uint32_t rank = 0; rank < state->input.n_ranks; rank++) {
+		const uint32_t *slots = get_slots(state, rank);
 
 		state->load[rank] = 0.0;
-		for (uint32_t i = 0; i < state->view.n_slots; i++) {
-			if (row[i] > 0)
-				state->load[rank] += part_of(state, row[i] - 1);
+		for (uint32_t i = 0; i < state->input.n_slots; i++) {
+			if (slots[i] > 0)
+				state->load[rank] += compute_replica_share(state, slots[i] - 1);
 		}
-		state->load[rank] *= pace_of(state, rank);
+		state->load[rank] *= get_slowdown(state, rank);
 	}
-	sum_up(state);
-	find_highest(state);
+	update_totals(state);
+	update_max_holder_loads(state);
 }
 
-/* One more holder of @expert, @rank, or one less: the others' parts change. */
-static void change_holders(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t expert, bool more)
+/*
+ * Updates the loads for a replica of @expert added to or removed from @rank. The
+ * shares of its other replicas change, too, as tokens are spread evenly over them.
+ */
+static void update_replica(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t expert,
+			   bool is_added)
 {
-	double before = part_of(state, expert);
+	double before = compute_replica_share(state, expert);
 	double change;
 
-	state->count[expert] = more ? state->count[expert] + 1 : state->count[expert] - 1;
-	change = part_of(state, expert) - before;
-	for (uint32_t i = 0; i < state->view.n_ranks; i++) {
-		if (i != rank && holds(state, i, expert))
-			state->load[i] += change * pace_of(state, i);
+	state->replica_count[expert] =
+		is_added ? state->replica_count[expert] + 1 : state->replica_count[expert] - 1;
+	change = compute_replica_share(state, expert) - before;
+	for (uint32_t i = 0; i < state->input.n_ranks; i++) {
+		if (i != rank && has_expert(state, i, expert))
+			state->load[i] += change * get_slowdown(state, i);
 	}
-	state->load[rank] += (more ? before + change : -before) * pace_of(state, rank);
+	state->load[rank] += (is_added ? before + change : -before) * get_slowdown(state, rank);
 }
 
-/* Puts @content into @cell of @rank. */
-static void put(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *cell, uint32_t content)
+/* Sets @slot of @rank to @content (expert + 1, or 0 for empty) and updates the loads. */
+static void set_slot(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *slot, uint32_t content)
 {
-	uint32_t before = *cell;
+	uint32_t before = *slot;
 
-	*cell = 0;
+	*slot = 0;
 	if (before > 0)
-		change_holders(state, rank, before - 1, false);
-	*cell = content;
+		update_replica(state, rank, before - 1, false);
+	*slot = content;
 	if (content > 0)
-		change_holders(state, rank, content - 1, true);
-	sum_up(state);
+		update_replica(state, rank, content - 1, true);
+	update_totals(state);
 }
 
-/* What its other holders get when a replica of @expert goes. */
-static double burden_of(const skh_greedy_rebalance_t *state, uint32_t expert)
+/* Additional share of each remaining replica after one replica of @expert is removed. */
+static double compute_share_increase(const skh_greedy_rebalance_t *state, uint32_t expert)
 {
-	uint32_t count = state->count[expert];
+	uint32_t count = state->replica_count[expert];
 
-	return state->view.shares[expert] / (double)(count - 1) - part_of(state, expert);
+	return state->input.shares[expert] / (double)(count - 1) -
+	       compute_replica_share(state, expert);
 }
 
 /*
- * The place of @rank that is given up most easily; false when there is none.
- * @others: load of the fullest rank that gets what the place gave up
+ * Finds the slot of @rank whose replacement loads other ranks least: an empty slot,
+ * or one whose expert has another replica. Returns false if there is none.
+ * @freed_share: share of tokens that the rank no longer serves
+ * @others_load: estimated greatest load of the ranks that serve this share instead
  */
-static bool find_place(const skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *place,
-		       double *freed, double *others)
+static bool find_slot_to_overwrite(const skh_greedy_rebalance_t *state, uint32_t rank,
+				   uint32_t *slot, double *freed_share, double *others_load)
 {
-	const uint32_t *row = row_of(state, rank);
+	const uint32_t *slots = get_slots(state, rank);
 	bool found = false;
 
-	for (uint32_t i = 0; i < state->view.n_slots; i++) {
+	for (uint32_t i = 0; i < state->input.n_slots; i++) {
 		double load;
 
-		if (row[i] == 0) {
-			*place = i;
-			*freed = 0.0;
-			*others = 0.0;
+		if (slots[i] == 0) {
+			*slot = i;
+			*freed_share = 0.0;
+			*others_load = 0.0;
 			return true;
 		}
-		if (state->count[row[i] - 1] < 2)
+		if (state->replica_count[slots[i] - 1] < 2)
 			continue;
-		load = state->highest[row[i] - 1] + burden_of(state, row[i] - 1);
-		if (found && load >= *others)
+		load = state->max_holder_load[slots[i] - 1] +
+		       compute_share_increase(state, slots[i] - 1);
+		if (found && load >= *others_load)
 			continue;
 		found = true;
-		*others = load;
-		*place = i;
-		*freed = part_of(state, row[i] - 1);
+		*others_load = load;
+		*slot = i;
+		*freed_share = compute_replica_share(state, slots[i] - 1);
 	}
 	return found;
 }
 
-/* Where one more replica of @expert weighs least. */
-static bool find_step(const skh_greedy_rebalance_t *state, uint32_t expert, step_t *best)
+/* Finds the copy of @expert with the lowest estimated load; false if no rank can take one. */
+static bool find_best_copy(const skh_greedy_rebalance_t *state, uint32_t expert, copy_t *best)
 {
-	double part = state->view.shares[expert] / (double)(state->count[expert] + 1);
+	double new_share = state->input.shares[expert] / (double)(state->replica_count[expert] + 1);
 	bool found = false;
 
-	for (uint32_t rank = 0; rank < state->view.n_ranks; rank++) {
-		step_t step = { .rank = rank, .expert = expert };
-		double freed = 0.0;
-		double others = 0.0;
+	for (uint32_t rank = 0; rank < state->input.n_ranks; rank++) {
+		copy_t copy = { .rank = rank, .expert = expert };
+		double freed_share = 0.0;
+		double others_load = 0.0;
 
-		if (state->loads_left[rank] == 0 || state->spare_left[rank] == 0 ||
-		    holds(state, rank, expert) ||
-		    !find_place(state, rank, &step.place, &freed, &others))
+		if (state->copies_left[rank] == 0 || state->set_copies_left[rank] == 0 ||
+		    has_expert(state, rank, expert) ||
+		    !find_slot_to_overwrite(state, rank, &copy.slot, &freed_share, &others_load))
 			continue;
-		step.height =
-			MAX(state->load[rank] + (part - freed) * pace_of(state, rank), others);
-		if (found && step.height >= best->height)
+		copy.max_load = MAX(state->load[rank] +
+					    (new_share - freed_share) * get_slowdown(state, rank),
+				    others_load);
+		if (found && copy.max_load >= best->max_load)
 			continue;
-		*best = step;
+		*best = copy;
 		found = true;
 	}
 	return found;
 }
 
-static uint32_t heaviest_on(const skh_greedy_rebalance_t *state, uint32_t rank, double below)
+/* Finds the expert with the greatest replica share below @share_limit; n_experts if none. */
+static uint32_t find_heaviest_expert(const skh_greedy_rebalance_t *state, uint32_t rank,
+				     double share_limit)
 {
-	const uint32_t *row = row_of(state, rank);
-	uint32_t heaviest = state->view.n_experts;
+	const uint32_t *slots = get_slots(state, rank);
+	uint32_t heaviest = state->input.n_experts;
 
-	for (uint32_t i = 0; i < state->view.n_slots; i++) {
-		if (row[i] == 0 || part_of(state, row[i] - 1) >= below)
+	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+		if (slots[i] == 0 || compute_replica_share(state, slots[i] - 1) >= share_limit)
 			continue;
-		if (heaviest == state->view.n_experts ||
-		    part_of(state, row[i] - 1) > part_of(state, heaviest))
-			heaviest = row[i] - 1;
+		if (heaviest == state->input.n_experts ||
+		    compute_replica_share(state, slots[i] - 1) >
+			    compute_replica_share(state, heaviest))
+			heaviest = slots[i] - 1;
 	}
 	return heaviest;
 }
 
-static double height(const skh_greedy_rebalance_t *state)
+static double get_max_load(const skh_greedy_rebalance_t *state)
 {
-	return state->load[state->full];
+	return state->load[state->bottleneck];
 }
 
-/* Puts @content into @cell if that is for the better. */
-static bool try_content(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *cell,
-			uint32_t content)
+/*
+ * Sets @slot to @content if the greatest load falls by the minimum gain, or if it
+ * stays and the sum of squares falls: with several equally loaded ranks, relieving
+ * one of them does not lower the greatest load yet.
+ */
+static bool try_slot_content(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *slot,
+			     uint32_t content)
 {
-	uint32_t before = *cell;
-	double height_before = height(state);
-	double rough_before = state->roughness;
-	double least = state->view.min_gain / (double)state->view.n_ranks;
-
-	put(state, rank, cell, content);
-	if (height(state) < height_before - least ||
-	    (height(state) <= height_before && state->roughness < rough_before - least * least)) {
-		find_highest(state);
+	uint32_t before = *slot;
+	double load_before = get_max_load(state);
+	double squares_before = state->load_squares;
+	double min_reduction = state->input.min_gain / (double)state->input.n_ranks;
+
+	set_slot(state, rank, slot, content);
+	if (get_max_load(state) < load_before - min_reduction ||
+	    (get_max_load(state) <= load_before &&
+	     state->load_squares < squares_before - min_reduction * min_reduction)) {
+		update_max_holder_loads(state);
 		return true;
 	}
-	put(state, rank, cell, before);
+	set_slot(state, rank, slot, before);
 	return false;
 }
 
-static bool try_step(skh_greedy_rebalance_t *state, const step_t *step)
+static bool try_copy(skh_greedy_rebalance_t *state, const copy_t *copy)
 {
-	if (!try_content(state, step->rank, row_of(state, step->rank) + step->place,
-			 step->expert + 1))
+	if (!try_slot_content(state, copy->rank, get_slots(state, copy->rank) + copy->slot,
+			      copy->expert + 1))
 		return false;
-	state->loads_left[step->rank]--;
-	state->spare_left[step->rank]--;
+	state->copies_left[copy->rank]--;
+	state->set_copies_left[copy->rank]--;
 	return true;
 }
 
-/* A replica on the fullest rank is given up: its other holders take its part. */
-static bool give_up(skh_greedy_rebalance_t *state, uint32_t full)
+/*
+ * Drops a replica of the most loaded rank, so that its other replicas take its share.
+ * The estimate leaves out ranks loaded as much as @bottleneck; try_slot_content()
+ * rejects the drop if the greatest load rises.
+ */
+static bool try_drop_replica(skh_greedy_rebalance_t *state, uint32_t bottleneck)
 {
-	uint32_t *row = row_of(state, full);
-	double best_height = state->load[full];
-	uint32_t best = state->view.n_slots;
+	uint32_t *slots = get_slots(state, bottleneck);
+	double best_load = state->load[bottleneck];
+	uint32_t best = state->input.n_slots;
 
-	for (uint32_t i = 0; i < state->view.n_slots; i++) {
-		double left;
-		double others;
+	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+		double own_load;
+		double others_load;
 
-		if (row[i] == 0 || state->count[row[i] - 1] < 2)
+		if (slots[i] == 0 || state->replica_count[slots[i] - 1] < 2)
 			continue;
-		left = state->load[full] - part_of(state, row[i] - 1) * pace_of(state, full);
-		others = state->highest[row[i] - 1] < state->load[full]
-				 ? state->highest[row[i] - 1] + burden_of(state, row[i] - 1)
-				 : 0.0;
-		if (MAX(left, others) < best_height) {
-			best_height = MAX(left, others);
+		own_load = state->load[bottleneck] - compute_replica_share(state, slots[i] - 1) *
+							     get_slowdown(state, bottleneck);
+		others_load = state->max_holder_load[slots[i] - 1] < state->load[bottleneck]
+				      ? state->max_holder_load[slots[i] - 1] +
+						compute_share_increase(state, slots[i] - 1)
+				      : 0.0;
+		if (MAX(own_load, others_load) < best_load) {
+			best_load = MAX(own_load, others_load);
 			best = i;
 		}
 	}
-	return best < state->view.n_slots && try_content(state, full, row + best, 0);
+	return best < state->input.n_slots && try_slot_content(state, bottleneck, slots + best, 0);
 }
 
-/* Relieves the fullest rank: without a load, or by one of its heaviest expert or the next. */
+/* Tries to drop a replica first, as that needs no copy; then copies, heaviest expert first. */
 bool skh_greedy_rebalance_step(skh_greedy_rebalance_t *state)
 {
-	uint32_t full = state->full;
-	double below = 2.0;
+	uint32_t bottleneck = state->bottleneck;
+	double share_limit = 2.0; /* above any share */
 
-	if (give_up(state, full))
+	if (try_drop_replica(state, bottleneck))
 		return true;
-	for (uint32_t i = 0; i < state->view.n_slots; i++) {
-		uint32_t expert = heaviest_on(state, full, below);
-		step_t step;
+	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+		uint32_t expert = find_heaviest_expert(state, bottleneck, share_limit);
+		copy_t copy;
 
-		if (expert == state->view.n_experts)
+		if (expert == state->input.n_experts)
 			return false;
-		if (find_step(state, expert, &step) && step.height < state->load[full] &&
-		    try_step(state, &step))
+		if (find_best_copy(state, expert, &copy) &&
+		    copy.max_load < state->load[bottleneck] && try_copy(state, &copy))
 			return true;
-		below = part_of(state, expert);
+		share_limit = compute_replica_share(state, expert);
 	}
 	return false;
 }
 
-skh_greedy_rebalance_t *skh_greedy_rebalance_new(const skh_greedy_rebalance_input_t *view,
-						 uint32_t *map, uint32_t spare,
-						 uint32_t *loads_left)
+skh_greedy_rebalance_t *skh_greedy_rebalance_new(const skh_greedy_rebalance_input_t *input,
+						 uint32_t *map, uint32_t max_set_copies,
+						 uint32_t *copies_left)
 {
-	skh_greedy_rebalance_t *relief = g_new0(skh_greedy_rebalance_t, 1);
-
-	relief->view = *view;
-	relief->map = map;
-	relief->loads_left = loads_left;
-	for (uint32_t rank = 0; rank < view->n_ranks; rank++)
-		relief->spare_left[rank] = spare;
-	relief->count = g_new(uint32_t, view->n_experts);
-	relief->highest = g_new(double, view->n_experts);
-	find_loads(relief);
-	return relief;
+	skh_greedy_rebalance_t *state = g_new0(skh_greedy_rebalance_t, 1);
+
+	state->input = *input;
+	state->map = map;
+	state->copies_left = copies_left;
+	for (uint32_t rank = 0; rank < input->n_ranks; rank++)
+		state->set_copies_left[rank] = max_set_copies;
+	state->replica_count = g_new(uint32_t, input->n_experts);
+	state->max_holder_load = g_new(double, input->n_experts);
+	compute_loads(state);
+	return state;
 }
 
-void skh_greedy_rebalance_free(skh_greedy_rebalance_t *relief)
+void skh_greedy_rebalance_free(skh_greedy_rebalance_t *state)
 {
-	g_free(relief->count);
-	g_free(relief->highest);
-	g_free(relief);
+	g_free(state->replica_count);
+	g_free(state->max_holder_load);
+	g_free(state);
 }
 
-double skh_greedy_rebalance_skew(const skh_greedy_rebalance_t *relief)
+double skh_greedy_rebalance_skew(const skh_greedy_rebalance_t *state)
 {
-	return height(relief) * (double)relief->view.n_ranks;
+	return get_max_load(state) * (double)state->input.n_ranks;
 }
--- a/src/greedy_rebalance.h
+++ b/src/greedy_rebalance.h
@@ -2,17 +2,23 @@
 #define SKH_GREEDY_REBALANCE_H
 
 /**
- * DOC: Quick relief of the fullest ranks
+ * DOC: Greedy rebalancing
  *
- * Pure. Answers a sudden shift of demand: one expert draws a fifth of all
- * tokens and stands on a single rank. Adds replicas of the heaviest experts of
- * the fullest rank where they help most, one load at a time, until nothing more
- * is gained. It looks at far less than rebalance.h and costs a small part of it,
- * so that it fits a group of 63 ranks into a small share of a core.
+ * Reduces the load of the most loaded rank of a group step by step, changing one
+ * slot of the expert map per step. Pure computation on the caller's map; calls on
+ * one object must be serialised, and so must those on objects that share a budget
+ * of copies.
  *
- * And a rank that turns slow, for which all others wait: its work counts as many
- * times as it takes longer, so that its experts come to stand elsewhere. A replica
- * is given up without a load where the other ranks can bear its part.
+ * It is meant for a sudden shift of demand, such as one expert that receives a
+ * fifth of all tokens and has a single replica. Each step adds a replica of one of
+ * the heaviest experts of the most loaded rank, on the rank where the greatest
+ * load ends up lowest. A replica is dropped without a copy where the other ranks
+ * can take its share. The search evaluates far fewer changes than rebalance.h, so
+ * that planning for a group of 63 ranks takes a small share of a core.
+ *
+ * It also handles a rank that becomes slow, which delays all others in lock-step:
+ * the rank's load is multiplied by its slowdown, so that its experts move to
+ * other ranks.
  */
 
 #include <stdbool.h>
@@ -24,36 +30,52 @@
 
 #define SKH_GREEDY_REBALANCE_MAX_RANKS 64
 
-/** struct skh_greedy_rebalance_input - one set of layers; all borrowed */
+/**
+ * struct skh_greedy_rebalance_input - input for one set of layers; arrays are borrowed
+ * @n_ranks: ranks of the group, at most SKH_GREEDY_REBALANCE_MAX_RANKS
+ * @n_slots: slots of each rank
+ * @n_experts: experts of the set
+ * @shares: share of tokens of each expert, [@n_experts], sum 1
+ * @slowdowns: time taken relative to normal (1) for each rank, [@n_ranks]; NULL for all 1
+ * @min_gain: skew reduction that a step must bring
+ */
 typedef struct skh_greedy_rebalance_input {
 	uint32_t n_ranks;
 	uint32_t n_slots;
 	uint32_t n_experts;
-	const double *shares; /* of tokens, [@n_experts], sum 1 */
-	const double
-		*slowdowns; /* time that a rank takes, 1 is usual, [@n_ranks]; NULL for all 1 */
-	double min_gain;    /* skew that a load must bring */
+	const double *shares;
+	const double *slowdowns;
+	double min_gain;
 } skh_greedy_rebalance_input_t;
 
 typedef struct skh_greedy_rebalance skh_greedy_rebalance_t;
 
 /**
- * skh_greedy_rebalance_new() - work on one set
- * @view: copied; what it points to must outlive the relief
- * @map: changed for the better; expert + 1 in each place, 0 for none, [ranks][places]
- * @spare: loads that each rank may get in this set
- * @loads_left: loads that each rank may still get in all sets; lowered by those made
+ * skh_greedy_rebalance_new() - start rebalancing one set of layers
+ * @input: copied; its arrays must outlive the object
+ * @map: expert + 1 in each slot, 0 for empty, [n_ranks][n_slots]; borrowed, changed by each step
+ * @max_set_copies: maximum copies to each rank in this set
+ * @copies_left: copies left for each rank over all sets, [n_ranks]; borrowed, reduced by each copy
+ *
+ * Return: the object; free with skh_greedy_rebalance_free().
  */
-skh_greedy_rebalance_t *skh_greedy_rebalance_new(const skh_greedy_rebalance_input_t *view,
-						 uint32_t *map, uint32_t spare,
-						 uint32_t *loads_left);
-void skh_greedy_rebalance_free(skh_greedy_rebalance_t *relief);
+skh_greedy_rebalance_t *skh_greedy_rebalance_new(const skh_greedy_rebalance_input_t *input,
+						 uint32_t *map, uint32_t max_set_copies,
+						 uint32_t *copies_left);
+void skh_greedy_rebalance_free(skh_greedy_rebalance_t *state);
 
-/** skh_greedy_rebalance_step() - relieve the fullest rank once; false when nothing more is gained */
-bool skh_greedy_rebalance_step(skh_greedy_rebalance_t *relief);
+/**
+ * skh_greedy_rebalance_step() - make one change that relieves the most loaded rank
+ * Return: false if no change brings the minimum gain; the map is unchanged.
+ */
+bool skh_greedy_rebalance_step(skh_greedy_rebalance_t *state);
 
-/** skh_greedy_rebalance_skew() - greatest rank load, in its own time, over the mean at usual pace */
-double skh_greedy_rebalance_skew(const skh_greedy_rebalance_t *relief);
+/**
+ * skh_greedy_rebalance_skew() - greatest rank load over the mean
+ *
+ * The loads include the ranks' slowdowns; the mean is that of ranks at normal speed.
+ */
+double skh_greedy_rebalance_skew(const skh_greedy_rebalance_t *state);
 
 #ifdef __cplusplus
 }
