--- a/src/count_reporter.c
+++ b/src/count_reporter.c
@@ -5,146 +5,153 @@
 #include <glib.h>
 #include <string.h>
 
-/* Bytes that may be saved up: two reports of a large group and some of its state. */
-#define MOST_SAVED_BYTES 2400.0
-/* Steady demand: prompts come and go, and the coordinator may have changed. */
-#define STEADY_US (2 * SKH_US_PER_S)
-/* For so long after a shift each report still sharpens the picture. */
-#define NEWS_US (700 * SKH_US_PER_MS)
-/* Reports in that time are no closer than this: about a pass. */
-#define LEAST_PAUSE_US (60 * SKH_US_PER_MS)
-/* A rank that has counted few choices an expert waits for the first prompt that it reads ... */
-#define WORTH_TELLING_PER_EXPERT 12.0
-/* ... but no longer than this, and all of them a bit apart: the coordinator's link is narrow. */
-#define FEW_WAIT_US   (80 * SKH_US_PER_MS)
-#define FEW_SPREAD_US (80 * SKH_US_PER_MS)
+/* Capacity of the send budget: two reports of a large group and some state messages. */
+#define BUDGET_CAPACITY_BYTES 2400.0
+/* Interval of reports at steady demand: prompts change, and so may the coordinator. */
+#define STEADY_INTERVAL_US (2 * SKH_US_PER_S)
+/* After a shift, each further report within this time still improves the estimate. */
+#define SHIFT_WINDOW_US (700 * SKH_US_PER_MS)
+/* Minimum interval of reports within the shift window: about one pass. */
+#define MIN_SHIFT_INTERVAL_US (60 * SKH_US_PER_MS)
+/* A rank with fewer choices per expert delays its report until it has read a first prompt. */
+#define MIN_CHOICES_PER_EXPERT 12.0
+/*
+ * Limit of the delay for a first prompt, plus a random offset for each rank: the
+ * coordinator's link is too slow for reports of all ranks at once.
+ */
+#define MAX_CHOICES_WAIT_US (80 * SKH_US_PER_MS)
+#define MAX_JITTER_US	    (80 * SKH_US_PER_MS)
 
 struct skh_count_reporter {
-	skh_engine_spec_t shape;
-	skh_demand_t *demand; /* this rank's own picture, to see shifts */
-	double *counts;	      /* since the last report or shift, [sets][experts] */
+	skh_engine_spec_t engine_spec;
+	skh_demand_t *demand; /* demand of this rank alone, to detect shifts */
+	double *counts;	      /* counts since the last report or shift, [sets][experts] */
 	skh_demand_sample_t sample;
-	double bytes_a_s;
-	double saved_bytes;
-	double report_bytes; /* what a report with counts took last */
-	int64_t saved_us;    /* when @saved_bytes was true */
-	int64_t spread_us;
-	int64_t told_us;
-	int64_t shifted_us;
-	int64_t due_us; /* at the latest; the steady rhythm, or somebody is in a hurry */
+	double bytes_per_s;
+	double budget_bytes;
+	double last_report_bytes;  /* size of the last report with counts */
+	int64_t budget_updated_us; /* time at which @budget_bytes was computed */
+	int64_t jitter_us;	   /* random offset of this rank, less than MAX_JITTER_US */
+	int64_t last_report_us;
+	int64_t shift_us;
+	int64_t due_us; /* next report, from STEADY_INTERVAL_US or skh_count_reporter_expedite() */
 };
 
-static size_t size_of(const skh_count_reporter_t *feed)
+static size_t get_n_counts(const skh_count_reporter_t *reporter)
 {
-	return (size_t)feed->shape.expert_sets * feed->shape.experts_per_set;
+	return (size_t)reporter->engine_spec.expert_sets * reporter->engine_spec.experts_per_set;
 }
 
-skh_count_reporter_t *skh_count_reporter_new(const skh_engine_spec_t *shape, int64_t bytes_a_s,
-					     uint64_t draw)
+skh_count_reporter_t *skh_count_reporter_new(const skh_engine_spec_t *engine_spec,
+					     int64_t bytes_per_s, uint64_t random)
 {
-	skh_count_reporter_t *feed = g_new0(skh_count_reporter_t, 1);
-
-	feed->shape = *shape;
-	feed->demand = skh_demand_new(shape);
-	feed->counts = g_new0(double, size_of(feed));
-	feed->sample.counts = feed->counts;
-	feed->bytes_a_s = (double)bytes_a_s;
-	feed->saved_bytes = MOST_SAVED_BYTES;
-	feed->spread_us = (int64_t)(draw % (uint64_t)FEW_SPREAD_US);
-	/* Nothing was seen yet: the first look counts as a shift. */
-	feed->shifted_us = -NEWS_US;
-	return feed;
+	skh_count_reporter_t *reporter = g_new0(skh_count_reporter_t, 1);
+
+	reporter->engine_spec = *engine_spec;
+	reporter->demand = skh_demand_new(engine_spec);
+	reporter->counts = g_new0(double, get_n_counts(reporter));
+	reporter->sample.counts = reporter->counts;
+	reporter->bytes_per_s = (double)bytes_per_s;
+	reporter->budget_bytes = BUDGET_CAPACITY_BYTES;
+	reporter->jitter_us = (int64_t)(random % (uint64_t)MAX_JITTER_US);
+	/* No shift yet; the first sample of a non-zero epoch counts as one. */
+	reporter->shift_us = -SHIFT_WINDOW_US;
+	return reporter;
 }
 
-void skh_count_reporter_free(skh_count_reporter_t *feed)
+void skh_count_reporter_free(skh_count_reporter_t *reporter)
 {
-	skh_demand_free(feed->demand);
-	g_free(feed->counts);
-	g_free(feed);
+	skh_demand_free(reporter->demand);
+	g_free(reporter->counts);
+	g_free(reporter);
 }
 
-static void clear(skh_count_reporter_t *feed)
+static void reset_counts(skh_count_reporter_t *reporter)
 {
-	memset(feed->counts, 0, size_of(feed) * sizeof(double));
-	feed->sample.from_pass = 0;
-	feed->sample.to_pass = 0;
+	memset(reporter->counts, 0, get_n_counts(reporter) * sizeof(double));
+	reporter->sample.from_pass = 0;
+	reporter->sample.to_pass = 0;
 }
 
-skh_demand_update_t skh_count_reporter_add_sample(skh_count_reporter_t *feed,
+skh_demand_update_t skh_count_reporter_add_sample(skh_count_reporter_t *reporter,
 						  const skh_demand_sample_t *sample, int64_t now_us)
 {
-	skh_demand_update_t news = skh_demand_add_sample(feed->demand, sample, now_us);
+	skh_demand_update_t update = skh_demand_add_sample(reporter->demand, sample, now_us);
 
-	if (news == SKH_DEMAND_SHIFTED || news == SKH_DEMAND_SHIFTED_MID_SAMPLE ||
-	    sample->epoch != feed->sample.epoch) {
-		clear(feed);
-		feed->shifted_us = now_us;
+	if (update == SKH_DEMAND_SHIFTED || update == SKH_DEMAND_SHIFTED_MID_SAMPLE ||
+	    sample->epoch != reporter->sample.epoch) {
+		reset_counts(reporter);
+		reporter->shift_us = now_us;
 	}
-	if (news == SKH_DEMAND_SHIFTED_MID_SAMPLE)
-		return news;
-	if (feed->sample.to_pass == 0)
-		feed->sample.from_pass = sample->from_pass;
-	feed->sample.to_pass = sample->to_pass;
-	feed->sample.epoch = sample->epoch;
-	for (size_t i = 0; i < size_of(feed); i++)
-		feed->counts[i] += sample->counts[i];
-	return news;
+	if (update == SKH_DEMAND_SHIFTED_MID_SAMPLE)
+		return update;
+	if (reporter->sample.to_pass == 0)
+		reporter->sample.from_pass = sample->from_pass;
+	reporter->sample.to_pass = sample->to_pass;
+	reporter->sample.epoch = sample->epoch;
+	for (size_t i = 0; i < get_n_counts(reporter); i++)
+		reporter->counts[i] += sample->counts[i];
+	return update;
 }
 
-void skh_count_reporter_expedite(skh_count_reporter_t *feed, int64_t now_us)
+void skh_count_reporter_expedite(skh_count_reporter_t *reporter, int64_t now_us)
 {
-	feed->due_us = MIN(feed->due_us, now_us + feed->spread_us);
+	reporter->due_us = MIN(reporter->due_us, now_us + reporter->jitter_us);
 }
 
-static double saved_at(const skh_count_reporter_t *feed, int64_t now_us)
+/* Bytes that can be sent at @now_us: a token bucket refilled at bytes_per_s. */
+static double compute_budget(const skh_count_reporter_t *reporter, int64_t now_us)
 {
-	double more = feed->bytes_a_s * (double)(now_us - feed->saved_us) / (double)SKH_US_PER_S;
+	double refill_bytes = reporter->bytes_per_s *
+			      (double)(now_us - reporter->budget_updated_us) / (double)SKH_US_PER_S;
 
-	return MIN(feed->saved_bytes + more, MOST_SAVED_BYTES);
+	return MIN(reporter->budget_bytes + refill_bytes, BUDGET_CAPACITY_BYTES);
 }
 
-static double choices_of(const skh_count_reporter_t *feed)
+/* Choices counted in the first set. */
+static double count_choices(const skh_count_reporter_t *reporter)
 {
 	double sum = 0.0;
 
-	for (uint32_t i = 0; i < feed->shape.experts_per_set; i++)
-		sum += feed->counts[i];
+	for (uint32_t i = 0; i < reporter->engine_spec.experts_per_set; i++)
+		sum += reporter->counts[i];
 	return sum;
 }
 
-static bool is_news(const skh_count_reporter_t *feed, double choices, int64_t now_us)
+static bool is_shift_report_due(const skh_count_reporter_t *reporter, double choices,
+				int64_t now_us)
 {
-	int64_t since_us = now_us - feed->shifted_us;
+	int64_t since_us = now_us - reporter->shift_us;
 
-	if (since_us > NEWS_US || now_us - feed->told_us < LEAST_PAUSE_US)
+	if (since_us > SHIFT_WINDOW_US || now_us - reporter->last_report_us < MIN_SHIFT_INTERVAL_US)
 		return false;
-	return choices >= WORTH_TELLING_PER_EXPERT * (double)feed->shape.experts_per_set ||
-	       since_us > FEW_WAIT_US + feed->spread_us;
+	return choices >= MIN_CHOICES_PER_EXPERT * (double)reporter->engine_spec.experts_per_set ||
+	       since_us > MAX_CHOICES_WAIT_US + reporter->jitter_us;
 }
 
-bool skh_count_reporter_is_due(const skh_count_reporter_t *feed, int64_t now_us)
+bool skh_count_reporter_is_due(const skh_count_reporter_t *reporter, int64_t now_us)
 {
-	double choices = choices_of(feed);
+	double choices = count_choices(reporter);
 
-	if (choices <= 0.0 || saved_at(feed, now_us) < feed->report_bytes)
+	if (choices <= 0.0 || compute_budget(reporter, now_us) < reporter->last_report_bytes)
 		return false;
-	return now_us >= feed->due_us || is_news(feed, choices, now_us);
+	return now_us >= reporter->due_us || is_shift_report_due(reporter, choices, now_us);
 }
 
-const skh_demand_sample_t *skh_count_reporter_pending_sample(const skh_count_reporter_t *feed)
+const skh_demand_sample_t *skh_count_reporter_pending_sample(const skh_count_reporter_t *reporter)
 {
-	return &feed->sample;
+	return &reporter->sample;
 }
 
-void skh_count_reporter_record_sent(skh_count_reporter_t *feed, size_t bytes, bool with_counts,
-				    int64_t now_us)
+void skh_count_reporter_record_sent(skh_count_reporter_t *reporter, size_t sent_bytes,
+				    bool with_counts, int64_t now_us)
 {
-	feed->saved_bytes = saved_at(feed, now_us) - (double)bytes;
-	feed->saved_us = now_us;
+	reporter->budget_bytes = compute_budget(reporter, now_us) - (double)sent_bytes;
+	reporter->budget_updated_us = now_us;
 	if (!with_counts)
 		return;
-	feed->report_bytes = (double)bytes;
-	feed->told_us = now_us;
-	feed->due_us = now_us + STEADY_US;
-	clear(feed);
+	reporter->last_report_bytes = (double)sent_bytes;
+	reporter->last_report_us = now_us;
+	reporter->due_us = now_us + STEADY_INTERVAL_US;
+	reset_counts(reporter);
 }
--- a/src/greedy_rebalance.c
+++ b/src/greedy_rebalance.c
@@ -14,7 +14,8 @@
 	double load[SKH_GREEDY_REBALANCE_MAX_RANKS];
 	/* Derived from @load by update_totals(): */
 	uint32_t bottleneck; /* the most loaded rank */
-	double load_squares; /* sum of squared loads: also falls if one of several bottlenecks is relieved */
+	/* sum of squared loads: also falls if one of several bottlenecks is relieved */
+	double load_squares;
 };
 
 /* Copy of @expert to @slot of @rank; the replica in the slot is overwritten. */
--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define MAX_CHANGE_COPIES 4 /* in one change; a swap through a scratch slot takes four */
-/* Only for this many of the best relocations are all refills of the vacated slot evaluated. */
+/* Refills of the vacated slot are evaluated only for this many of the best relocations. */
 #define MAX_RELOCATIONS 4
 
 /* Copies that are accepted or rejected together; they are executed in the order listed. */
@@ -369,7 +369,7 @@
 		for (uint32_t i = 0; i < state->n_redundant_slots; i++)
 			evaluate_replacement(state, state->redundant_slots[i].rank,
 					     state->redundant_slots[i].slot, expert, candidates);
-		/* Overwriting a replica on @bottleneck with a colder expert lowers its load, too. */
+		/* Overwriting a replica here with a colder expert lowers the load, too. */
 		for (uint32_t other = 0;
 		     skh_layout_replica_count(state, expert) >= 2 && other < input->n_experts;
 		     other++)
