--- a/src/manifest_diff.h
+++ b/src/manifest_diff.h
@@ -2,9 +2,10 @@
 #define SKH_MANIFEST_DIFF_H
 
 /**
- * DOC: Differences of manifests
+ * DOC: Manifest differences
  *
- * What a new manifest would add, remove or change, item by item. Pure.
+ * Lists what a new manifest adds, removes or changes, item by item. The function
+ * is pure and runs on any thread.
  */
 
 #include "doc_node.h"
@@ -14,9 +15,9 @@
 #endif
 
 /**
- * struct skh_manifest_diff_item - one item that differs; texts borrowed from the trees
+ * struct skh_manifest_diff_item - one item that differs; texts are borrowed from the trees
  * @kind: table of the manifest, such as "customer"
- * @name: of the item; "" for a table that is not repeated
+ * @name: name of the item; "" for a table that occurs only once
  * @change: "added", "removed" or "changed"
  * @owner_before: owner in the old manifest, "" for none
  * @owner_after: owner in the new manifest, "" for none
@@ -31,7 +32,15 @@
 
 typedef void (*skh_manifest_diff_fn)(void *context, const skh_manifest_diff_item_t *difference);
 
-/** skh_manifest_diff_for_each() - call @fn for each item that differs; who and why are left out */
+/**
+ * skh_manifest_diff_for_each() - call @fn for each item that differs
+ * @before: root of the old manifest; NULL if there is none
+ * @after: root of the new manifest
+ * @fn: called before the function returns
+ * @context: passed to @fn
+ *
+ * The [change] table, which holds the author and the reason, is left out.
+ */
 void skh_manifest_diff_for_each(const skh_doc_node_t *before, const skh_doc_node_t *after,
 				skh_manifest_diff_fn fn, void *context);
 
