--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -274,26 +274,27 @@
 }
 
 /*
- * Evaluates @relocation with a lighter expert of rank @third in the vacated slot.
- * The expert that the relocation overwrites moves to @slot of @third.
+ * Evaluates @relocation with a lighter expert of @third_rank in the vacated slot.
+ * The expert that the relocation overwrites moves to @slot of @third_rank.
  */
 static void evaluate_rotation(const skh_layout_t *state, uint32_t bottleneck,
-			      const relocation_t *relocation, uint32_t third, uint32_t slot,
+			      const relocation_t *relocation, uint32_t third_rank, uint32_t slot,
 			      candidates_t *candidates)
 {
 	uint32_t expert = skh_layout_expert_at(state, bottleneck, relocation->from_slot);
 	uint32_t dropped = skh_layout_expert_at(state, relocation->to_rank, relocation->to_slot);
-	uint32_t incoming = skh_layout_expert_at(state, third, slot);
-	uint64_t incoming_after = state->hosts[incoming] ^ (1ULL << third | 1ULL << bottleneck);
+	uint32_t incoming = skh_layout_expert_at(state, third_rank, slot);
+	uint64_t incoming_after =
+		state->hosts[incoming] ^ (1ULL << third_rank | 1ULL << bottleneck);
 	uint64_t dropped_after =
-		state->hosts[dropped] ^ (1ULL << relocation->to_rank | 1ULL << third);
+		state->hosts[dropped] ^ (1ULL << relocation->to_rank | 1ULL << third_rank);
 	change_t change = { .n_copies = 0 };
 	skh_layout_trial_t trial = { .changed_ranks = 0 };
 
 	if (incoming == dropped || skh_layout_has_expert(state, bottleneck, incoming) ||
-	    skh_layout_has_expert(state, third, dropped) ||
+	    skh_layout_has_expert(state, third_rank, dropped) ||
 	    skh_layout_replica_work(state, incoming) >= skh_layout_replica_work(state, expert) ||
-	    would_reach_load(state, third,
+	    would_reach_load(state, third_rank,
 			     skh_layout_replica_work(state, dropped) -
 				     skh_layout_replica_work(state, incoming),
 			     bottleneck) ||
@@ -310,12 +311,12 @@
 	skh_layout_trial_add_load(state, &trial, relocation->to_rank,
 				  skh_layout_replica_work(state, expert) -
 					  skh_layout_replica_work(state, dropped));
-	skh_layout_trial_add_load(state, &trial, third,
+	skh_layout_trial_add_load(state, &trial, third_rank,
 				  skh_layout_replica_work(state, dropped) -
 					  skh_layout_replica_work(state, incoming));
 	add_copy_step(&change, relocation->to_rank, relocation->to_slot, expert);
 	add_copy_step(&change, bottleneck, relocation->from_slot, incoming);
-	add_copy_step(&change, third, slot, dropped);
+	add_copy_step(&change, third_rank, slot, dropped);
 	evaluate_change(state, &trial, &change, candidates);
 }
 
