--- a/src/http_message.c
+++ b/src/http_message.c
@@ -13,7 +13,7 @@
 	g_array_set_size(headers, 0);
 }
 
-static void end_field(skh_http_message_t *message)
+static void finish_header(skh_http_message_t *message)
 {
 	skh_header_t header;
 
@@ -27,8 +27,8 @@
 	message->in_value = false;
 }
 
-/* Nonzero stops the parser. */
-static int add_header_bytes(skh_http_message_t *message, size_t len)
+/* Returns nonzero, which stops the parser, once max_header_bytes is exceeded. */
+static int count_header_bytes(skh_http_message_t *message, size_t len)
 {
 	message->header_bytes += len;
 	if (message->max_header_bytes == 0 || message->header_bytes <= message->max_header_bytes)
@@ -42,33 +42,34 @@
 	skh_http_message_t *message = parser->data;
 
 	g_string_append_len(message->request_target, at, (gssize)len);
-	return add_header_bytes(message, len);
+	return count_header_bytes(message, len);
 }
 
-static int on_field(http_parser *parser, const char *at, size_t len)
+static int on_header_field(http_parser *parser, const char *at, size_t len)
 {
 	skh_http_message_t *message = parser->data;
 
 	if (message->in_value)
-		end_field(message);
+		finish_header(message);
 	g_string_append_len(message->field_name, at, (gssize)len);
-	return add_header_bytes(message, len);
+	return count_header_bytes(message, len);
 }
 
-static int on_value(http_parser *parser, const char *at, size_t len)
+static int on_header_value(http_parser *parser, const char *at, size_t len)
 {
 	skh_http_message_t *message = parser->data;
 
 	message->in_value = true;
 	g_string_append_len(message->field_value, at, (gssize)len);
-	return add_header_bytes(message, len);
+	return count_header_bytes(message, len);
 }
 
 /*
- * The parser lets names with spaces through, as in "Content-Length : 5". Another
- * reader may take such a field for what it looks like, and find another end.
+ * http-parser accepts header names with spaces, as in "Content-Length : 5". Another
+ * HTTP implementation on the path may honour such a field and place the end of the
+ * message elsewhere (request smuggling).
  */
-static bool has_valid_names(const skh_http_message_t *message)
+static bool has_valid_header_names(const skh_http_message_t *message)
 {
 	for (guint i = 0; i < message->headers->len; i++) {
 		const char *name = g_array_index(message->headers, skh_header_t, i).name;
@@ -85,9 +86,9 @@
 {
 	skh_http_message_t *message = parser->data;
 
-	end_field(message);
+	finish_header(message);
 	message->head_done = true;
-	if (!has_valid_names(message)) {
+	if (!has_valid_header_names(message)) {
 		message->error_kind = SKH_BAD_REQUEST;
 		return -1;
 	}
@@ -121,11 +122,11 @@
 	return 0;
 }
 
-static int on_complete(http_parser *parser)
+static int on_message_complete(http_parser *parser)
 {
 	skh_http_message_t *message = parser->data;
 
-	end_field(message); /* a trailer of a chunked body */
+	finish_header(message); /* last trailer field of a chunked body */
 	message->done = true;
 	http_parser_pause(parser, 1);
 	return 0;
@@ -133,11 +134,11 @@
 
 static const http_parser_settings parser_settings = {
 	.on_url = on_url,
-	.on_header_field = on_field,
-	.on_header_value = on_value,
+	.on_header_field = on_header_field,
+	.on_header_value = on_header_value,
 	.on_headers_complete = on_headers_complete,
 	.on_body = on_body,
-	.on_message_complete = on_complete,
+	.on_message_complete = on_message_complete,
 };
 
 void skh_http_message_reset(skh_http_message_t *message, enum http_parser_type type,
@@ -179,28 +180,28 @@
 	*message = (skh_http_message_t){ 0 };
 }
 
-bool skh_http_message_feed(skh_http_message_t *message, skh_chunk_t bytes, size_t *used,
+bool skh_http_message_feed(skh_http_message_t *message, skh_chunk_t bytes, size_t *consumed,
 			   skh_error_t *err)
 {
-	enum http_errno code;
+	enum http_errno parser_error;
 
-	*used = 0;
+	*consumed = 0;
 	if (message->done)
 		return true;
-	*used = http_parser_execute(&message->parser, &parser_settings, (const char *)bytes.data,
-				    bytes.len);
-	code = HTTP_PARSER_ERRNO(&message->parser);
-	if (message->done && (code == HPE_PAUSED || code == HPE_OK)) {
+	*consumed = http_parser_execute(&message->parser, &parser_settings,
+					(const char *)bytes.data, bytes.len);
+	parser_error = HTTP_PARSER_ERRNO(&message->parser);
+	if (message->done && (parser_error == HPE_PAUSED || parser_error == HPE_OK)) {
 		if (message->ops->on_end)
 			message->ops->on_end(message->context, message);
 		return true;
 	}
-	if (code != HPE_OK)
+	if (parser_error != HPE_OK)
 		return skh_error_set(
 			err, message->error_kind == SKH_OK ? SKH_BAD_REQUEST : message->error_kind,
-			"%s", http_errno_description(code));
+			"%s", http_errno_description(parser_error));
 	if (message->parser.upgrade)
-		return skh_error_set(err, SKH_BAD_REQUEST, "upgrades are not offered");
+		return skh_error_set(err, SKH_BAD_REQUEST, "protocol upgrade is not supported");
 	return true;
 }
 
@@ -232,20 +233,20 @@
 
 bool skh_header_is_hop_by_hop(const char *name)
 {
-	static const char *const hops[] = { "connection",
-					    "keep-alive",
-					    "proxy-authenticate",
-					    "proxy-authorization",
-					    "proxy-connection",
-					    "te",
-					    "trailer",
-					    "transfer-encoding",
-					    "upgrade",
-					    "content-length",
-					    "expect" };
-
-	for (size_t i = 0; i < G_N_ELEMENTS(hops); i++) {
-		if (g_ascii_strcasecmp(name, hops[i]) == 0)
+	static const char *const hop_by_hop_names[] = { "connection",
+							"keep-alive",
+							"proxy-authenticate",
+							"proxy-authorization",
+							"proxy-connection",
+							"te",
+							"trailer",
+							"transfer-encoding",
+							"upgrade",
+							"content-length",
+							"expect" };
+
+	for (size_t i = 0; i < G_N_ELEMENTS(hop_by_hop_names); i++) {
+		if (g_ascii_strcasecmp(name, hop_by_hop_names[i]) == 0)
 			return true;
 	}
 	return false;
--- a/src/http_message.h
+++ b/src/http_message.h
@@ -2,10 +2,13 @@
 #define SKH_HTTP_MESSAGE_H
 
 /**
- * DOC: HTTP messages
+ * DOC: HTTP/1.1 message parser
  *
- * One HTTP/1.1 message read piece by piece through http-parser, and the header
- * lists that both sides of the gateway keep. Owns what it has read.
+ * Incremental parser for one HTTP/1.1 request or response at a time, on top of
+ * http-parser. A message owns its headers, request target and collected body;
+ * they stay valid until the next skh_http_message_reset() or
+ * skh_http_message_free(). No locking: the owner of a message serialises all
+ * calls, and callbacks run inside them. Sizes are in bytes.
  */
 
 #include "buffer.h"
@@ -18,7 +21,7 @@
 extern "C" {
 #endif
 
-/** struct skh_header - one field; owned texts */
+/** struct skh_header - one header field; both strings are owned */
 typedef struct skh_header {
 	char *name;
 	char *value;
@@ -26,58 +29,83 @@
 
 typedef struct skh_http_message skh_http_message_t;
 
-/** struct skh_http_message_ops - told while a message is read; each may be NULL */
+/** struct skh_http_message_ops - parser callbacks; each may be NULL */
 typedef struct skh_http_message_ops {
-	/* Return false to refuse the message. */
+	/* Called when all headers are parsed. Returns false to reject the message. */
 	bool (*on_head)(void *context, skh_http_message_t *message);
-	/* Without it the body is collected in the message. */
+	/* Receives each piece of the body. If NULL, the body is collected in the message. */
 	void (*on_body)(void *context, skh_chunk_t bytes);
+	/* Called once, when the message is complete. */
 	void (*on_end)(void *context, skh_http_message_t *message);
 } skh_http_message_ops_t;
 
-/** struct skh_http_message - zeroed, then skh_http_message_reset() */
+/**
+ * struct skh_http_message - parser state and the message parsed so far
+ *
+ * Zero-initialise, then call skh_http_message_reset() before the first use.
+ */
 struct skh_http_message {
 	http_parser parser;
 	const skh_http_message_ops_t *ops;
 	void *context;
-	size_t max_header_bytes; /* 0 for no limit */
-	size_t max_body_bytes;	 /* 0 for no limit */
-	size_t header_bytes;
-	GArray *headers;	 /* skh_header_t */
-	GString *request_target; /* of a request */
-	GString *field_name;	 /* of the field that is being read */
-	GString *field_value;
+	size_t max_header_bytes; /* limit on header_bytes; 0 for no limit */
+	size_t max_body_bytes;	 /* limit on Content-Length and a collected body; 0 for no limit */
+	size_t header_bytes;	 /* request target, header names and header values */
+	GArray *headers;	 /* skh_header_t, in order of arrival, trailers included */
+	GString *request_target; /* requests only */
+	GString *field_name;	 /* name of the header being parsed */
+	GString *field_value;	 /* value of the header being parsed */
 	bool in_value;
-	bool skip_body; /* the answer to a HEAD request */
+	bool skip_body; /* no body follows, as in the response to a HEAD request; set in on_head */
 	bool head_done;
 	bool done;
-	skh_error_kind_t error_kind; /* why reading stopped, or SKH_OK */
-	skh_buffer_t body;
+	skh_error_kind_t error_kind; /* cause of a parse failure, or SKH_OK */
+	skh_buffer_t body;	     /* collected body; empty when on_body is set */
 };
 
-/** skh_http_message_reset() - be ready for the next message; limits stay */
+/**
+ * skh_http_message_reset() - discard the current message and prepare for the next one
+ * @message: zeroed or used before; max_header_bytes and max_body_bytes are kept
+ * @type: HTTP_REQUEST or HTTP_RESPONSE
+ * @ops: must outlive the message
+ * @context: passed to the callbacks
+ */
 void skh_http_message_reset(skh_http_message_t *message, enum http_parser_type type,
 			    const skh_http_message_ops_t *ops, void *context);
+
+/** skh_http_message_free() - release what @message owns and zero it; a zeroed message is allowed */
 void skh_http_message_free(skh_http_message_t *message);
 
 /**
- * skh_http_message_feed() - read @bytes up to the end of the message
- * @used: set to the bytes that belong to the message
- * Return: false with @err when they can't be part of one.
+ * skh_http_message_feed() - parse @bytes up to the end of the message
+ * @consumed: set to the number of bytes parsed; the rest belongs to the next message
+ * @err: set when @bytes are malformed, exceed a limit or are rejected by on_head
+ * Return: false with @err on failure.
  */
-bool skh_http_message_feed(skh_http_message_t *message, skh_chunk_t bytes, size_t *used,
+bool skh_http_message_feed(skh_http_message_t *message, skh_chunk_t bytes, size_t *consumed,
 			   skh_error_t *err);
 
-/** skh_http_message_feed_eof() - the peer has ended; true when that ends the message as it should */
+/**
+ * skh_http_message_feed_eof() - report that the peer closed the connection
+ *
+ * Completes a response whose body is delimited by the end of the connection.
+ * Return: true when the message is complete; false when it is truncated.
+ */
 bool skh_http_message_feed_eof(skh_http_message_t *message);
 
-/** skh_http_message_header() - first value of @name in any case, or NULL */
+/**
+ * skh_http_message_header() - look up a header, ignoring case
+ * Return: the first value of @name, owned by @message, or NULL.
+ */
 const char *skh_http_message_header(const skh_http_message_t *message, const char *name);
 
-/** skh_http_message_can_keep_alive() - whether another message may follow on the connection */
+/**
+ * skh_http_message_can_keep_alive() - whether the connection can carry another message
+ * Return: true when @message is complete and its headers allow a persistent connection.
+ */
 bool skh_http_message_can_keep_alive(const skh_http_message_t *message);
 
-/** skh_header_is_hop_by_hop() - the field concerns one connection only */
+/** skh_header_is_hop_by_hop() - whether a proxy must not forward the header @name */
 bool skh_header_is_hop_by_hop(const char *name);
 
 #ifdef __cplusplus
