--- a/src/event_stream.c
+++ b/src/event_stream.c
@@ -23,26 +23,26 @@
 	return events->pending.len == 0;
 }
 
-/* The value of the line "id: N" in @event, or -1. */
-static int64_t id_of(const char *event, size_t len)
+/* Returns the number in the "id:" line of @event, or -1 without such a line. */
+static int64_t parse_event_id(const char *event, size_t len)
 {
 	const char *line = event;
 	const char *end = event + len;
 
 	while (line < end) {
-		const char *stop = memchr(line, '\n', (size_t)(end - line));
+		const char *newline = memchr(line, '\n', (size_t)(end - line));
 
 		if ((size_t)(end - line) > 3 && strncmp(line, "id:", 3) == 0)
 			return g_ascii_strtoll(line + 3, NULL, 10);
-		if (!stop)
+		if (!newline)
 			break;
-		line = stop + 1;
+		line = newline + 1;
 	}
 	return -1;
 }
 
-/* Bytes up to and with the blank line that ends the first event; 0 when it is not whole. */
-static size_t event_length(const char *text, size_t len)
+/* Returns the length of the first event including its final blank line; 0 when incomplete. */
+static size_t find_event_length(const char *text, size_t len)
 {
 	for (size_t i = 0; i + 1 < len; i++) {
 		if (text[i] != '\n')
@@ -55,10 +55,11 @@
 	return 0;
 }
 
-/* Takes one whole event; false when one before it is missing. */
-static bool take_event(skh_event_stream_t *events, const char *event, size_t len, skh_buffer_t *out)
+/* Appends a complete event unless it is a duplicate; false when its id skips an event. */
+static bool append_event(skh_event_stream_t *events, const char *event, size_t len,
+			 skh_buffer_t *out)
 {
-	int64_t id = id_of(event, len);
+	int64_t id = parse_event_id(event, len);
 
 	if (id >= 0 && events->last_event_id >= 0) {
 		if (id <= events->last_event_id)
@@ -75,20 +76,20 @@
 
 bool skh_event_stream_feed(skh_event_stream_t *events, skh_chunk_t bytes, skh_buffer_t *out)
 {
-	size_t used = 0;
-	bool follows = true;
+	size_t consumed = 0;
+	bool is_contiguous = true;
 
 	skh_buffer_append(&events->pending, bytes);
-	while (follows && used < events->pending.len) {
-		const char *text = (const char *)events->pending.data + used;
-		size_t len = event_length(text, events->pending.len - used);
+	while (is_contiguous && consumed < events->pending.len) {
+		const char *text = (const char *)events->pending.data + consumed;
+		size_t len = find_event_length(text, events->pending.len - consumed);
 
 		if (len == 0)
 			break;
-		follows = take_event(events, text, len, out);
-		used += len;
+		is_contiguous = append_event(events, text, len, out);
+		consumed += len;
 	}
-	if (used > 0)
-		skh_buffer_consume(&events->pending, used);
-	return follows;
+	if (consumed > 0)
+		skh_buffer_consume(&events->pending, consumed);
+	return is_contiguous;
 }
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -2,10 +2,12 @@
 #define SKH_EVENT_STREAM_H
 
 /**
- * DOC: Streams of events
+ * DOC: Server-sent event stream
  *
- * Cuts a text/event-stream into whole events, so that a stream which breaks off
- * in the middle of one can go on elsewhere after the last whole one. Pure state.
+ * Splits a text/event-stream into complete events, so that a stream which is
+ * interrupted inside an event can resume on another backend server after the last
+ * complete event. Owns the bytes of the incomplete event. No I/O and no locking:
+ * the owner of a stream serialises all calls.
  */
 
 #include "buffer.h"
@@ -14,28 +16,38 @@
 extern "C" {
 #endif
 
-/** struct skh_event_stream - zeroed before its first use; free with skh_event_stream_clear() */
+/** struct skh_event_stream - splitter state of one stream */
 typedef struct skh_event_stream {
-	skh_buffer_t pending;  /* start of an event that is not whole yet */
-	int64_t last_event_id; /* of the last whole event; -1 before the first with an id */
-	bool has_event;	       /* some whole event was seen */
+	skh_buffer_t pending;  /* bytes of the incomplete event at the end of the input */
+	int64_t last_event_id; /* id of the last event emitted with one; -1 for none */
+	bool has_event;	       /* at least one complete event was emitted */
 } skh_event_stream_t;
 
+/** skh_event_stream_init() - initialise @events; release with skh_event_stream_clear() */
 void skh_event_stream_init(skh_event_stream_t *events);
+
+/** skh_event_stream_clear() - release the pending bytes */
 void skh_event_stream_clear(skh_event_stream_t *events);
 
-/** skh_event_stream_discard_pending() - the stream goes on from another server: forget the part */
+/**
+ * skh_event_stream_discard_pending() - drop the incomplete event
+ *
+ * Called before the stream resumes on another backend server, which sends that
+ * event again from its start. The last event id is kept.
+ */
 void skh_event_stream_discard_pending(skh_event_stream_t *events);
 
 /**
- * skh_event_stream_feed() - take @bytes; append whole events to @out
+ * skh_event_stream_feed() - add @bytes to the stream and append complete events to @out
  *
- * Events that do not follow the last one, by their ids, are left out.
- * Return: false when an event is missing: the stream must not go on.
+ * Events whose id is not above the last one are duplicates and are dropped. Events
+ * without an id are always appended.
+ * Return: false when an id is skipped: an event is missing and the stream must not
+ * continue. Events before the gap are in @out.
  */
 bool skh_event_stream_feed(skh_event_stream_t *events, skh_chunk_t bytes, skh_buffer_t *out);
 
-/** skh_event_stream_is_at_boundary() - nothing of an event is left over */
+/** skh_event_stream_is_at_boundary() - true when no incomplete event is pending */
 bool skh_event_stream_is_at_boundary(const skh_event_stream_t *events);
 
 #ifdef __cplusplus
