--- a/src/engine_client.c
+++ b/src/engine_client.c
@@ -22,11 +22,11 @@
 	skh_upstream_t *upstream;
 	skh_buffer_t body;
 	uint32_t tag;
-	skh_engine_answer_fn fn; /* NULL when nobody is to be told */
+	skh_engine_answer_fn fn; /* NULL when the result is ignored */
 	void *context;
 } call_t;
 
-static void on_closed(uv_handle_t *handle)
+static void on_timer_closed(uv_handle_t *handle)
 {
 	call_t *call = handle->data;
 
@@ -34,7 +34,7 @@
 	g_free(call);
 }
 
-static void end_call(call_t *call, int32_t status)
+static void finish_call(call_t *call, int32_t status)
 {
 	skh_engine_answer_fn fn = call->fn;
 
@@ -43,57 +43,57 @@
 	call->upstream = NULL;
 	call->fn = NULL;
 	g_queue_unlink(&call->client->calls, &call->link);
-	uv_close((uv_handle_t *)&call->timer, on_closed);
+	uv_close((uv_handle_t *)&call->timer, on_timer_closed);
 	if (fn)
 		fn(call->context, call->tag, status, skh_buffer_chunk(&call->body));
 }
 
-static bool on_head(void *context, const skh_http_message_t *answer)
+static bool on_response_head(void *context, const skh_http_message_t *response)
 {
 	(void)context;
-	(void)answer;
+	(void)response;
 	return true;
 }
 
-static void on_body(void *context, skh_chunk_t bytes)
+static void on_response_body(void *context, skh_chunk_t bytes)
 {
 	skh_buffer_append(&((call_t *)context)->body, bytes);
 }
 
-static void on_end(void *context, const skh_http_message_t *answer)
+static void on_response_end(void *context, const skh_http_message_t *response)
 {
 	call_t *call = context;
 
 	call->upstream = NULL;
-	end_call(call, (int32_t)answer->parser.status_code);
+	finish_call(call, (int32_t)response->parser.status_code);
 }
 
-static void on_lost(void *context, skh_upstream_error_t lost, bool handed_over)
+static void on_upstream_error(void *context, skh_upstream_error_t error, bool handed_over)
 {
 	call_t *call = context;
 
-	(void)lost;
+	(void)error;
 	(void)handed_over;
 	call->upstream = NULL;
-	end_call(call, 0);
+	finish_call(call, 0);
 }
 
 static const skh_upstream_ops_t call_ops = {
-	.on_head = on_head,
-	.on_body = on_body,
-	.on_end = on_end,
-	.on_error = on_lost,
+	.on_head = on_response_head,
+	.on_body = on_response_body,
+	.on_end = on_response_end,
+	.on_error = on_upstream_error,
 };
 
 static void on_timeout(uv_timer_t *timer)
 {
-	end_call(timer->data, 0);
+	finish_call(timer->data, 0);
 }
 
-static void begin_call(skh_engine_client_t *client, skh_buffer_t *bytes, int64_t timeout_us,
+static void start_call(skh_engine_client_t *client, skh_buffer_t *message, int64_t timeout_us,
 		       call_t *call)
 {
-	const skh_upstream_request_t send = { .bytes = skh_buffer_chunk(bytes) };
+	const skh_upstream_request_t request = { .bytes = skh_buffer_chunk(message) };
 
 	call->client = client;
 	call->link.data = call;
@@ -101,8 +101,8 @@
 	(void)uv_timer_init(client->loop, &call->timer);
 	call->timer.data = call;
 	(void)uv_timer_start(&call->timer, on_timeout, (uint64_t)(timeout_us / SKH_US_PER_MS), 0);
-	call->upstream = skh_upstream_pool_send(client->pool, &send, &call_ops, call);
-	skh_buffer_free(bytes);
+	call->upstream = skh_upstream_pool_send(client->pool, &request, &call_ops, call);
+	skh_buffer_free(message);
 }
 
 skh_engine_client_t *skh_engine_client_new(uv_loop_t *loop, const char *address,
@@ -114,9 +114,11 @@
 
 	client->loop = loop;
 	client->address = g_strdup(address);
-	/* Calls to an address that can't be read fail as those to nobody do. */
+	/* With an invalid address, calls fail in the same way as for an unreachable engine. */
 	if (!skh_address_split(address, &host, &port))
-		skh_log(SKH_LOG_WARNING, PART, "Engine's address not read.", "address=%s", address);
+		skh_log(SKH_LOG_WARNING, PART,
+			"Engine address is not host:port; calls to the engine will fail.",
+			"address=%s", address);
 	client->pool = skh_upstream_pool_new(loop, host ? host : "", port, options);
 	g_queue_init(&client->calls);
 	return client;
@@ -124,13 +126,13 @@
 
 void skh_engine_client_free(skh_engine_client_t *client)
 {
-	GList *item;
+	GList *node;
 
-	while ((item = client->calls.head) != NULL) {
-		call_t *call = item->data;
+	while ((node = client->calls.head) != NULL) {
+		call_t *call = node->data;
 
 		call->fn = NULL;
-		end_call(call, 0);
+		finish_call(call, 0);
 	}
 	skh_upstream_pool_free(client->pool);
 	g_free(client->address);
@@ -146,13 +148,13 @@
 			   uint32_t tag, skh_engine_answer_fn fn, void *context)
 {
 	call_t *call = g_new0(call_t, 1);
-	skh_buffer_t bytes = SKH_BUFFER_INIT;
+	skh_buffer_t message = SKH_BUFFER_INIT;
 
 	call->tag = tag;
 	call->fn = fn;
 	call->context = context;
-	skh_buffer_printf(&bytes, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, client->address);
-	begin_call(client, &bytes, timeout_us, call);
+	skh_buffer_printf(&message, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", path, client->address);
+	start_call(client, &message, timeout_us, call);
 }
 
 void skh_engine_client_post(skh_engine_client_t *client, const char *path, skh_chunk_t body,
@@ -160,15 +162,15 @@
 			    void *context)
 {
 	call_t *call = g_new0(call_t, 1);
-	skh_buffer_t bytes = SKH_BUFFER_INIT;
+	skh_buffer_t message = SKH_BUFFER_INIT;
 
 	call->tag = tag;
 	call->fn = fn;
 	call->context = context;
-	skh_buffer_printf(&bytes,
+	skh_buffer_printf(&message,
 			  "POST %s HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"
 			  "Content-Length: %zu\r\n\r\n",
 			  path, client->address, body.len);
-	skh_buffer_append(&bytes, body);
-	begin_call(client, &bytes, timeout_us, call);
+	skh_buffer_append(&message, body);
+	start_call(client, &message, timeout_us, call);
 }
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -2,10 +2,11 @@
 #define SKH_ENGINE_CLIENT_H
 
 /**
- * DOC: Calls to an engine
+ * DOC: HTTP client for an engine
  *
- * Small JSON calls with a deadline: reports, counts, orders. Runs on the event
- * loop's thread.
+ * Sends small JSON calls with a timeout to one engine: reports, counts, orders.
+ * Owns a connection pool to the engine and the calls in progress. All functions and
+ * callbacks run on the event loop's thread. Calls are not retried.
  */
 
 #include "upstream.h"
@@ -15,28 +16,48 @@
 #endif
 
 /**
- * typedef skh_engine_answer_fn - a call has ended
- * @status: HTTP status, or 0 when there is no answer
- * @body: valid during the call
+ * typedef skh_engine_answer_fn - receives the result of a call, once
+ * @context: passed when the call was started
+ * @tag: passed when the call was started
+ * @status: HTTP status, or 0 when no complete response arrived in time
+ * @body: response body; valid only during the callback
  */
 typedef void (*skh_engine_answer_fn)(void *context, uint32_t tag, int32_t status, skh_chunk_t body);
 
 typedef struct skh_engine_client skh_engine_client_t;
 
-/** skh_engine_client_new() - for the engine at "host:port"; @options must outlive it */
+/**
+ * skh_engine_client_new() - create a client for one engine
+ * @address: "host:port", copied; with an invalid address every call fails with status 0
+ * @options: must outlive the client
+ * Return: the client; release with skh_engine_client_free().
+ */
 skh_engine_client_t *skh_engine_client_new(uv_loop_t *loop, const char *address,
 					   const skh_upstream_pool_options_t *options);
 
-/** skh_engine_client_free() - calls under way end without being told */
+/** skh_engine_client_free() - cancel calls in progress without callbacks and free @client */
 void skh_engine_client_free(skh_engine_client_t *client);
 
+/** skh_engine_client_address() - the address given to skh_engine_client_new(); owned by @client */
 const char *skh_engine_client_address(const skh_engine_client_t *client);
 
-/** skh_engine_client_get() - GET @path */
+/**
+ * skh_engine_client_get() - send GET @path
+ * @timeout_us: limit on the whole call, rounded down to milliseconds
+ * @tag: passed to @fn, to tell calls apart
+ * @fn: called once after the return of skh_engine_client_get(), unless the client is
+ *	freed before the call ends; NULL ignores the result
+ * @context: passed to @fn
+ */
 void skh_engine_client_get(skh_engine_client_t *client, const char *path, int64_t timeout_us,
 			   uint32_t tag, skh_engine_answer_fn fn, void *context);
 
-/** skh_engine_client_post() - POST @body to @path */
+/**
+ * skh_engine_client_post() - send POST @path with the JSON document @body
+ * @body: copied
+ *
+ * The other parameters are those of skh_engine_client_get().
+ */
 void skh_engine_client_post(skh_engine_client_t *client, const char *path, skh_chunk_t body,
 			    int64_t timeout_us, uint32_t tag, skh_engine_answer_fn fn,
 			    void *context);
