--- a/src/backend.c
+++ b/src/backend.c
@@ -7,96 +7,99 @@
 #include <jansson.h>
 #include <string.h>
 
-#define EVENT_END	  "\n\n"
-#define EVENT_END_BYTES	  2
-#define LAST_EVENT	  "data: [DONE]"
-#define STREAM_TYPE	  "text/event-stream"
-#define CANCEL_TIMEOUT_US (2 * SKH_US_PER_S)
-#define ORDER_TIMEOUT_US  (60 * SKH_US_PER_S)
-#define REPORT_TIMEOUT_US (3 * SKH_US_PER_S)
-#define HTTP_OK		  200
-
-static void submit(skh_backend_t *backend, skh_fetch_t *fetch, const Skh__Start *start,
-		   int64_t finish_by_us, int64_t now_us)
+#define EVENT_SEPARATOR	      "\n\n"
+#define EVENT_SEPARATOR_BYTES 2
+#define END_MARKER	      "data: [DONE]"
+#define STREAM_CONTENT_TYPE   "text/event-stream"
+#define CANCEL_TIMEOUT_US     (2 * SKH_US_PER_S)
+#define ORDER_TIMEOUT_US      (60 * SKH_US_PER_S)
+#define REPORT_TIMEOUT_US     (3 * SKH_US_PER_S)
+#define HTTP_OK		      200
+
+static void start_request(skh_backend_t *backend, skh_fetch_t *fetch, const Skh__Start *start,
+			  int64_t deadline_us, int64_t now_us)
 {
 	g_autofree char *url = g_strconcat(backend->url, start->path, NULL);
-	g_autofree char *type = g_strdup_printf("Content-Type: %s", start->content_type);
-	g_autofree char *attempt = g_strdup_printf("X-Request-Id: %" PRIu64, start->attempt);
+	g_autofree char *content_type = g_strdup_printf("Content-Type: %s", start->content_type);
+	g_autofree char *request_id = g_strdup_printf("X-Request-Id: %" PRIu64, start->attempt);
 	g_autofree char *resume = g_strdup_printf("X-Resume-From: %" PRIu64, start->resume_from);
 	g_autofree char *priority = g_strdup_printf("X-Priority: %u", start->priority);
-	g_autofree char *budget =
-		g_strdup_printf("X-Deadline-Ms: %" PRId64, (finish_by_us - now_us) / SKH_US_PER_MS);
-	const char *const headers[] = { type, attempt, resume, priority, budget, NULL };
+	g_autofree char *time_left =
+		g_strdup_printf("X-Deadline-Ms: %" PRId64, (deadline_us - now_us) / SKH_US_PER_MS);
+	const char *const headers[] = {
+		content_type, request_id, resume, priority, time_left, NULL
+	};
 	skh_fetch_request_t request = {
 		.id = start->attempt,
 		.method = start->method,
 		.url = url,
 		.headers = headers,
 		.body = skh_chunk_make(start->body.data, start->body.len),
-		.deadline_us = finish_by_us,
+		.deadline_us = deadline_us,
 		.at_most_once = !start->idempotent,
 	};
 
 	skh_fetch_start(fetch, &request, now_us);
 }
 
-static uint32_t count_events(skh_response_parser_t *answer, const uint8_t *data, size_t len)
+static uint32_t count_events(skh_response_parser_t *parser, const uint8_t *data, size_t len)
 {
-	const char *at = (const char *)data;
-	const char *end = at + len;
+	const char *event = (const char *)data;
+	const char *end = event + len;
 	uint32_t events = 0;
 
-	while (at < end) {
-		const char *next = g_strstr_len(at, end - at, EVENT_END);
+	while (event < end) {
+		const char *next = g_strstr_len(event, end - event, EVENT_SEPARATOR);
 
 		if (!next)
 			break;
-		if ((size_t)(next - at) >= strlen(LAST_EVENT) &&
-		    memcmp(at, LAST_EVENT, strlen(LAST_EVENT)) == 0)
-			answer->end_marker_seen = true;
+		if ((size_t)(next - event) >= strlen(END_MARKER) &&
+		    memcmp(event, END_MARKER, strlen(END_MARKER)) == 0)
+			parser->end_marker_seen = true;
 		else
 			events++;
-		at = next + EVENT_END_BYTES;
+		event = next + EVENT_SEPARATOR_BYTES;
 	}
 	return events;
 }
 
-static size_t last_event_end(const skh_buffer_t *buffer)
+static size_t find_last_event_end(const skh_buffer_t *buffer)
 {
-	for (size_t i = buffer->len; i >= EVENT_END_BYTES; i--) {
-		if (memcmp(buffer->data + i - EVENT_END_BYTES, EVENT_END, EVENT_END_BYTES) == 0)
+	for (size_t i = buffer->len; i >= EVENT_SEPARATOR_BYTES; i--) {
+		if (memcmp(buffer->data + i - EVENT_SEPARATOR_BYTES, EVENT_SEPARATOR,
+			   EVENT_SEPARATOR_BYTES) == 0)
 			return i;
 	}
 	return 0;
 }
 
-/* Only whole events are passed on, so a resumed stream continues between two. */
-static uint32_t engine_pieces(skh_response_parser_t *answer, const char *content_type,
-			      skh_chunk_t bytes, skh_buffer_t *out)
+/* Forwards only complete events, so that a resumed stream continues at an event boundary. */
+static uint32_t engine_parse_chunk(skh_response_parser_t *parser, const char *content_type,
+				   skh_chunk_t chunk, skh_buffer_t *out)
 {
 	uint32_t events;
-	size_t whole;
+	size_t complete_len;
 
-	if (!g_str_has_prefix(content_type, STREAM_TYPE)) {
-		skh_buffer_append(out, bytes);
+	if (!g_str_has_prefix(content_type, STREAM_CONTENT_TYPE)) {
+		skh_buffer_append(out, chunk);
 		return 0;
 	}
-	answer->is_stream = true;
-	skh_buffer_append(&answer->partial_event, bytes);
-	whole = last_event_end(&answer->partial_event);
-	if (whole == 0)
+	parser->is_stream = true;
+	skh_buffer_append(&parser->partial_event, chunk);
+	complete_len = find_last_event_end(&parser->partial_event);
+	if (complete_len == 0)
 		return 0;
-	events = count_events(answer, answer->partial_event.data, whole);
-	skh_buffer_append(out, skh_chunk_make(answer->partial_event.data, whole));
-	skh_buffer_consume(&answer->partial_event, whole);
+	events = count_events(parser, parser->partial_event.data, complete_len);
+	skh_buffer_append(out, skh_chunk_make(parser->partial_event.data, complete_len));
+	skh_buffer_consume(&parser->partial_event, complete_len);
 	return events;
 }
 
-static bool engine_is_whole(const skh_response_parser_t *answer, int32_t status)
+static bool engine_is_complete(const skh_response_parser_t *parser, int32_t status)
 {
-	if (!answer->is_stream)
+	if (!parser->is_stream)
 		return status != 0;
-	return status == HTTP_OK && answer->end_marker_seen && answer->partial_event.len == 0;
+	return status == HTTP_OK && parser->end_marker_seen && parser->partial_event.len == 0;
 }
 
 static void engine_cancel(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t attempt, uint64_t id,
@@ -114,7 +117,7 @@
 	skh_fetch_start(fetch, &request, now_us);
 }
 
-/* An order is sent once: repeated by a library, it could overtake a later one. */
+/* Sent at most once, because an order retried by libcurl could arrive after a later order. */
 static void post_order(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id, const char *body,
 		       int64_t now_us)
 {
@@ -133,8 +136,8 @@
 	skh_fetch_start(fetch, &request, now_us);
 }
 
-static void engine_order(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-			 const skh_order_t *order, const char *placement, int64_t now_us)
+static void engine_send_map_order(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
+				  const skh_order_t *order, const char *placement, int64_t now_us)
 {
 	static const char *const steps[] = { "prepare", "hold", "set", "go" };
 	g_autofree char *body = g_strdup_printf(
@@ -144,7 +147,7 @@
 	post_order(backend, fetch, id, body, now_us);
 }
 
-static char *instruction_text(const skh_backend_order_t *order)
+static char *encode_order(const skh_backend_order_t *order)
 {
 	static const char *const kinds[] = { "load_model", "load_adapter", "set_role" };
 	json_t *json =
@@ -158,16 +161,16 @@
 	return text;
 }
 
-static void engine_instruct(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-			    const skh_backend_order_t *order, int64_t now_us)
+static void engine_send_backend_order(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
+				      const skh_backend_order_t *order, int64_t now_us)
 {
-	g_autofree char *body = instruction_text(order);
+	g_autofree char *body = encode_order(order);
 
 	post_order(backend, fetch, id, body, now_us);
 }
 
-static void get(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id, const char *path,
-		int64_t now_us)
+static void start_get(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id, const char *path,
+		      int64_t now_us)
 {
 	g_autofree char *url = g_strconcat(backend->url, path, NULL);
 	skh_fetch_request_t request = {
@@ -180,35 +183,36 @@
 	skh_fetch_start(fetch, &request, now_us);
 }
 
-static void engine_ask_load(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id, int64_t now_us)
+static void engine_request_load_report(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
+				       int64_t now_us)
 {
-	get(backend, fetch, id, "/v1/load", now_us);
+	start_get(backend, fetch, id, "/v1/load", now_us);
 }
 
-static void engine_ask_events(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-			      uint64_t from, int64_t now_us)
+static void engine_request_cache_events(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
+					uint64_t from, int64_t now_us)
 {
 	g_autofree char *path = g_strdup_printf("/v1/cache_events?from=%" PRIu64, from);
 
-	get(backend, fetch, id, path, now_us);
+	start_get(backend, fetch, id, path, now_us);
 }
 
-static uint32_t plain_pieces(skh_response_parser_t *answer, const char *content_type,
-			     skh_chunk_t bytes, skh_buffer_t *out)
+static uint32_t plain_parse_chunk(skh_response_parser_t *parser, const char *content_type,
+				  skh_chunk_t chunk, skh_buffer_t *out)
 {
-	(void)answer;
+	(void)parser;
 	(void)content_type;
-	skh_buffer_append(out, bytes);
+	skh_buffer_append(out, chunk);
 	return 0;
 }
 
-static bool plain_is_whole(const skh_response_parser_t *answer, int32_t status)
+static bool plain_is_complete(const skh_response_parser_t *parser, int32_t status)
 {
-	(void)answer;
+	(void)parser;
 	return status != 0;
 }
 
-/* Closing the connection is all that a plain service offers. */
+/* A plain service has no cancel request; closing the transfer is the only way to stop it. */
 static void plain_cancel(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t attempt, uint64_t id,
 			 int64_t now_us)
 {
@@ -220,20 +224,20 @@
 }
 
 static const skh_backend_ops_t engine_ops = {
-	.start = submit,
-	.parse_chunk = engine_pieces,
-	.is_complete = engine_is_whole,
+	.start = start_request,
+	.parse_chunk = engine_parse_chunk,
+	.is_complete = engine_is_complete,
 	.cancel = engine_cancel,
-	.send_map_order = engine_order,
-	.send_backend_order = engine_instruct,
-	.request_load_report = engine_ask_load,
-	.request_cache_events = engine_ask_events,
+	.send_map_order = engine_send_map_order,
+	.send_backend_order = engine_send_backend_order,
+	.request_load_report = engine_request_load_report,
+	.request_cache_events = engine_request_cache_events,
 };
 
 static const skh_backend_ops_t plain_ops = {
-	.start = submit,
-	.parse_chunk = plain_pieces,
-	.is_complete = plain_is_whole,
+	.start = start_request,
+	.parse_chunk = plain_parse_chunk,
+	.is_complete = plain_is_complete,
 	.cancel = plain_cancel,
 };
 
--- a/src/backend.h
+++ b/src/backend.h
@@ -4,9 +4,11 @@
 /**
  * DOC: Backend servers
  *
- * How a sidecar speaks to the backend server beside it, behind a small vtable:
- * one implementation for model engines (the OpenAI shape plus resume, cancel
- * and orders), one for plain services.
+ * The HTTP protocol between a sidecar and its backend server, behind a vtable:
+ * one implementation for model engines (the OpenAI API plus resume, cancel and
+ * orders) and one for plain services. All calls run on the sidecar's event loop
+ * thread. They only start transfers; results and errors arrive through the
+ * callbacks of the skh_fetch_t.
  */
 
 #include "buffer.h"
@@ -21,11 +23,11 @@
 
 typedef struct skh_backend skh_backend_t;
 
-/** struct skh_response_parser - progress of one answer as its protocol sees it */
+/** struct skh_response_parser - parse state of one response; zero-initialised */
 typedef struct skh_response_parser {
-	bool is_stream;		    /* the answer is a stream of events */
-	bool end_marker_seen;	    /* the protocol's own end mark was seen */
-	skh_buffer_t partial_event; /* start of an event whose end has not come yet */
+	bool is_stream;		    /* the response is an event stream */
+	bool end_marker_seen;	    /* the protocol's end marker has arrived */
+	skh_buffer_t partial_event; /* start of an event that is not complete yet */
 } skh_response_parser_t;
 
 typedef enum skh_backend_order_kind {
@@ -36,48 +38,58 @@
 
 #define SKH_BACKEND_ORDER_NAME_BYTES 128
 
-/** struct skh_backend_order - an order that concerns one engine alone */
+/** struct skh_backend_order - an order to a single engine, outside of map switches */
 typedef struct skh_backend_order {
 	skh_backend_order_kind_t kind;
-	uint64_t fence;
-	char name[SKH_BACKEND_ORDER_NAME_BYTES]; /* of the model, adapter or role */
+	uint64_t fence;				 /* fencing token */
+	char name[SKH_BACKEND_ORDER_NAME_BYTES]; /* model, adapter or role */
 	char version[SKH_BACKEND_ORDER_NAME_BYTES];
 } skh_backend_order_t;
 
-/** struct skh_backend_ops - what a protocol implements */
+/**
+ * struct skh_backend_ops - operations that a protocol implements
+ *
+ * @id and @attempt number the transfer in @fetch, times are monotonic microseconds.
+ */
 typedef struct skh_backend_ops {
-	/* Hand one attempt over. */
+	/* Send one attempt's request; its transfer has the attempt's number. */
 	void (*start)(skh_backend_t *backend, skh_fetch_t *fetch, const Skh__Start *start,
-		      int64_t finish_by_us, int64_t now_us);
-	/* Cut @bytes into what may be passed on now; returns whole events in @out. */
-	uint32_t (*parse_chunk)(skh_response_parser_t *answer, const char *content_type,
-				skh_chunk_t bytes, skh_buffer_t *out);
-	/* Whether an answer that ended without a transfer error is whole. */
-	bool (*is_complete)(const skh_response_parser_t *answer, int32_t status);
+		      int64_t deadline_us, int64_t now_us);
+	/*
+	 * Append to @out what may be forwarded now, keeping back an incomplete
+	 * event; returns the number of complete events appended.
+	 */
+	uint32_t (*parse_chunk)(skh_response_parser_t *parser, const char *content_type,
+				skh_chunk_t chunk, skh_buffer_t *out);
+	/* Whether a response that ended without a transfer error is complete. */
+	bool (*is_complete)(const skh_response_parser_t *parser, int32_t status);
 	/* Stop work on an attempt whose transfer was closed. */
 	void (*cancel)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t attempt, uint64_t id,
 		       int64_t now_us);
-	/* Give the engine an order of a map switch; NULL where there are none. */
+	/* Send one step of a map switch to the engine; NULL if the protocol has no orders. */
 	void (*send_map_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 			       const skh_order_t *order, const char *placement, int64_t now_us);
-	/* Load a model or adapter, change role; NULL where there are none. */
+	/* Load a model or adapter, or change role; NULL if the protocol has no orders. */
 	void (*send_backend_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 				   const skh_backend_order_t *order, int64_t now_us);
-	/* Ask for the load report; NULL where there is none. */
+	/* Request the load report; NULL if the protocol has none. */
 	void (*request_load_report)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 				    int64_t now_us);
-	/* Ask for cache events from number @from on. */
+	/* Request cache events, starting at sequence number @from. */
 	void (*request_cache_events)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 				     uint64_t from, int64_t now_us);
 } skh_backend_ops_t;
 
-/** struct skh_backend - first member of every implementation */
+/** struct skh_backend - base of every implementation, as its first member */
 struct skh_backend {
 	const skh_backend_ops_t *ops;
-	char *url;
+	char *url; /* base URL, owned */
 };
 
+/** skh_backend_new_engine() - backend of a model engine at @url, which is copied */
 skh_backend_t *skh_backend_new_engine(const char *url);
+
+/** skh_backend_new_plain() - backend of a plain service at @url, which is copied */
 skh_backend_t *skh_backend_new_plain(const char *url);
 void skh_backend_free(skh_backend_t *backend);
 
