--- a/src/batch.c
+++ b/src/batch.c
@@ -5,7 +5,7 @@
 
 #define MAX_ROUNDS 4
 
-/* The writes that are still pending, as one transaction. */
+/* One transaction with all writes that are still pending. */
 typedef struct round {
 	skh_txn_compare_t compares[SKH_BATCH_MAX_WRITES];
 	skh_txn_op_t puts[SKH_BATCH_MAX_WRITES];
@@ -13,7 +13,7 @@
 	size_t n;
 } round_t;
 
-static void gather(const skh_write_t *writes, size_t n_writes, round_t *round)
+static void build_round(const skh_write_t *writes, size_t n_writes, round_t *round)
 {
 	round->n = 0;
 	for (size_t i = 0; i < n_writes; i++) {
@@ -30,7 +30,7 @@
 	}
 }
 
-static void finish_pending(skh_write_t *writes, size_t n_writes, int64_t mod_revision)
+static void mark_pending_done(skh_write_t *writes, size_t n_writes, int64_t mod_revision)
 {
 	for (size_t i = 0; i < n_writes; i++) {
 		if (writes[i].state != SKH_WRITE_PENDING)
@@ -40,7 +40,7 @@
 	}
 }
 
-static void fail_pending(skh_write_t *writes, size_t n_writes, const skh_error_t *err)
+static void mark_pending_failed(skh_write_t *writes, size_t n_writes, const skh_error_t *err)
 {
 	for (size_t i = 0; i < n_writes; i++) {
 		if (writes[i].state != SKH_WRITE_PENDING)
@@ -50,8 +50,8 @@
 	}
 }
 
-/* What is stored tells each pending write whether it was done, lost or is still to do. */
-static void judge_pending(skh_write_t *writes, size_t n_writes, const skh_kv_pairs_t *pairs)
+/* Compares the stored values with the pending writes; a retryable write stays pending. */
+static void resolve_pending(skh_write_t *writes, size_t n_writes, const skh_kv_pairs_t *pairs)
 {
 	for (size_t i = 0; i < n_writes; i++) {
 		skh_write_t *write = &writes[i];
@@ -79,12 +79,12 @@
 
 	if (!store->ops->txn(store, &txn, &result, err))
 		return false;
-	judge_pending(writes, n_writes, &result.pairs);
+	resolve_pending(writes, n_writes, &result.pairs);
 	skh_kv_pairs_clear(&result.pairs);
 	return true;
 }
 
-/* Returns false when nothing more can be learnt now. */
+/* Returns false when neither the transaction nor a read-back succeeded, so retrying is useless. */
 static bool run_round(skh_store_t *store, skh_write_t *writes, size_t n_writes,
 		      const round_t *round, skh_error_t *err)
 {
@@ -105,9 +105,9 @@
 		return read_back(store, writes, n_writes, round, &read_err);
 	}
 	if (result.succeeded)
-		finish_pending(writes, n_writes, result.pairs.store_revision);
+		mark_pending_done(writes, n_writes, result.pairs.store_revision);
 	else
-		judge_pending(writes, n_writes, &result.pairs);
+		resolve_pending(writes, n_writes, &result.pairs);
 	skh_kv_pairs_clear(&result.pairs);
 	return true;
 }
@@ -116,22 +116,23 @@
 {
 	round_t round;
 	skh_error_t err;
-	bool sent_unknown = false;
+	bool has_unknown_outcome = false;
 
 	for (int32_t i = 0; i < MAX_ROUNDS; i++) {
-		bool learnt;
+		bool can_retry;
 
-		gather(writes, n_writes, &round);
+		build_round(writes, n_writes, &round);
 		if (round.n == 0)
 			return;
 		err.kind = SKH_OK;
-		learnt = run_round(store, writes, n_writes, &round, &err);
-		sent_unknown = sent_unknown || err.kind == SKH_STORE_UNKNOWN;
-		if (!learnt)
+		can_retry = run_round(store, writes, n_writes, &round, &err);
+		has_unknown_outcome = has_unknown_outcome || err.kind == SKH_STORE_UNKNOWN;
+		if (!can_retry)
 			break;
 	}
-	/* One round whose fate is open makes the whole attempt unknown. */
-	if (sent_unknown || err.kind == SKH_OK)
-		(void)skh_error_set(&err, SKH_STORE_UNKNOWN, "the write could not be settled");
-	fail_pending(writes, n_writes, &err);
+	/* After a round of unknown outcome, any pending write may have been stored. */
+	if (has_unknown_outcome || err.kind == SKH_OK)
+		(void)skh_error_set(&err, SKH_STORE_UNKNOWN,
+				    "could not determine whether the write was stored");
+	mark_pending_failed(writes, n_writes, &err);
 }
