--- a/src/claim.c
+++ b/src/claim.c
@@ -5,10 +5,10 @@
 #include <jansson.h>
 #include <string.h>
 
-#define UUID_CHARS	36
-#define UUID_VERSION_AT 14
-#define UUID_TIME_CHARS 13 /* eight hex digits, a hyphen, four more */
-#define HEX_RADIX	16
+#define UUID_CHARS	    36
+#define UUID_VERSION_OFFSET 14
+#define UUID_TIME_CHARS	    13 /* 12 hex digits of the timestamp and a NUL */
+#define HEX_RADIX	    16
 
 static const char *const state_names[] = { "claimed", "done", "not_run" };
 
@@ -33,10 +33,10 @@
 		json_object_set_new(json, "type", json_string(claim->content_type));
 	}
 	if (claim->state == SKH_CLAIM_DONE && claim->has_response) {
-		g_autofree char *answer =
+		g_autofree char *base64 =
 			g_base64_encode(claim->response.data, claim->response.len);
 
-		json_object_set_new(json, "answer", json_string(answer));
+		json_object_set_new(json, "answer", json_string(base64));
 	}
 	dump = json_dumps(json, JSON_COMPACT | JSON_SORT_KEYS);
 	text = g_strdup(dump);
@@ -45,7 +45,7 @@
 	return text;
 }
 
-static bool read_state(const json_t *json, skh_claim_state_t *state)
+static bool decode_state(const json_t *json, skh_claim_state_t *state)
 {
 	const char *name = json_string_value(json_object_get(json, "state"));
 
@@ -58,7 +58,7 @@
 	return false;
 }
 
-static void read_answer(const json_t *json, skh_claim_t *claim)
+static void decode_response(const json_t *json, skh_claim_t *claim)
 {
 	const char *text = json_string_value(json_object_get(json, "answer"));
 	gsize len = 0;
@@ -80,16 +80,16 @@
 	const char *type = json_string_value(json_object_get(json, "type"));
 
 	*claim = (skh_claim_t){ 0 };
-	if (!owner || !hash || !read_state(json, &claim->state)) {
+	if (!owner || !hash || !decode_state(json, &claim->state)) {
 		json_decref(json);
 		return skh_error_set(err, SKH_OUTCOME_UNKNOWN,
-				     "the record of the key is unreadable");
+				     "the claim record of the idempotency key is malformed");
 	}
 	claim->owner = g_strdup(owner);
 	claim->body_hash = g_ascii_strtoull(hash, NULL, HEX_RADIX);
 	claim->status = (int32_t)json_integer_value(json_object_get(json, "status"));
 	claim->content_type = g_strdup(type ? type : "");
-	read_answer(json, claim);
+	decode_response(json, claim);
 	json_decref(json);
 	return true;
 }
@@ -113,19 +113,19 @@
 
 static bool is_uuid_v7(const char *key)
 {
-	static const char shape[] = "xxxxxxxx-xxxx-7xxx-xxxx-xxxxxxxxxxxx";
+	static const char pattern[] = "xxxxxxxx-xxxx-7xxx-xxxx-xxxxxxxxxxxx";
 
-	if (strlen(key) != UUID_CHARS || key[UUID_VERSION_AT] != '7')
+	if (strlen(key) != UUID_CHARS || key[UUID_VERSION_OFFSET] != '7')
 		return false;
 	for (size_t i = 0; i < UUID_CHARS; i++) {
-		if (shape[i] == '-' ? key[i] != '-' : !g_ascii_isxdigit(key[i]))
+		if (pattern[i] == '-' ? key[i] != '-' : !g_ascii_isxdigit(key[i]))
 			return false;
 	}
 	return true;
 }
 
-/* The first 48 bits of a version 7 UUID are milliseconds since 1970. */
-static int64_t uuid_time_ms(const char *key)
+/* The first 48 bits of a version 7 UUID are its Unix time in milliseconds. */
+static int64_t uuid_unix_ms(const char *key)
 {
 	char digits[UUID_TIME_CHARS] = { 0 };
 
@@ -141,14 +141,15 @@
 	if (!is_uuid_v7(key))
 		return skh_error_set(err, SKH_BAD_REQUEST,
 				     "Idempotency-Key must be a UUID of version 7");
-	age_ms = now_unix_ms - uuid_time_ms(key);
+	age_ms = now_unix_ms - uuid_unix_ms(key);
 	if (age_ms > SKH_CLAIM_MAX_KEY_AGE_MS)
 		return skh_error_set(err, SKH_KEY_EXPIRED,
-				     "the key is older than the %" PRId64
-				     " hours that records last",
+				     "the idempotency key is older than the %" PRId64
+				     " hours for which claim records are kept",
 				     SKH_CLAIM_MAX_KEY_AGE_MS / 3600000);
 	if (age_ms < -SKH_CLAIM_MAX_CLOCK_SKEW_MS)
-		return skh_error_set(err, SKH_BAD_REQUEST, "the key's time is in the future");
+		return skh_error_set(err, SKH_BAD_REQUEST,
+				     "the timestamp of the idempotency key is in the future");
 	return true;
 }
 
