--- a/src/claim_writer.c
+++ b/src/claim_writer.c
@@ -13,198 +13,202 @@
 
 #define PART	       "claimer"
 #define LEASE_PERIOD_S 600
-/* A record must outlast the last moment at which its key is accepted. */
-#define RECORD_HOLD_S                                                                              \
+/* A record must outlive the last moment at which its key is accepted, clock skew included. */
+#define RECORD_MIN_TTL_S                                                                           \
 	(SKH_CLAIM_MAX_KEY_AGE_MS / SKH_MS_PER_S + 4 * SKH_CLAIM_MAX_CLOCK_SKEW_MS / SKH_MS_PER_S)
 
-typedef struct submitted {
+typedef struct queued_write {
 	uint64_t id;
 	char *key;
 	char *value;
-	int64_t expected;
-} submitted_t;
+	int64_t expected_revision;
+} queued_write_t;
 
 struct skh_claim_writer {
 	skh_store_t *store;
 	int64_t interval_us;
 	pthread_t thread;
 	GMutex lock;
-	GCond wake;
-	GQueue queue; /* submitted_t */
-	GQueue done;  /* skh_claim_result_t */
-	bool stop;
+	GCond submitted_or_stopped;
+	GQueue submitted; /* queued_write_t, owned */
+	GQueue results;	  /* skh_claim_result_t, owned */
+	bool is_stopping;
 	int event_fd;
-	skh_period_lease_t lease; /* claimer thread only */
+	skh_period_lease_t lease; /* used only on the writer's thread */
 };
 
-static void free_submitted(gpointer item)
+static void free_queued_write(gpointer item)
 {
-	submitted_t *submitted = item;
+	queued_write_t *queued = item;
 
-	g_free(submitted->key);
-	g_free(submitted->value);
-	g_free(submitted);
+	g_free(queued->key);
+	g_free(queued->value);
+	g_free(queued);
 }
 
-void skh_claim_result_free(skh_claim_result_t *done)
+void skh_claim_result_free(skh_claim_result_t *result)
 {
-	g_free(done->found_value);
-	g_free(done);
+	g_free(result->found_value);
+	g_free(result);
 }
 
-static void free_done(gpointer item)
+static void free_result(gpointer item)
 {
 	skh_claim_result_free(item);
 }
 
-/* Takes queued writes of differing keys; a second write of a key waits for the first. */
-static size_t take_batch(skh_claim_writer_t *claimer, submitted_t **batch)
+/* Dequeues writes with distinct keys; a second write of a key waits for the next batch. */
+static size_t dequeue_batch(skh_claim_writer_t *writer, queued_write_t **batch)
 {
 	g_autoptr(GHashTable) keys = g_hash_table_new(g_str_hash, g_str_equal);
-	GList *item = claimer->queue.head;
+	GList *item = writer->submitted.head;
 	size_t n = 0;
 
 	while (item && n < SKH_BATCH_MAX_WRITES) {
 		GList *next = item->next;
-		submitted_t *submitted = item->data;
+		queued_write_t *queued = item->data;
 
-		if (g_hash_table_add(keys, submitted->key)) {
-			batch[n++] = submitted;
-			g_queue_delete_link(&claimer->queue, item);
+		if (g_hash_table_add(keys, queued->key)) {
+			batch[n++] = queued;
+			g_queue_delete_link(&writer->submitted, item);
 		}
 		item = next;
 	}
 	return n;
 }
 
-static void report(skh_claim_writer_t *claimer, submitted_t **batch, skh_write_t *writes, size_t n)
+static void push_results(skh_claim_writer_t *writer, queued_write_t **batch, skh_write_t *writes,
+			 size_t n)
 {
-	const uint64_t one = 1;
+	const uint64_t signal = 1;
 
-	g_mutex_lock(&claimer->lock);
+	g_mutex_lock(&writer->lock);
 	for (size_t i = 0; i < n; i++) {
-		skh_claim_result_t *done = g_new0(skh_claim_result_t, 1);
-
-		done->id = batch[i]->id;
-		done->state = writes[i].state;
-		done->mod_revision = writes[i].mod_revision;
-		done->found_value = writes[i].found_value;
-		done->err = writes[i].err;
-		g_queue_push_tail(&claimer->done, done);
-		free_submitted(batch[i]);
+		skh_claim_result_t *result = g_new0(skh_claim_result_t, 1);
+
+		result->id = batch[i]->id;
+		result->state = writes[i].state;
+		result->mod_revision = writes[i].mod_revision;
+		result->found_value = writes[i].found_value;
+		result->err = writes[i].err;
+		g_queue_push_tail(&writer->results, result);
+		free_queued_write(batch[i]);
 	}
-	g_mutex_unlock(&claimer->lock);
-	if (write(claimer->event_fd, &one, sizeof(one)) != (ssize_t)sizeof(one))
-		skh_log(SKH_LOG_ERROR, PART, "Waking the sidecar failed.", "errno=%d", errno);
+	g_mutex_unlock(&writer->lock);
+	if (write(writer->event_fd, &signal, sizeof(signal)) != (ssize_t)sizeof(signal))
+		skh_log(SKH_LOG_ERROR, PART,
+			"Signalling claim results failed; they wait for the next wake-up.",
+			"errno=%d", errno);
 }
 
-static void run_batch(skh_claim_writer_t *claimer, submitted_t **batch, size_t n)
+static void run_batch(skh_claim_writer_t *writer, queued_write_t **batch, size_t n)
 {
 	skh_write_t writes[SKH_BATCH_MAX_WRITES] = { 0 };
 	skh_error_t err;
-	bool leased =
-		skh_period_lease_ensure(&claimer->lease, claimer->store, skh_clock_now_us(), &err);
+	bool has_lease =
+		skh_period_lease_ensure(&writer->lease, writer->store, skh_clock_now_us(), &err);
 
 	for (size_t i = 0; i < n; i++) {
 		writes[i].key = batch[i]->key;
 		writes[i].value = batch[i]->value;
-		writes[i].expected_revision = batch[i]->expected;
-		writes[i].lease_id = claimer->lease.id;
-		if (leased)
+		writes[i].expected_revision = batch[i]->expected_revision;
+		writes[i].lease_id = writer->lease.id;
+		if (has_lease)
 			continue;
 		writes[i].state = SKH_WRITE_FAILED;
-		/* Without a lease no record was written, whatever became of the grant. */
+		/* No record was written, even if the outcome of the lease grant is unknown. */
 		(void)skh_error_set(&writes[i].err, SKH_STORE_UNAVAILABLE, "%s", err.text);
 	}
-	if (leased)
-		skh_batch_run(claimer->store, writes, n);
+	if (has_lease)
+		skh_batch_run(writer->store, writes, n);
 	skh_metrics_add(SKH_COUNT_CLAIMS, n);
 	skh_metrics_add(SKH_COUNT_CLAIM_BATCHES, 1);
-	report(claimer, batch, writes, n);
+	push_results(writer, batch, writes, n);
 }
 
-static void *run(void *argument)
+static void *run_writer(void *context)
 {
-	skh_claim_writer_t *claimer = argument;
-	submitted_t *batch[SKH_BATCH_MAX_WRITES];
+	skh_claim_writer_t *writer = context;
+	queued_write_t *batch[SKH_BATCH_MAX_WRITES];
 
 	for (;;) {
 		size_t n;
 
-		g_mutex_lock(&claimer->lock);
-		while (g_queue_is_empty(&claimer->queue) && !claimer->stop)
-			g_cond_wait(&claimer->wake, &claimer->lock);
-		n = take_batch(claimer, batch);
-		g_mutex_unlock(&claimer->lock);
+		g_mutex_lock(&writer->lock);
+		while (g_queue_is_empty(&writer->submitted) && !writer->is_stopping)
+			g_cond_wait(&writer->submitted_or_stopped, &writer->lock);
+		n = dequeue_batch(writer, batch);
+		g_mutex_unlock(&writer->lock);
 		if (n == 0)
 			return NULL;
-		run_batch(claimer, batch, n);
-		(void)usleep((useconds_t)claimer->interval_us);
+		run_batch(writer, batch, n);
+		(void)usleep((useconds_t)writer->interval_us);
 	}
 }
 
 skh_claim_writer_t *skh_claim_writer_start(skh_store_t *store, int64_t interval_us)
 {
-	skh_claim_writer_t *claimer = g_new0(skh_claim_writer_t, 1);
-
-	claimer->store = store;
-	claimer->interval_us = interval_us;
-	claimer->lease.period_s = LEASE_PERIOD_S;
-	claimer->lease.min_ttl_s = RECORD_HOLD_S;
-	claimer->event_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-	g_mutex_init(&claimer->lock);
-	g_cond_init(&claimer->wake);
-	g_queue_init(&claimer->queue);
-	g_queue_init(&claimer->done);
-	(void)pthread_create(&claimer->thread, NULL, run, claimer);
-	return claimer;
+	skh_claim_writer_t *writer = g_new0(skh_claim_writer_t, 1);
+
+	writer->store = store;
+	writer->interval_us = interval_us;
+	writer->lease.period_s = LEASE_PERIOD_S;
+	writer->lease.min_ttl_s = RECORD_MIN_TTL_S;
+	writer->event_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+	g_mutex_init(&writer->lock);
+	g_cond_init(&writer->submitted_or_stopped);
+	g_queue_init(&writer->submitted);
+	g_queue_init(&writer->results);
+	(void)pthread_create(&writer->thread, NULL, run_writer, writer);
+	return writer;
 }
 
-void skh_claim_writer_stop(skh_claim_writer_t *claimer)
+void skh_claim_writer_stop(skh_claim_writer_t *writer)
 {
-	g_mutex_lock(&claimer->lock);
-	claimer->stop = true;
-	g_cond_signal(&claimer->wake);
-	g_mutex_unlock(&claimer->lock);
-	(void)pthread_join(claimer->thread, NULL);
-	g_queue_clear_full(&claimer->queue, free_submitted);
-	g_queue_clear_full(&claimer->done, free_done);
-	(void)close(claimer->event_fd);
-	g_cond_clear(&claimer->wake);
-	g_mutex_clear(&claimer->lock);
-	g_free(claimer);
+	g_mutex_lock(&writer->lock);
+	writer->is_stopping = true;
+	g_cond_signal(&writer->submitted_or_stopped);
+	g_mutex_unlock(&writer->lock);
+	(void)pthread_join(writer->thread, NULL);
+	g_queue_clear_full(&writer->submitted, free_queued_write);
+	g_queue_clear_full(&writer->results, free_result);
+	(void)close(writer->event_fd);
+	g_cond_clear(&writer->submitted_or_stopped);
+	g_mutex_clear(&writer->lock);
+	g_free(writer);
 }
 
-void skh_claim_writer_submit(skh_claim_writer_t *claimer, uint64_t id, const char *key,
-			     const char *value, int64_t expected)
+void skh_claim_writer_submit(skh_claim_writer_t *writer, uint64_t id, const char *key,
+			     const char *value, int64_t expected_revision)
 {
-	submitted_t *submitted = g_new0(submitted_t, 1);
-
-	submitted->id = id;
-	submitted->key = g_strdup(key);
-	submitted->value = g_strdup(value);
-	submitted->expected = expected;
-	g_mutex_lock(&claimer->lock);
-	g_queue_push_tail(&claimer->queue, submitted);
-	g_cond_signal(&claimer->wake);
-	g_mutex_unlock(&claimer->lock);
+	queued_write_t *queued = g_new0(queued_write_t, 1);
+
+	queued->id = id;
+	queued->key = g_strdup(key);
+	queued->value = g_strdup(value);
+	queued->expected_revision = expected_revision;
+	g_mutex_lock(&writer->lock);
+	g_queue_push_tail(&writer->submitted, queued);
+	g_cond_signal(&writer->submitted_or_stopped);
+	g_mutex_unlock(&writer->lock);
 }
 
-int skh_claim_writer_fd(const skh_claim_writer_t *claimer)
+int skh_claim_writer_fd(const skh_claim_writer_t *writer)
 {
-	return claimer->event_fd;
+	return writer->event_fd;
 }
 
-skh_claim_result_t *skh_claim_writer_poll_result(skh_claim_writer_t *claimer)
+skh_claim_result_t *skh_claim_writer_poll_result(skh_claim_writer_t *writer)
 {
-	skh_claim_result_t *done;
+	skh_claim_result_t *result;
 	uint64_t count;
 
-	g_mutex_lock(&claimer->lock);
-	done = g_queue_pop_head(&claimer->done);
-	/* Read under the lock, so that a wake-up for a later result is not lost. */
-	if (!done && read(claimer->event_fd, &count, sizeof(count)) < 0 && errno != EAGAIN)
-		skh_log(SKH_LOG_ERROR, PART, "Reading the wake-up failed.", "errno=%d", errno);
-	g_mutex_unlock(&claimer->lock);
-	return done;
+	g_mutex_lock(&writer->lock);
+	result = g_queue_pop_head(&writer->results);
+	/* Reset the eventfd under the lock, so that the signal for a later result is not lost. */
+	if (!result && read(writer->event_fd, &count, sizeof(count)) < 0 && errno != EAGAIN)
+		skh_log(SKH_LOG_ERROR, PART, "Resetting the claim result eventfd failed.",
+			"errno=%d", errno);
+	g_mutex_unlock(&writer->lock);
+	return result;
 }
--- a/src/claim_writer.h
+++ b/src/claim_writer.h
@@ -2,13 +2,14 @@
 #define SKH_CLAIM_WRITER_H
 
 /**
- * DOC: Claimer
+ * DOC: Claim writer
  *
- * The thread of a sidecar that writes claims. Writes gather while a
- * transaction is under way and for a set time between two, so that several
- * hundred transactions a second carry thousands of claims. Records live under
- * leases that are granted once for a period and never renewed: they vanish
- * without a write each.
+ * A thread of a sidecar that writes claim records in batches. Writes queue up
+ * while a transaction is in flight and during a fixed interval after it, so
+ * that several hundred transactions a second carry thousands of claims. Records
+ * are attached to leases that are granted once per period and never renewed, so
+ * that they expire without a delete for each. The other functions are called
+ * from the sidecar's event loop thread.
  */
 
 #include "batch.h"
@@ -24,25 +25,42 @@
 typedef struct skh_claim_result {
 	uint64_t id;
 	skh_write_state_t state;
-	int64_t mod_revision;
-	char *found_value;
-	skh_error_t err;
+	int64_t mod_revision; /* of the stored value; 0 if the key is absent */
+	char *found_value;    /* value stored in a conflict, or NULL; owned */
+	skh_error_t err;      /* set if @state is SKH_WRITE_FAILED */
 } skh_claim_result_t;
 
-/** skh_claim_writer_start() - @interval_us between two transactions */
+/**
+ * skh_claim_writer_start() - start the thread
+ * @store: borrowed until skh_claim_writer_stop()
+ * @interval_us: pause between two transactions
+ */
 skh_claim_writer_t *skh_claim_writer_start(skh_store_t *store, int64_t interval_us);
-void skh_claim_writer_stop(skh_claim_writer_t *claimer);
 
-/** skh_claim_writer_submit() - write @value at @key when its mod revision is @expected */
-void skh_claim_writer_submit(skh_claim_writer_t *claimer, uint64_t id, const char *key,
-			     const char *value, int64_t expected);
+/** skh_claim_writer_stop() - run the queued writes, stop the thread and drop unread results */
+void skh_claim_writer_stop(skh_claim_writer_t *writer);
+
+/**
+ * skh_claim_writer_submit() - queue one compare-and-swap write
+ * @id: returned in the result
+ * @key: store key; copied
+ * @value: unique to this write; copied
+ * @expected_revision: required mod revision of @key; 0 if it must be absent
+ */
+void skh_claim_writer_submit(skh_claim_writer_t *writer, uint64_t id, const char *key,
+			     const char *value, int64_t expected_revision);
 
-/** skh_claim_writer_fd() - readable when there are results */
-int skh_claim_writer_fd(const skh_claim_writer_t *claimer);
+/** skh_claim_writer_fd() - descriptor that is readable while results may be available */
+int skh_claim_writer_fd(const skh_claim_writer_t *writer);
 
-/** skh_claim_writer_poll_result() - next result, or NULL */
-skh_claim_result_t *skh_claim_writer_poll_result(skh_claim_writer_t *claimer);
-void skh_claim_result_free(skh_claim_result_t *done);
+/**
+ * skh_claim_writer_poll_result() - next result; does not block
+ *
+ * Return: a result that the caller frees, or NULL when there is none, which
+ * also resets skh_claim_writer_fd().
+ */
+skh_claim_result_t *skh_claim_writer_poll_result(skh_claim_writer_t *writer);
+void skh_claim_result_free(skh_claim_result_t *result);
 
 #ifdef __cplusplus
 }
