--- a/src/wire.c
+++ b/src/wire.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <zmq.h>
 
-#define HIGH_WATER 100000 /* frames queued for one peer */
+#define MAX_QUEUED_FRAMES 100000 /* per peer and direction */
 
 void skh_wire_set_option(void *socket, int option, int value)
 {
@@ -12,16 +12,16 @@
 
 void skh_wire_setup_router(void *socket, int linger_ms)
 {
-	const int64_t limit_bytes = SKH_WIRE_MAX_FRAME_BYTES;
+	const int64_t max_frame_bytes = SKH_WIRE_MAX_FRAME_BYTES;
 
 	skh_wire_set_option(socket, ZMQ_LINGER, linger_ms);
-	skh_wire_set_option(socket, ZMQ_SNDHWM, HIGH_WATER);
-	skh_wire_set_option(socket, ZMQ_RCVHWM, HIGH_WATER);
+	skh_wire_set_option(socket, ZMQ_SNDHWM, MAX_QUEUED_FRAMES);
+	skh_wire_set_option(socket, ZMQ_RCVHWM, MAX_QUEUED_FRAMES);
 	skh_wire_set_option(socket, ZMQ_IMMEDIATE, 1);
 	skh_wire_set_option(socket, ZMQ_ROUTER_MANDATORY, 1);
 	skh_wire_set_option(socket, ZMQ_ROUTER_HANDOVER, 1);
-	/* ZeroMQ reserves what a peer announces before a byte of it has come. */
-	(void)zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &limit_bytes, sizeof(limit_bytes));
+	/* ZeroMQ allocates a message's announced size before its first byte arrives. */
+	(void)zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &max_frame_bytes, sizeof(max_frame_bytes));
 }
 
 void skh_wire_pack(const Skh__Frame *frame, skh_buffer_t *out)
@@ -31,43 +31,43 @@
 	(void)skh__frame__pack(frame, skh_buffer_extend(out, len));
 }
 
-static bool name_fits(const char *name)
+static bool is_valid_name(const char *name)
 {
 	return strlen(name) <= SKH_WIRE_MAX_NAME_BYTES;
 }
 
-static bool status_fits(const Skh__Status *status)
+static bool is_valid_status(const Skh__Status *status)
 {
-	return name_fits(status->service) && name_fits(status->failure_domain) &&
-	       name_fits(status->group) && name_fits(status->admin) &&
+	return is_valid_name(status->service) && is_valid_name(status->failure_domain) &&
+	       is_valid_name(status->group) && is_valid_name(status->admin) &&
 	       status->phase <= SKH_PHASE_LEAVING;
 }
 
-static bool start_fits(const Skh__Start *start)
+static bool is_valid_start(const Skh__Start *start)
 {
-	return name_fits(start->request) && name_fits(start->customer) &&
-	       name_fits(start->method) && name_fits(start->content_type) &&
-	       name_fits(start->service) && start->attempt != 0 &&
+	return is_valid_name(start->request) && is_valid_name(start->customer) &&
+	       is_valid_name(start->method) && is_valid_name(start->content_type) &&
+	       is_valid_name(start->service) && start->attempt != 0 &&
 	       !(start->attempt & SKH_WIRE_LOCAL_TRANSFER_BIT);
 }
 
-static bool body_fits(const Skh__Frame *frame)
+static bool is_valid_body(const Skh__Frame *frame)
 {
 	switch (frame->body_case) {
 	case SKH__FRAME__BODY_HELLO:
-		return name_fits(frame->hello->entry);
+		return is_valid_name(frame->hello->entry);
 	case SKH__FRAME__BODY_START:
-		return start_fits(frame->start);
+		return is_valid_start(frame->start);
 	case SKH__FRAME__BODY_DATA:
-		return name_fits(frame->data->content_type) && frame->data->http_status < 600;
+		return is_valid_name(frame->data->content_type) && frame->data->http_status < 600;
 	case SKH__FRAME__BODY_END:
-		return name_fits(frame->end->kind);
+		return is_valid_name(frame->end->kind);
 	case SKH__FRAME__BODY_REFUSE:
-		return name_fits(frame->refuse->kind) && frame->refuse->retry_after_us >= 0;
+		return is_valid_name(frame->refuse->kind) && frame->refuse->retry_after_us >= 0;
 	case SKH__FRAME__BODY_ORDER:
-		return name_fits(frame->order->group);
+		return is_valid_name(frame->order->group);
 	case SKH__FRAME__BODY_ORDER_REPLY:
-		return name_fits(frame->order_reply->group);
+		return is_valid_name(frame->order_reply->group);
 	default:
 		return true;
 	}
@@ -78,22 +78,24 @@
 	Skh__Frame *frame;
 
 	if (bytes.len > SKH_WIRE_MAX_FRAME_BYTES) {
-		(void)skh_error_set(err, SKH_TOO_LARGE, "a frame of %zu bytes", bytes.len);
+		(void)skh_error_set(err, SKH_TOO_LARGE,
+				    "the frame of %zu bytes is over the size limit", bytes.len);
 		return NULL;
 	}
 	frame = skh__frame__unpack(NULL, bytes.len, bytes.data);
 	if (!frame) {
-		(void)skh_error_set(err, SKH_BAD_REQUEST, "not a frame");
+		(void)skh_error_set(err, SKH_BAD_REQUEST, "the message is not a protobuf Frame");
 		return NULL;
 	}
 	if (frame->version != SKH_WIRE_VERSION) {
-		(void)skh_error_set(err, SKH_BAD_REQUEST, "frame version %u is not spoken here",
+		(void)skh_error_set(err, SKH_BAD_REQUEST, "frame version %u is not supported",
 				    frame->version);
 		skh_wire_free(frame);
 		return NULL;
 	}
-	if ((frame->status && !status_fits(frame->status)) || !body_fits(frame)) {
-		(void)skh_error_set(err, SKH_BAD_REQUEST, "a field of the frame is out of range");
+	if ((frame->status && !is_valid_status(frame->status)) || !is_valid_body(frame)) {
+		(void)skh_error_set(err, SKH_BAD_REQUEST,
+				    "a field of the frame is too long or out of range");
 		skh_wire_free(frame);
 		return NULL;
 	}
--- a/src/wire.h
+++ b/src/wire.h
@@ -2,11 +2,13 @@
 #define SKH_WIRE_H
 
 /**
- * DOC: Frames
+ * DOC: Wire frames
  *
- * Packing and checked unpacking of the protobuf messages between processes
- * (proto/wire.proto). Whatever unpacks here is safe to use: texts are present,
- * sizes are bounded and the version is one that this process speaks.
+ * Packing and validated unpacking of the protobuf messages between processes
+ * (proto/wire.proto). An unpacked frame is safe to use: its texts are present,
+ * its sizes are bounded and its version is supported by this process. The
+ * functions keep no state and may be called from any thread; a socket belongs to
+ * its caller's thread.
  */
 
 #include "buffer.h"
@@ -20,35 +22,42 @@
 #define SKH_WIRE_VERSION	    1
 #define SKH_WIRE_MAX_FRAME_BYTES    (80U << 20)
 #define SKH_WIRE_MAX_NAME_BYTES	    256
-#define SKH_WIRE_LOCAL_TRANSFER_BIT (1ULL << 63) /* bit a sidecar uses for its own transfers */
+#define SKH_WIRE_LOCAL_TRANSFER_BIT (1ULL << 63) /* set in ids of a sidecar's own transfers */
 
-/** enum skh_phase - what a sidecar says about itself in its status */
+/** enum skh_phase - phase that a sidecar reports in its status */
 typedef enum skh_phase {
 	SKH_PHASE_STARTING,
 	SKH_PHASE_READY,
 	SKH_PHASE_LEAVING
 } skh_phase_t;
 
-/** skh_wire_set_option() - an integer option of a ZeroMQ socket */
+/** skh_wire_set_option() - set an integer option of a ZeroMQ socket; errors are ignored */
 void skh_wire_set_option(void *socket, int option, int value);
 
 /**
- * skh_wire_setup_router() - what the ROUTER sockets of both roles share
- * @linger_ms: how long closing waits for frames that are still queued
+ * skh_wire_setup_router() - set the options of a ROUTER socket of an entry or sidecar
+ * @socket: a ROUTER socket that is neither bound nor connected
+ * @linger_ms: time that closing waits for queued frames
  *
- * A frame is taken by a live connection or refused at once, a reconnecting
- * peer replaces its old connection, and whoever announces a frame over the
- * limit is dropped.
+ * A frame is queued only for a live connection, otherwise sending it fails at
+ * once. A reconnecting peer replaces its previous connection. A peer that
+ * announces a frame over SKH_WIRE_MAX_FRAME_BYTES is disconnected.
  */
 void skh_wire_setup_router(void *socket, int linger_ms);
 
-/** skh_wire_hash_request() - the same for each copy of a request, whoever sends it */
+/** skh_wire_hash_request() - content hash of a request, equal for copies from different senders */
 uint64_t skh_wire_hash_request(const Skh__Start *start);
 
 /** skh_wire_pack() - append the packed @frame to @out */
 void skh_wire_pack(const Skh__Frame *frame, skh_buffer_t *out);
 
-/** skh_wire_unpack() - checked frame, or NULL with @err; free with skh_wire_free() */
+/**
+ * skh_wire_unpack() - unpack and validate a frame
+ * @bytes: a packed frame
+ * @err: SKH_TOO_LARGE or SKH_BAD_REQUEST
+ *
+ * Return: a frame that is freed with skh_wire_free(), or NULL with @err.
+ */
 Skh__Frame *skh_wire_unpack(skh_chunk_t bytes, skh_error_t *err);
 void skh_wire_free(Skh__Frame *frame);
 
