--- a/src/inbox.c
+++ b/src/inbox.c
@@ -4,7 +4,7 @@
 
 struct skh_inbox {
 	GMutex lock;
-	GCond filled;
+	GCond not_empty;
 	GQueue events;
 };
 
@@ -13,7 +13,7 @@
 	skh_inbox_t *inbox = g_new0(skh_inbox_t, 1);
 
 	g_mutex_init(&inbox->lock);
-	g_cond_init(&inbox->filled);
+	g_cond_init(&inbox->not_empty);
 	g_queue_init(&inbox->events);
 	return inbox;
 }
@@ -26,7 +26,7 @@
 void skh_inbox_free(skh_inbox_t *inbox)
 {
 	g_queue_clear_full(&inbox->events, free_event);
-	g_cond_clear(&inbox->filled);
+	g_cond_clear(&inbox->not_empty);
 	g_mutex_clear(&inbox->lock);
 	g_free(inbox);
 }
@@ -35,18 +35,18 @@
 {
 	g_mutex_lock(&inbox->lock);
 	g_queue_push_tail(&inbox->events, event);
-	g_cond_signal(&inbox->filled);
+	g_cond_signal(&inbox->not_empty);
 	g_mutex_unlock(&inbox->lock);
 }
 
-/* g_cond_wait_until() counts on the monotonic clock, as our deadlines do. */
-skh_attempt_event_t *skh_inbox_pop(skh_inbox_t *inbox, int64_t until_us)
+/* g_cond_wait_until() takes a time of the monotonic clock, as all deadlines here are. */
+skh_attempt_event_t *skh_inbox_pop(skh_inbox_t *inbox, int64_t deadline_us)
 {
 	skh_attempt_event_t *event;
 
 	g_mutex_lock(&inbox->lock);
 	while (g_queue_is_empty(&inbox->events)) {
-		if (!g_cond_wait_until(&inbox->filled, &inbox->lock, until_us))
+		if (!g_cond_wait_until(&inbox->not_empty, &inbox->lock, deadline_us))
 			break;
 	}
 	event = g_queue_pop_head(&inbox->events);
