--- a/src/sidecar_link.h
+++ b/src/sidecar_link.h
@@ -2,10 +2,12 @@
 #define SKH_SIDECAR_LINK_H
 
 /**
- * DOC: Port
+ * DOC: Sidecar link
  *
- * A sidecar's side of the ZeroMQ connections: packs frames for entries, stamps
- * them with the sidecar's status and unpacks what entries send. One thread.
+ * A sidecar's side of the ZeroMQ connections to entries and other sidecars:
+ * owns the ROUTER socket, packs and sends frames, and receives and validates
+ * frames. All calls run on the sidecar's event loop thread and do not block,
+ * except for skh_sidecar_link_close().
  */
 
 #include "buffer.h"
@@ -17,28 +19,50 @@
 extern "C" {
 #endif
 
-#define SKH_SIDECAR_LINK_PEER_BYTES 256 /* longest routing id, with its NUL */
+#define SKH_SIDECAR_LINK_PEER_BYTES 256 /* longest routing id, including its NUL */
 
 typedef struct skh_sidecar_link skh_sidecar_link_t;
 
-/** skh_sidecar_link_open() - listen as the settings say; they are borrowed */
+/**
+ * skh_sidecar_link_open() - listen on the address in the settings
+ * @settings: borrowed until skh_sidecar_link_close()
+ * @err: SKH_CONFIG_INVALID when the address can't be bound
+ *
+ * Return: the link, or NULL with @err.
+ */
 skh_sidecar_link_t *skh_sidecar_link_open(const skh_settings_t *settings, skh_error_t *err);
 
-/** skh_sidecar_link_close() - waits a bounded time for frames that are still queued */
-void skh_sidecar_link_close(skh_sidecar_link_t *port);
+/** skh_sidecar_link_close() - close the link; waits a bounded time for queued frames */
+void skh_sidecar_link_close(skh_sidecar_link_t *link);
 
-/** skh_sidecar_link_connect() - reach the sidecar that listens at @address */
-void skh_sidecar_link_connect(skh_sidecar_link_t *port, const char *address);
+/** skh_sidecar_link_connect() - connect to the sidecar that listens at @address */
+void skh_sidecar_link_connect(skh_sidecar_link_t *link, const char *address);
 
-/** skh_sidecar_link_fd() - becomes readable when skh_sidecar_link_receive() may have something */
-int skh_sidecar_link_fd(const skh_sidecar_link_t *port);
+/**
+ * skh_sidecar_link_fd() - descriptor that becomes readable when frames may have arrived
+ *
+ * The descriptor is edge-triggered: call skh_sidecar_link_receive() until it
+ * returns NULL.
+ */
+int skh_sidecar_link_fd(const skh_sidecar_link_t *link);
 
-/** skh_sidecar_link_receive() - next good frame and its sender, or NULL when there is none */
-Skh__Frame *skh_sidecar_link_receive(skh_sidecar_link_t *port,
+/**
+ * skh_sidecar_link_receive() - next valid frame; invalid ones are counted and dropped
+ * @peer: set to the routing id of the sender
+ *
+ * Return: a frame that is freed with skh_wire_free(), or NULL when none has arrived.
+ */
+Skh__Frame *skh_sidecar_link_receive(skh_sidecar_link_t *link,
 				     char peer[SKH_SIDECAR_LINK_PEER_BYTES]);
 
-/** skh_sidecar_link_send() - false when @peer is not connected */
-bool skh_sidecar_link_send(skh_sidecar_link_t *port, const char *peer, Skh__Frame *frame);
+/**
+ * skh_sidecar_link_send() - queue a frame for a peer
+ * @peer: routing id
+ * @frame: borrowed; its version is set here
+ *
+ * Return: false when the frame was not queued, such as when @peer is not connected.
+ */
+bool skh_sidecar_link_send(skh_sidecar_link_t *link, const char *peer, Skh__Frame *frame);
 
 #ifdef __cplusplus
 }
