--- a/src/frame_sender.h
+++ b/src/frame_sender.h
@@ -2,10 +2,12 @@
 #define SKH_FRAME_SENDER_H
 
 /**
- * DOC: What a sidecar tells entries
+ * DOC: Frame sender
  *
- * Each function sends one frame. The sidecar's status rides on every frame but
- * those of a running answer, and the configuration's revision on all.
+ * Builds the frames that a sidecar sends to entries; each function sends one.
+ * Every frame carries the revision of the active configuration and every frame
+ * except Data the sidecar's status. All calls run on the sidecar's event loop
+ * thread and do not block. A frame to an entry that is not connected is dropped.
  */
 
 #include "board.h"
@@ -18,34 +20,41 @@
 extern "C" {
 #endif
 
-/** struct skh_frame_sender - what the frames are made from; all borrowed */
+/** struct skh_frame_sender - sources of the frames' contents; all borrowed */
 typedef struct skh_frame_sender {
 	const skh_settings_t *settings;
 	skh_board_t *board;
 	skh_sidecar_link_t *port;
 	skh_gate_t *gate;
-	uint64_t incarnation;
-	skh_engine_t *engine; /* NULL where there are no reports */
+	uint64_t incarnation; /* random number of this sidecar process */
+	skh_engine_t *engine; /* NULL if the backend server sends no load reports */
 } skh_frame_sender_t;
 
-void skh_frame_sender_send_status(const skh_frame_sender_t *teller, const char *entry);
+/** skh_frame_sender_send_status() - send a frame with only the status and the revision */
+void skh_frame_sender_send_status(const skh_frame_sender_t *sender, const char *entry);
 
-/** skh_frame_sender_send_rejected() - @attempt did not start and never will */
-void skh_frame_sender_send_rejected(const skh_frame_sender_t *teller, const char *entry,
+/**
+ * skh_frame_sender_send_rejected() - report that an attempt did not start and never will
+ * @entry: routing id of the entry
+ * @err: reason; the entry may retry at its retry time, or after a default delay if that is 0
+ */
+void skh_frame_sender_send_rejected(const skh_frame_sender_t *sender, const char *entry,
 				    uint64_t attempt, const skh_error_t *err);
-void skh_frame_sender_send_started(const skh_frame_sender_t *teller, const char *entry,
+
+/** skh_frame_sender_send_started() - report that the backend server was sent @attempt */
+void skh_frame_sender_send_started(const skh_frame_sender_t *sender, const char *entry,
 				   uint64_t attempt);
 
-/** skh_frame_sender_send_data() - false when @entry is not connected */
-bool skh_frame_sender_send_data(const skh_frame_sender_t *teller, const char *entry,
+/** skh_frame_sender_send_data() - send part of a response; false when @entry is not connected */
+bool skh_frame_sender_send_data(const skh_frame_sender_t *sender, const char *entry,
 				Skh__Data *data);
 
 /**
- * struct skh_attempt_result - how an attempt ended
- * @pieces: data frames sent before
- * @err: NULL when the answer is whole
- * @replayed: the answer was recorded by an earlier run
- * @crash: the backend server's crash that ended it; 0 for none
+ * struct skh_attempt_result - result of an attempt that was started
+ * @n_data_frames: data frames sent for the attempt
+ * @err: NULL when the response is complete
+ * @replayed: the response was recorded by an earlier run
+ * @crash_id: backend server crash that ended the attempt; 0 for none
  */
 typedef struct skh_attempt_result {
 	uint64_t attempt;
@@ -55,9 +64,9 @@
 	uint64_t crash_id;
 } skh_attempt_result_t;
 
-/** skh_frame_sender_send_end() - nothing follows */
-void skh_frame_sender_send_end(const skh_frame_sender_t *teller, const char *entry,
-			       const skh_attempt_result_t *ending);
+/** skh_frame_sender_send_end() - send an attempt's last frame */
+void skh_frame_sender_send_end(const skh_frame_sender_t *sender, const char *entry,
+			       const skh_attempt_result_t *result);
 
 #ifdef __cplusplus
 }
