--- a/src/http.c
+++ b/src/http.c
@@ -11,15 +11,15 @@
 #include <string.h>
 
 #define BYTES_PER_KIB	       1024
-#define READ_BYTES	       8192
-#define MAX_HEADER_BYTES       "16384"
-#define IDLE_CONNECTION_MS     "2000"
+#define READ_CHUNK_BYTES       8192
+#define MAX_HEADERS_BYTES      "16384"
+#define IDLE_TIMEOUT_MS	       "2000"
 #define REQUEST_TIMEOUT_MS     "30000"
-#define CONNECTION_QUEUE       "1024"
+#define MAX_QUEUED_CONNECTIONS "1024"
 #define HTTP_NO_CONTENT	       204
 #define HTTP_HEADERS_TOO_LARGE 431
-#define HTTP_TOO_LARGE	       413
-#define PROBLEM_TYPE	       "application/problem+json"
+#define HTTP_CONTENT_TOO_LARGE 413
+#define PROBLEM_CONTENT_TYPE   "application/problem+json"
 
 struct skh_http_server {
 	struct mg_context *context;
@@ -33,10 +33,10 @@
 	struct mg_connection *connection;
 	const struct mg_request_info *info;
 	skh_buffer_t extra_headers;
-	bool close_after;
+	bool close_connection;
 };
 
-static int on_request(struct mg_connection *connection, void *context)
+static int handle_request(struct mg_connection *connection, void *context)
 {
 	skh_http_server_t *server = context;
 	skh_http_request_t request = {
@@ -51,8 +51,9 @@
 	return 1;
 }
 
-/* What CivetWeb itself refuses, such as oversize headers, reads like our own errors. */
-static int on_library_error(struct mg_connection *connection, int status, const char *message)
+/* Responds with problem+json also to requests that CivetWeb rejects, such as oversize headers. */
+static int respond_to_library_error(struct mg_connection *connection, int status,
+				    const char *message)
 {
 	skh_http_request_t request = { .connection = connection,
 				       .info = mg_get_request_info(connection),
@@ -60,13 +61,13 @@
 	skh_error_t err;
 	skh_error_kind_t kind = SKH_BAD_REQUEST;
 
-	if (status == HTTP_HEADERS_TOO_LARGE || status == HTTP_TOO_LARGE)
+	if (status == HTTP_HEADERS_TOO_LARGE || status == HTTP_CONTENT_TOO_LARGE)
 		kind = SKH_TOO_LARGE;
 	else if (status >= 500)
 		kind = SKH_INTERNAL;
-	/* CivetWeb does not tell apart what is malformed and what is too long. */
+	/* CivetWeb reports malformed requests and oversize headers with the same status. */
 	if (kind == SKH_BAD_REQUEST)
-		message = "the request is malformed, or its headers are over " MAX_HEADER_BYTES
+		message = "the request is malformed, or its headers are over " MAX_HEADERS_BYTES
 			  " bytes";
 	(void)skh_error_set(&err, kind, "%s", message && *message ? message : "refused");
 	err.run_state = SKH_RUN_NOT_RUN;
@@ -76,29 +77,30 @@
 	return 0;
 }
 
-static int keep_quiet(const struct mg_connection *connection, const char *message)
+static int discard_log_message(const struct mg_connection *connection, const char *message)
 {
 	(void)connection;
 	(void)message;
 	return 1;
 }
 
-/* CivetWeb makes its threads with default attributes, so the default is set for a moment. */
-static struct mg_context *start_with_stack(const skh_http_options_t *options, const char **list,
-					   struct mg_callbacks *callbacks,
-					   skh_http_server_t *server)
+/* CivetWeb creates threads with default attributes, so the default is changed during the start. */
+static struct mg_context *start_with_stack_size(const skh_http_options_t *options,
+						const char **civetweb_options,
+						struct mg_callbacks *callbacks,
+						skh_http_server_t *server)
 {
 	pthread_attr_t old;
-	pthread_attr_t small;
+	pthread_attr_t sized;
 	struct mg_context *context;
 
 	(void)pthread_getattr_default_np(&old);
-	(void)pthread_attr_init(&small);
-	(void)pthread_attr_setstacksize(&small, (size_t)options->stack_kib * BYTES_PER_KIB);
-	(void)pthread_setattr_default_np(&small);
-	context = mg_start(callbacks, server, list);
+	(void)pthread_attr_init(&sized);
+	(void)pthread_attr_setstacksize(&sized, (size_t)options->stack_kib * BYTES_PER_KIB);
+	(void)pthread_setattr_default_np(&sized);
+	context = mg_start(callbacks, server, civetweb_options);
 	(void)pthread_setattr_default_np(&old);
-	(void)pthread_attr_destroy(&small);
+	(void)pthread_attr_destroy(&sized);
 	(void)pthread_attr_destroy(&old);
 	return context;
 }
@@ -108,7 +110,7 @@
 {
 	skh_http_server_t *server = g_new0(skh_http_server_t, 1);
 	g_autofree char *threads = g_strdup_printf("%" PRId64, options->threads);
-	const char *list[] = {
+	const char *civetweb_options[] = {
 		"listening_ports",
 		options->listen,
 		"num_threads",
@@ -116,33 +118,33 @@
 		"enable_keep_alive",
 		"yes",
 		"keep_alive_timeout_ms",
-		IDLE_CONNECTION_MS,
+		IDLE_TIMEOUT_MS,
 		"request_timeout_ms",
 		REQUEST_TIMEOUT_MS,
 		"max_request_size",
-		MAX_HEADER_BYTES,
+		MAX_HEADERS_BYTES,
 		"connection_queue",
-		CONNECTION_QUEUE,
+		MAX_QUEUED_CONNECTIONS,
 		"listen_backlog",
-		CONNECTION_QUEUE,
+		MAX_QUEUED_CONNECTIONS,
 		"tcp_nodelay",
 		"1",
 		NULL,
 	};
-	struct mg_callbacks callbacks = { .http_error = on_library_error,
-					  .log_message = keep_quiet };
+	struct mg_callbacks callbacks = { .http_error = respond_to_library_error,
+					  .log_message = discard_log_message };
 
 	server->handler = handler;
 	server->handler_context = context;
 	server->max_body_bytes = options->max_body_bytes;
 	(void)mg_init_library(0);
-	server->context = start_with_stack(options, list, &callbacks, server);
+	server->context = start_with_stack_size(options, civetweb_options, &callbacks, server);
 	if (!server->context) {
 		(void)skh_error_set(err, SKH_CONFIG_INVALID, "can't listen on %s", options->listen);
 		g_free(server);
 		return NULL;
 	}
-	mg_set_request_handler(server->context, "/", on_request, server);
+	mg_set_request_handler(server->context, "/", handle_request, server);
 	return server;
 }
 
@@ -175,28 +177,29 @@
 
 bool skh_http_read_body(skh_http_request_t *request, skh_buffer_t *body, skh_error_t *err)
 {
-	int64_t limit = request->server->max_body_bytes;
-	int64_t announced = request->info->content_length;
-	char bytes[READ_BYTES];
+	int64_t max_bytes = request->server->max_body_bytes;
+	int64_t content_length = request->info->content_length;
+	char bytes[READ_CHUNK_BYTES];
 	int n = 0;
 
-	if (announced > limit) {
+	if (content_length > max_bytes) {
 		skh_http_disable_keep_alive(request);
 		return skh_error_set(err, SKH_TOO_LARGE,
-				     "the body is over the limit of %" PRId64 " bytes", limit);
+				     "the body is over the limit of %" PRId64 " bytes", max_bytes);
 	}
 	while ((n = mg_read(request->connection, bytes, sizeof(bytes))) > 0) {
 		skh_buffer_append(body, skh_chunk_make(bytes, (size_t)n));
-		if ((int64_t)body->len > limit) {
+		if ((int64_t)body->len > max_bytes) {
 			skh_http_disable_keep_alive(request);
 			return skh_error_set(err, SKH_TOO_LARGE,
 					     "the body is over the limit of %" PRId64 " bytes",
-					     limit);
+					     max_bytes);
 		}
 	}
-	if (n < 0 || (announced >= 0 && (int64_t)body->len < announced)) {
+	if (n < 0 || (content_length >= 0 && (int64_t)body->len < content_length)) {
 		skh_http_disable_keep_alive(request);
-		return skh_error_set(err, SKH_BAD_REQUEST, "the body is shorter than announced");
+		return skh_error_set(err, SKH_BAD_REQUEST,
+				     "the body ended before its announced length");
 	}
 	return true;
 }
@@ -208,19 +211,19 @@
 
 void skh_http_disable_keep_alive(skh_http_request_t *request)
 {
-	request->close_after = true;
+	request->close_connection = true;
 	mg_disable_connection_keep_alive(request->connection);
 }
 
-static void append_head(skh_http_request_t *request, int32_t status, const char *content_type,
-			skh_buffer_t *out)
+static void append_response_head(skh_http_request_t *request, int32_t status,
+				 const char *content_type, skh_buffer_t *out)
 {
 	skh_buffer_printf(out, "HTTP/1.1 %d %s\r\n", status,
 			  mg_get_response_code_text(request->connection, status));
 	if (content_type && *content_type)
 		skh_buffer_printf(out, "Content-Type: %s\r\n", content_type);
 	skh_buffer_append(out, skh_buffer_chunk(&request->extra_headers));
-	if (request->close_after)
+	if (request->close_connection)
 		skh_buffer_append_string(out, "Connection: close\r\n");
 }
 
@@ -235,7 +238,7 @@
 	skh_buffer_t out = SKH_BUFFER_INIT;
 	bool sent;
 
-	append_head(request, status, content_type, &out);
+	append_response_head(request, status, content_type, &out);
 	if (status != HTTP_NO_CONTENT)
 		skh_buffer_printf(&out, "Content-Length: %zu\r\n", body.len);
 	skh_buffer_append_string(&out, "\r\n");
@@ -260,15 +263,15 @@
 	json_decref(problem);
 }
 
-/* Seconds until the retry time, rounded up so that coming back then is not early. */
+/* Seconds until the retry time, rounded up so that the client does not retry too early. */
 static void add_retry_after(skh_http_request_t *request, const skh_error_t *err)
 {
-	int64_t wait_us = err->retry_at_us - skh_clock_now_us();
+	int64_t delay_us = err->retry_at_us - skh_clock_now_us();
 	g_autofree char *seconds = NULL;
 
 	if (err->retry_at_us == 0)
 		return;
-	seconds = g_strdup_printf("%" PRId64, MAX((wait_us + SKH_US_PER_S - 1) / SKH_US_PER_S, 1));
+	seconds = g_strdup_printf("%" PRId64, MAX((delay_us + SKH_US_PER_S - 1) / SKH_US_PER_S, 1));
 	skh_http_add_header(request, "Retry-After", seconds);
 }
 
@@ -278,7 +281,7 @@
 
 	skh_http_append_problem(err, &body);
 	add_retry_after(request, err);
-	(void)skh_http_respond(request, skh_error_kind_http_status(err->kind), PROBLEM_TYPE,
+	(void)skh_http_respond(request, skh_error_kind_http_status(err->kind), PROBLEM_CONTENT_TYPE,
 			       skh_buffer_chunk(&body));
 	skh_buffer_free(&body);
 }
@@ -288,7 +291,7 @@
 	skh_buffer_t out = SKH_BUFFER_INIT;
 	bool sent;
 
-	append_head(request, status, content_type, &out);
+	append_response_head(request, status, content_type, &out);
 	skh_buffer_append_string(&out, "Cache-Control: no-cache\r\n"
 				       "Transfer-Encoding: chunked\r\n\r\n");
 	sent = write_all(request, skh_buffer_chunk(&out));
