--- a/test/claim_test.cc
+++ b/test/claim_test.cc
@@ -1,4 +1,6 @@
-// At most once: records, their verdicts, and batches under lost answers.
+// Claim records, the decisions made from them, and batches of writes whose
+// responses are lost. A wrong decision or a wrongly reported write would let a
+// non-idempotent request run twice.
 #include "batch.h"
 #include "claim.h"
 #include "fake_store.h"
@@ -14,7 +16,7 @@
 
 constexpr int64_t kNowMs = 1764800000000;
 
-std::string key_of(int64_t unix_ms)
+std::string make_key(int64_t unix_ms)
 {
 	char text[64];
 
@@ -24,28 +26,28 @@
 	return text;
 }
 
-skh_error_kind_t check(const std::string &key)
+skh_error_kind_t check_key(const std::string &key)
 {
 	skh_error_t err = {};
 
 	return skh_claim_check_key(key.c_str(), kNowMs, &err) ? SKH_OK : err.kind;
 }
 
-TEST(Claim, OnlyKeysYoungerThanTheHorizonAreTaken)
+TEST(Claim, AcceptsOnlyKeysWithinTheMaximumAge)
 {
-	EXPECT_EQ(check(key_of(kNowMs)), SKH_OK);
-	EXPECT_EQ(check(key_of(kNowMs - SKH_CLAIM_MAX_KEY_AGE_MS)), SKH_OK);
-	EXPECT_EQ(check(key_of(kNowMs - SKH_CLAIM_MAX_KEY_AGE_MS - 1)), SKH_KEY_EXPIRED);
-	EXPECT_EQ(check(key_of(kNowMs + 2 * SKH_CLAIM_MAX_CLOCK_SKEW_MS)), SKH_BAD_REQUEST);
-	EXPECT_EQ(check("sale-1"), SKH_BAD_REQUEST);
-	EXPECT_EQ(check("01234567-89ab-4abc-8def-0123456789ab"), SKH_BAD_REQUEST);
-	EXPECT_EQ(check("01234567-89ab-7abc-8def-0123456789aZ"), SKH_BAD_REQUEST);
+	EXPECT_EQ(check_key(make_key(kNowMs)), SKH_OK);
+	EXPECT_EQ(check_key(make_key(kNowMs - SKH_CLAIM_MAX_KEY_AGE_MS)), SKH_OK);
+	EXPECT_EQ(check_key(make_key(kNowMs - SKH_CLAIM_MAX_KEY_AGE_MS - 1)), SKH_KEY_EXPIRED);
+	EXPECT_EQ(check_key(make_key(kNowMs + 2 * SKH_CLAIM_MAX_CLOCK_SKEW_MS)), SKH_BAD_REQUEST);
+	EXPECT_EQ(check_key("sale-1"), SKH_BAD_REQUEST);
+	EXPECT_EQ(check_key("01234567-89ab-4abc-8def-0123456789ab"), SKH_BAD_REQUEST);
+	EXPECT_EQ(check_key("01234567-89ab-7abc-8def-0123456789aZ"), SKH_BAD_REQUEST);
 }
 
-TEST(Claim, ARecordComesBackAsItWas)
+TEST(Claim, RecordSurvivesEncodingAndDecoding)
 {
 	skh_claim_t claim = {};
-	skh_claim_t back = {};
+	skh_claim_t decoded = {};
 	skh_error_t err = {};
 	const std::string bytes("\0\x01\xff sold", 8);
 
@@ -57,18 +59,19 @@
 	claim.has_response = true;
 	skh_buffer_append(&claim.response, skh_chunk_make(bytes.data(), bytes.size()));
 	char *text = skh_claim_encode(&claim);
-	ASSERT_TRUE(skh_claim_decode(text, &back, &err));
-	EXPECT_EQ(back.state, SKH_CLAIM_DONE);
-	EXPECT_EQ(back.body_hash, claim.body_hash);
-	EXPECT_EQ(back.status, 201);
-	EXPECT_EQ(std::string(reinterpret_cast<char *>(back.response.data), back.response.len),
-		  bytes);
+	ASSERT_TRUE(skh_claim_decode(text, &decoded, &err));
+	EXPECT_EQ(decoded.state, SKH_CLAIM_DONE);
+	EXPECT_EQ(decoded.body_hash, claim.body_hash);
+	EXPECT_EQ(decoded.status, 201);
+	EXPECT_EQ(
+		std::string(reinterpret_cast<char *>(decoded.response.data), decoded.response.len),
+		bytes);
 	g_free(text);
 	skh_claim_clear(&claim);
-	skh_claim_clear(&back);
+	skh_claim_clear(&decoded);
 }
 
-TEST(Claim, AnUnreadableRecordIsUnknown)
+TEST(Claim, MalformedRecordMeansOutcomeUnknown)
 {
 	skh_claim_t claim = {};
 	skh_error_t err = {};
@@ -77,7 +80,7 @@
 	EXPECT_EQ(err.run_state, SKH_RUN_UNKNOWN);
 }
 
-TEST(Claim, OnlyARecordThatSaysNotRunMayBeReplaced)
+TEST(Claim, OnlyANotRunRecordMayBeReplaced)
 {
 	char owner[] = "other";
 	skh_claim_t found = {};
@@ -95,8 +98,8 @@
 	EXPECT_EQ(skh_claim_decide(&found, "me", 6), SKH_CLAIM_DECISION_KEY_REUSED);
 }
 
-struct Writes {
-	explicit Writes(size_t n, const std::string &owner) : list(n)
+struct WriteList {
+	explicit WriteList(size_t n, const std::string &owner) : list(n)
 	{
 		for (size_t i = 0; i < n; i++) {
 			keys.push_back("k" + std::to_string(i));
@@ -109,7 +112,7 @@
 		}
 	}
 
-	~Writes()
+	~WriteList()
 	{
 		for (auto &write : list)
 			g_free(write.found_value);
@@ -120,10 +123,10 @@
 	std::vector<skh_write_t> list;
 };
 
-TEST(Batch, OneTransactionCarriesManyClaims)
+TEST(Batch, WritesManyClaimsInOneTransaction)
 {
 	FakeStore store;
-	Writes writes(SKH_BATCH_MAX_WRITES, "a");
+	WriteList writes(SKH_BATCH_MAX_WRITES, "a");
 
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
 	EXPECT_EQ(store.n_txns, 1);
@@ -131,11 +134,11 @@
 		EXPECT_EQ(write.state, SKH_WRITE_DONE);
 }
 
-TEST(Batch, AClaimThatLosesDoesNotTakeTheOthersWithIt)
+TEST(Batch, ConflictDoesNotFailTheOtherWrites)
 {
 	FakeStore store;
-	Writes rival(1, "rival");
-	Writes writes(8, "a");
+	WriteList rival(1, "rival");
+	WriteList writes(8, "a");
 
 	skh_batch_run(&store.base, rival.list.data(), 1);
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
@@ -145,10 +148,10 @@
 		EXPECT_EQ(writes.list[i].state, SKH_WRITE_DONE);
 }
 
-TEST(Batch, AnAnswerLostAfterTheWriteIsSettledByReadingBack)
+TEST(Batch, ReadsBackAfterALostResponse)
 {
 	FakeStore store;
-	Writes writes(4, "a");
+	WriteList writes(4, "a");
 
 	store.lose_answer_of_txn = 1;
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
@@ -157,10 +160,10 @@
 	EXPECT_EQ(store.n_txns, 2);
 }
 
-TEST(Batch, AWriteThatWasDroppedIsWrittenAgain)
+TEST(Batch, RetriesADroppedTransaction)
 {
 	FakeStore store;
-	Writes writes(4, "a");
+	WriteList writes(4, "a");
 
 	store.drop_txn = 1;
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
@@ -168,10 +171,10 @@
 		EXPECT_EQ(write.state, SKH_WRITE_DONE);
 }
 
-TEST(Batch, ALostAnswerDuringAnOutageStaysUnknown)
+TEST(Batch, LostResponseDuringAnOutageStaysUnknown)
 {
 	FakeStore store;
-	Writes writes(2, "a");
+	WriteList writes(2, "a");
 
 	store.lose_answer_of_txn = 1;
 	store.down_after_loss = true;
@@ -182,10 +185,10 @@
 	}
 }
 
-TEST(Batch, AnOutageIsCertain)
+TEST(Batch, OutageMeansNothingWasStored)
 {
 	FakeStore store;
-	Writes writes(2, "a");
+	WriteList writes(2, "a");
 
 	store.down = true;
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
@@ -194,16 +197,17 @@
 	EXPECT_TRUE(store.values.empty());
 }
 
-// Differential: whatever is lost, each key has one winner, and every writer
-// that is told it won is the one whose value the naive store would hold.
-RC_GTEST_PROP(Batch, EachKeyHasOneWinnerUnderAnyLoss, ())
+// Compares batches with a map of the reported winners: whichever responses or
+// transactions are lost, each key is won once, and the store holds the value
+// of the writer that was told it won.
+RC_GTEST_PROP(Batch, EachKeyHasOneWinnerWhateverIsLost, ())
 {
 	FakeStore store;
-	std::map<std::string, std::string> naive;
+	std::map<std::string, std::string> winners;
 
 	for (int round = 0; round < 12; round++) {
 		const size_t n = *rc::gen::inRange(1, 6);
-		Writes writes(n, "r" + std::to_string(round) + "-");
+		WriteList writes(n, "r" + std::to_string(round) + "-");
 
 		store.lose_answer_of_txn = *rc::gen::inRange(0, 3) == 0 ? store.n_txns + 1 : 0;
 		store.drop_txn = *rc::gen::inRange(0, 3) == 0 ? store.n_txns + 1 : 0;
@@ -212,13 +216,13 @@
 			const skh_write_t &write = writes.list[i];
 
 			if (write.state == SKH_WRITE_DONE)
-				RC_ASSERT(naive.emplace(write.key, write.value).second);
+				RC_ASSERT(winners.emplace(write.key, write.value).second);
 			if (write.state == SKH_WRITE_CONFLICT)
-				RC_ASSERT(naive.at(write.key) == write.found_value);
+				RC_ASSERT(winners.at(write.key) == write.found_value);
 			RC_ASSERT(write.state != SKH_WRITE_PENDING);
 		}
 	}
-	for (const auto &[key, value] : naive)
+	for (const auto &[key, value] : winners)
 		RC_ASSERT(store.values.at(key).value == value);
 }
 
--- a/test/wire_test.cc
+++ b/test/wire_test.cc
@@ -1,4 +1,5 @@
-// Frames from outside: what unpacks is safe, what is hostile is refused.
+// Unpacking of frames from other processes: truncated, damaged or malicious
+// input must be rejected or give a frame whose fields are safe to use.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -20,17 +21,17 @@
 	return bytes;
 }
 
-bool unpacks(const std::vector<uint8_t> &bytes, skh_error_kind_t *kind = nullptr)
+bool can_unpack(const std::vector<uint8_t> &bytes, skh_error_kind_t *kind = nullptr)
 {
 	skh_error_t err = {};
 	Skh__Frame *frame = skh_wire_unpack(skh_chunk_make(bytes.data(), bytes.size()), &err);
-	const bool good = frame != nullptr;
+	const bool is_valid = frame != nullptr;
 
 	if (frame)
 		skh_wire_free(frame);
 	if (kind)
 		*kind = err.kind;
-	return good;
+	return is_valid;
 }
 
 struct StartFrame {
@@ -50,52 +51,54 @@
 	uint8_t body[4] = { 1, 2, 3, 4 };
 };
 
-TEST(Wire, AFrameComesBackAsItWas)
+TEST(Wire, FrameSurvivesPackingAndUnpacking)
 {
-	StartFrame out;
-	const std::vector<uint8_t> bytes = pack(out.frame);
+	StartFrame sent;
+	const std::vector<uint8_t> bytes = pack(sent.frame);
 	skh_error_t err = {};
-	Skh__Frame *in = skh_wire_unpack(skh_chunk_make(bytes.data(), bytes.size()), &err);
-
-	ASSERT_NE(in, nullptr);
-	EXPECT_EQ(in->start->attempt, 5U);
-	EXPECT_STREQ(in->start->path, "/v1/completions");
-	EXPECT_EQ(in->start->body.len, 4U);
-	EXPECT_STREQ(in->start->customer, "");
-	skh_wire_free(in);
+	Skh__Frame *received = skh_wire_unpack(skh_chunk_make(bytes.data(), bytes.size()), &err);
+
+	ASSERT_NE(received, nullptr);
+	EXPECT_EQ(received->start->attempt, 5U);
+	EXPECT_STREQ(received->start->path, "/v1/completions");
+	EXPECT_EQ(received->start->body.len, 4U);
+	EXPECT_STREQ(received->start->customer, "");
+	skh_wire_free(received);
 }
 
-TEST(Wire, AnotherVersionIsRefused)
+TEST(Wire, RejectsAnotherVersion)
 {
-	StartFrame out;
+	StartFrame sent;
 	skh_error_kind_t kind;
 
-	out.frame.version = SKH_WIRE_VERSION + 1;
-	EXPECT_FALSE(unpacks(pack(out.frame), &kind));
+	sent.frame.version = SKH_WIRE_VERSION + 1;
+	EXPECT_FALSE(can_unpack(pack(sent.frame), &kind));
 	EXPECT_EQ(kind, SKH_BAD_REQUEST);
 }
 
-TEST(Wire, AFieldOfANewerPeerIsIgnored)
+TEST(Wire, IgnoresFieldsOfNewerPeers)
 {
-	StartFrame out;
-	std::vector<uint8_t> bytes = pack(out.frame);
-	const std::vector<uint8_t> unknown = { 0xfa, 0x3f, 0x02, 'h', 'i' }; /* field 1023 */
+	StartFrame sent;
+	std::vector<uint8_t> bytes = pack(sent.frame);
+	const std::vector<uint8_t> unknown_field = { 0xfa, 0x3f, 0x02, 'h', 'i' }; /* field 1023 */
 
-	bytes.insert(bytes.end(), unknown.begin(), unknown.end());
-	EXPECT_TRUE(unpacks(bytes));
+	bytes.insert(bytes.end(), unknown_field.begin(), unknown_field.end());
+	EXPECT_TRUE(can_unpack(bytes));
 }
 
-TEST(Wire, EveryTruncationIsRefusedOrHarmless)
+TEST(Wire, TruncatedFrameNeverBecomesAStart)
 {
-	StartFrame out;
-	const std::vector<uint8_t> whole = pack(out.frame);
+	StartFrame sent;
+	const std::vector<uint8_t> packed = pack(sent.frame);
 
-	for (size_t len = 0; len < whole.size(); len++) {
-		std::vector<uint8_t> part(whole.begin(), whole.begin() + static_cast<long>(len));
+	for (size_t len = 0; len < packed.size(); len++) {
+		std::vector<uint8_t> prefix(packed.begin(),
+					    packed.begin() + static_cast<long>(len));
 
-		/* The version stands first, so a prefix may be an empty frame, never a Start. */
+		/* The version is packed first, so a prefix may be a frame without a body, but no Start. */
 		skh_error_t err = {};
-		Skh__Frame *frame = skh_wire_unpack(skh_chunk_make(part.data(), part.size()), &err);
+		Skh__Frame *frame =
+			skh_wire_unpack(skh_chunk_make(prefix.data(), prefix.size()), &err);
 		if (frame) {
 			EXPECT_NE(frame->body_case, SKH__FRAME__BODY_START);
 			skh_wire_free(frame);
@@ -103,37 +106,37 @@
 	}
 }
 
-TEST(Wire, OversizeNamesAndReservedNumbersAreRefused)
+TEST(Wire, RejectsOversizeNamesAndReservedNumbers)
 {
-	StartFrame out;
+	StartFrame sent;
 	std::string name(SKH_WIRE_MAX_NAME_BYTES + 1, 'x');
 
-	out.start.customer = name.data();
-	EXPECT_FALSE(unpacks(pack(out.frame)));
-	StartFrame zero;
-	zero.start.attempt = 0;
-	EXPECT_FALSE(unpacks(pack(zero.frame)));
-	StartFrame reserved;
-	reserved.start.attempt = SKH_WIRE_LOCAL_TRANSFER_BIT | 1;
-	EXPECT_FALSE(unpacks(pack(reserved.frame)));
+	sent.start.customer = name.data();
+	EXPECT_FALSE(can_unpack(pack(sent.frame)));
+	StartFrame zero_attempt;
+	zero_attempt.start.attempt = 0;
+	EXPECT_FALSE(can_unpack(pack(zero_attempt.frame)));
+	StartFrame reserved_attempt;
+	reserved_attempt.start.attempt = SKH_WIRE_LOCAL_TRANSFER_BIT | 1;
+	EXPECT_FALSE(can_unpack(pack(reserved_attempt.frame)));
 }
 
-RC_GTEST_PROP(Wire, AnyBytesAreRefusedOrSafe, (const std::vector<uint8_t> &bytes))
+RC_GTEST_PROP(Wire, RejectsOrSafelyUnpacksAnyBytes, (const std::vector<uint8_t> &bytes))
 {
-	(void)unpacks(bytes);
+	(void)can_unpack(bytes);
 }
 
-RC_GTEST_PROP(Wire, AnyDamageIsRefusedOrSafe, ())
+RC_GTEST_PROP(Wire, RejectsOrSafelyUnpacksDamagedFrames, ())
 {
-	StartFrame out;
-	std::vector<uint8_t> bytes = pack(out.frame);
+	StartFrame sent;
+	std::vector<uint8_t> bytes = pack(sent.frame);
 
 	for (int i = 0; i < 3; i++) {
-		const auto at = *rc::gen::inRange<size_t>(0, bytes.size());
+		const auto offset = *rc::gen::inRange<size_t>(0, bytes.size());
 
-		bytes[at] = *rc::gen::arbitrary<uint8_t>();
+		bytes[offset] = *rc::gen::arbitrary<uint8_t>();
 	}
-	(void)unpacks(bytes);
+	(void)can_unpack(bytes);
 }
 
 } // namespace
