--- a/src/backend.h
+++ b/src/backend.h
@@ -49,7 +49,8 @@
 /**
  * struct skh_backend_ops - operations that a protocol implements
  *
- * @id and @attempt number the transfer in @fetch, times are monotonic microseconds.
+ * @fetch carries out the transfers, @id is the number of the new transfer, and
+ * times are monotonic microseconds.
  */
 typedef struct skh_backend_ops {
 	/* Send one attempt's request; its transfer has the attempt's number. */
@@ -63,7 +64,7 @@
 				skh_chunk_t chunk, skh_buffer_t *out);
 	/* Whether a response that ended without a transfer error is complete. */
 	bool (*is_complete)(const skh_response_parser_t *parser, int32_t status);
-	/* Stop work on an attempt whose transfer was closed. */
+	/* Make the backend server stop work on @attempt, whose transfer was closed. */
 	void (*cancel)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t attempt, uint64_t id,
 		       int64_t now_us);
 	/* Send one step of a map switch to the engine; NULL if the protocol has no orders. */
