--- a/src/admin.h
+++ b/src/admin.h
@@ -4,8 +4,10 @@
 /**
  * DOC: Administration listener
  *
- * Health, readiness, metrics and status of one process, on an address of its
- * own.
+ * HTTP server for the health, readiness, metrics, status and configuration
+ * routes of one process, on an address separate from the one for requests. Each
+ * request is handled on a thread of the listener, several at a time, so the
+ * functions of &skh_admin_ops_t must be safe to call concurrently.
  */
 
 #include "access.h"
@@ -21,33 +23,48 @@
 
 typedef struct skh_admin skh_admin_t;
 
-/** struct skh_admin_ops - what the process behind the listener provides */
+/** struct skh_admin_ops - callbacks into the process that the listener administers */
 typedef struct skh_admin_ops {
 	bool (*is_ready)(void *context);
 	/* Returns a new JSON object. */
 	json_t *(*get_status)(void *context);
-	/* Take no new work from now on, or again; NULL where that can't be asked. */
+	/* Starts (@drain true) or ends draining; NULL when the process can't be drained. */
 	void (*set_draining)(void *context, bool drain);
-	/* Queue the order that @body names; NULL where there is no engine. */
+	/* Queues the engine order in @body; NULL when the process has no engine. */
 	bool (*enqueue_order)(void *context, const json_t *body, skh_error_t *err);
-	/* Returns a new JSON array of suspected requests; NULL where none are kept. */
+	/* Returns a new JSON array of crash suspects; NULL when the process tracks none. */
 	json_t *(*list_suspects)(void *context);
-	/* Hold nothing against the request with hash @content; true when something was. */
+	/* Clears the crash suspect with hash @content; true when the hash was a suspect. */
 	bool (*clear_suspect)(void *context, const char *content);
 } skh_admin_ops_t;
 
 /**
- * skh_admin_start() - listen and answer
- * @board: the configuration in force names who may do what
- * @control: for the whole system; NULL where it is not offered
+ * skh_admin_start() - start the listener and its threads
+ * @listen: "address:port" to listen on
+ * @ops: callbacks; borrowed until skh_admin_stop()
+ * @context: first argument of the callbacks
+ * @board: blackboard whose configuration in force lists the operators; borrowed
+ * @config_admin: configuration API of the whole system; borrowed, or NULL when the process
+ *	does not serve the API
+ * @err: receives the reason of a failure
+ *
+ * Return: a listener to be freed with skh_admin_stop(), or NULL with @err.
  */
 skh_admin_t *skh_admin_start(const char *listen, const skh_admin_ops_t *ops, void *context,
-			     skh_board_t *board, const skh_config_admin_t *control,
+			     skh_board_t *board, const skh_config_admin_t *config_admin,
 			     skh_error_t *err);
 
-/** skh_admin_route_at() - method and path of route number @index; false beyond the last */
+/**
+ * skh_admin_route_at() - get one served route
+ * @index: number of the route, from 0
+ * @method: receives the HTTP method, a static string
+ * @path: receives the path, a static string
+ *
+ * Return: true, or false when @index is past the last route.
+ */
 bool skh_admin_route_at(size_t index, const char **method, const char **path);
 
+/** skh_admin_stop() - close the listener, wait for running handlers and free @admin */
 void skh_admin_stop(skh_admin_t *admin);
 
 #ifdef __cplusplus
