--- a/src/access.c
+++ b/src/access.c
@@ -75,7 +75,7 @@
 	if (strcmp(skh_manifest_author(after), principal->name) != 0)
 		return skh_error_set(
 			err, SKH_FORBIDDEN,
-			"the manifest names \"%s\" as its author, but the key belongs to \"%s\"",
+			"the change names \"%s\" as its author, but the key belongs to \"%s\"",
 			skh_manifest_author(after), principal->name);
 	if (principal->role == SKH_OPERATOR_TEAM)
 		skh_manifest_diff_for_each(before ? skh_manifest_tree(before) : NULL,
