--- a/src/apply.c
+++ b/src/apply.c
@@ -8,81 +8,85 @@
 
 #define PARTS_PER_TXN 32
 
-/* One apply on its way. */
-typedef struct applying {
+/* Inputs and intermediate results of one skh_apply_manifest() call. */
+typedef struct apply_state {
 	skh_store_t *store;
 	const char *prefix;
 	char *head_key;
 	skh_config_head_t *current; /* NULL before the first configuration */
 	int64_t head_mod_revision;
-	skh_config_head_t *wanted;
-	GHashTable *texts; /* hash -> text of the wanted parts */
-} applying_t;
+	skh_config_head_t *next;
+	GHashTable *part_texts; /* hash -> text of the parts of @next */
+} apply_state_t;
 
-static bool read_head(applying_t *applying, skh_config_head_t **head, int64_t *mod_revision,
+static bool read_head(apply_state_t *state, skh_config_head_t **head, int64_t *mod_revision,
 		      skh_error_t *err)
 {
 	skh_kv_pairs_t pairs;
-	bool good = true;
+	bool is_valid = true;
 
 	*head = NULL;
 	*mod_revision = 0;
-	if (!applying->store->ops->range(applying->store, applying->head_key, false, &pairs, err))
+	if (!state->store->ops->range(state->store, state->head_key, false, &pairs, err))
 		return false;
 	if (pairs.count == 1) {
 		*head = skh_config_head_parse(pairs.list[0].value, err);
 		*mod_revision = pairs.list[0].mod_revision;
-		good = *head != NULL;
+		is_valid = *head != NULL;
 	}
 	skh_kv_pairs_clear(&pairs);
-	return good;
+	return is_valid;
 }
 
-static void prepare(applying_t *applying, const skh_manifest_t *manifest, int64_t floor)
+static void build_next_head(apply_state_t *state, const skh_manifest_t *manifest,
+			    int64_t min_revision)
 {
 	g_autoptr(GHashTable) parts =
-		skh_config_parts_split(skh_manifest_tree(manifest), applying->texts);
-	int64_t current = applying->current ? applying->current->revision : 0;
-	int64_t revision = MAX(current, floor) + 1;
+		skh_config_parts_split(skh_manifest_tree(manifest), state->part_texts);
+	int64_t current = state->current ? state->current->revision : 0;
+	int64_t revision = MAX(current, min_revision) + 1;
 	g_autofree char *attempt = g_strdup_printf("%016" PRIx64, skh_random_u64());
 
-	applying->wanted = skh_config_head_new(revision, skh_manifest_author(manifest),
-					       skh_manifest_reason(manifest), attempt,
-					       skh_clock_unix_ms(), parts);
+	state->next = skh_config_head_new(revision, skh_manifest_author(manifest),
+					  skh_manifest_reason(manifest), attempt,
+					  skh_clock_unix_ms(), parts);
 }
 
-static bool is_new_part(const applying_t *applying, const char *hash)
+static bool is_new_hash(const apply_state_t *state, const char *hash)
 {
 	GHashTableIter iter;
-	gpointer known;
+	gpointer known_hash;
 
-	if (!applying->current)
+	if (!state->current)
 		return true;
-	g_hash_table_iter_init(&iter, applying->current->part_hashes);
-	while (g_hash_table_iter_next(&iter, NULL, &known)) {
-		if (strcmp(known, hash) == 0)
+	g_hash_table_iter_init(&iter, state->current->part_hashes);
+	while (g_hash_table_iter_next(&iter, NULL, &known_hash)) {
+		if (strcmp(known_hash, hash) == 0)
 			return false;
 	}
 	return true;
 }
 
-/* A part is immutable and named by its content, so writing it twice changes nothing. */
-static bool write_batch(applying_t *applying, const GPtrArray *keys, const GPtrArray *values,
+/*
+ * Writes parts in one transaction, and once more when the outcome of the first one is unknown.
+ * A part is immutable and its key is the hash of its content, so a second write has no effect.
+ */
+static bool write_batch(apply_state_t *state, const GPtrArray *keys, const GPtrArray *values,
 			skh_error_t *err)
 {
 	g_autofree skh_txn_op_t *ops = g_new0(skh_txn_op_t, keys->len);
 	skh_txn_t txn = { .ops = ops, .n_ops = keys->len };
-	skh_txn_result_t done;
+	skh_txn_result_t txn_result;
 
 	for (size_t i = 0; i < keys->len; i++)
 		ops[i] = (skh_txn_op_t){ SKH_TXN_OP_PUT, keys->pdata[i], values->pdata[i], 0 };
-	if (applying->store->ops->txn(applying->store, &txn, &done, err))
+	if (state->store->ops->txn(state->store, &txn, &txn_result, err))
 		return true;
 	return err->kind == SKH_STORE_UNKNOWN &&
-	       applying->store->ops->txn(applying->store, &txn, &done, err);
+	       state->store->ops->txn(state->store, &txn, &txn_result, err);
 }
 
-static bool write_parts(applying_t *applying, size_t *written, skh_error_t *err)
+static bool write_parts(apply_state_t *state, size_t *n_written, skh_error_t *err)
 {
 	g_autoptr(GPtrArray) keys = g_ptr_array_new_with_free_func(g_free);
 	g_autoptr(GPtrArray) values = g_ptr_array_new();
@@ -90,138 +94,146 @@
 	gpointer hash;
 	gpointer text;
 
-	*written = 0;
-	g_hash_table_iter_init(&iter, applying->texts);
+	*n_written = 0;
+	g_hash_table_iter_init(&iter, state->part_texts);
 	while (g_hash_table_iter_next(&iter, &hash, &text)) {
-		if (!is_new_part(applying, hash))
+		if (!is_new_hash(state, hash))
 			continue;
 		g_ptr_array_add(keys,
-				g_strconcat(applying->prefix, SKH_CONFIG_PARTS_PREFIX, hash, NULL));
+				g_strconcat(state->prefix, SKH_CONFIG_PARTS_PREFIX, hash, NULL));
 		g_ptr_array_add(values, text);
-		(*written)++;
+		(*n_written)++;
 		if (keys->len < PARTS_PER_TXN)
 			continue;
-		if (!write_batch(applying, keys, values, err))
+		if (!write_batch(state, keys, values, err))
 			return false;
 		g_ptr_array_set_size(keys, 0);
 		g_ptr_array_set_size(values, 0);
 	}
-	return keys->len == 0 || write_batch(applying, keys, values, err);
+	return keys->len == 0 || write_batch(state, keys, values, err);
 }
 
-static bool conflict(const applying_t *applying, const skh_config_head_t *winner, skh_error_t *err)
+static bool set_conflict_error(const apply_state_t *state, const skh_config_head_t *stored,
+			       skh_error_t *err)
 {
 	g_autofree char *changed = NULL;
 
-	if (!winner)
-		return skh_error_set(err, SKH_CONFLICT, "the configuration was removed meanwhile");
-	changed = applying->current ? skh_config_head_changed_parts(applying->current, winner)
-				    : g_strdup("everything");
+	if (!stored)
+		return skh_error_set(err, SKH_CONFLICT,
+				     "the configuration was removed concurrently");
+	changed = state->current ? skh_config_head_changed_parts(state->current, stored)
+				 : g_strdup("everything");
 	return skh_error_set(err, SKH_CONFLICT,
 			     "revision %" PRId64
-			     " by %s was accepted meanwhile; it changed: %.120s",
-			     winner->revision, winner->author, changed);
+			     " by %s was accepted concurrently; it changed: %.120s",
+			     stored->revision, stored->author, changed);
 }
 
-/* The head names the attempt that wrote it, so a lost answer can be settled. */
-static bool settle(applying_t *applying, skh_error_t *err)
+/*
+ * Determines whether the head was swapped when the response was lost or the compare failed. The
+ * head holds the id of the attempt that wrote it, so reading the head back shows whose write won.
+ */
+static bool check_swap_outcome(apply_state_t *state, skh_error_t *err)
 {
-	skh_config_head_t *now;
+	skh_config_head_t *latest;
 	int64_t mod_revision;
-	bool ours;
-
-	if (!read_head(applying, &now, &mod_revision, err)) {
-		return skh_error_set(err, SKH_OUTCOME_UNKNOWN,
-				     "the key-value service does not say whether revision %" PRId64
-				     " was accepted",
-				     applying->wanted->revision);
+	bool is_ours;
+
+	if (!read_head(state, &latest, &mod_revision, err)) {
+		return skh_error_set(
+			err, SKH_OUTCOME_UNKNOWN,
+			"reading the head back failed; it is unknown whether revision %" PRId64
+			" was accepted",
+			state->next->revision);
 	}
-	ours = now && strcmp(now->attempt, applying->wanted->attempt) == 0;
-	if (!ours && now && now->revision > applying->wanted->revision)
+	is_ours = latest && strcmp(latest->attempt, state->next->attempt) == 0;
+	if (!is_ours && latest && latest->revision > state->next->revision)
 		(void)skh_error_set(err, SKH_OUTCOME_UNKNOWN,
 				    "revision %" PRId64 " has been replaced by %" PRId64
-				    "; see the history for whether it was accepted",
-				    applying->wanted->revision, now->revision);
-	else if (!ours && mod_revision == applying->head_mod_revision)
-		(void)skh_error_set(err, SKH_STORE_UNAVAILABLE, "the change was not accepted");
-	else if (!ours)
-		(void)conflict(applying, now, err);
-	skh_config_head_free(now);
-	return ours;
+				    "; the history shows whether it was accepted",
+				    state->next->revision, latest->revision);
+	else if (!is_ours && mod_revision == state->head_mod_revision)
+		(void)skh_error_set(err, SKH_STORE_UNAVAILABLE,
+				    "the head in the key-value service is unchanged; the change "
+				    "was not accepted");
+	else if (!is_ours)
+		(void)set_conflict_error(state, latest, err);
+	skh_config_head_free(latest);
+	return is_ours;
 }
 
-static bool swap_head(applying_t *applying, skh_error_t *err)
+static bool swap_head(apply_state_t *state, skh_error_t *err)
 {
-	g_autofree char *text = skh_config_head_to_json(applying->wanted);
-	g_autofree char *history =
-		g_strdup_printf("%s%s%012" PRId64, applying->prefix, SKH_CONFIG_HISTORY_PREFIX,
-				applying->wanted->revision);
-	const skh_txn_compare_t compare = { applying->head_key, applying->head_mod_revision };
+	g_autofree char *text = skh_config_head_to_json(state->next);
+	g_autofree char *history_key = g_strdup_printf(
+		"%s%s%012" PRId64, state->prefix, SKH_CONFIG_HISTORY_PREFIX, state->next->revision);
+	const skh_txn_compare_t compare = { state->head_key, state->head_mod_revision };
 	const skh_txn_op_t ops[] = {
-		{ SKH_TXN_OP_PUT, applying->head_key, text, 0 },
-		{ SKH_TXN_OP_PUT, history, text, 0 },
+		{ SKH_TXN_OP_PUT, state->head_key, text, 0 },
+		{ SKH_TXN_OP_PUT, history_key, text, 0 },
 	};
 	const skh_txn_t txn = {
 		.compares = &compare, .n_compares = 1, .ops = ops, .n_ops = G_N_ELEMENTS(ops)
 	};
-	skh_txn_result_t done;
+	skh_txn_result_t txn_result;
 
-	if (!applying->store->ops->txn(applying->store, &txn, &done, err))
-		return err->kind == SKH_STORE_UNKNOWN && settle(applying, err);
-	return done.succeeded || settle(applying, err);
+	if (!state->store->ops->txn(state->store, &txn, &txn_result, err))
+		return err->kind == SKH_STORE_UNKNOWN && check_swap_outcome(state, err);
+	return txn_result.succeeded || check_swap_outcome(state, err);
 }
 
-static bool check_base(const applying_t *applying, int64_t base, skh_error_t *err)
+static bool check_base_revision(const apply_state_t *state, int64_t base_revision, skh_error_t *err)
 {
-	int64_t revision = applying->current ? applying->current->revision : 0;
+	int64_t revision = state->current ? state->current->revision : 0;
 
-	if (base < 0 || base == revision)
+	if (base_revision < 0 || base_revision == revision)
 		return true;
 	return skh_error_set(
 		err, SKH_CONFLICT,
 		"the change is based on revision %" PRId64 ", but %" PRId64 " by %s is in force",
-		base, revision, applying->current ? applying->current->author : "nobody");
+		base_revision, revision, state->current ? state->current->author : "nobody");
 }
 
-static bool run(applying_t *applying, const skh_manifest_t *manifest, int64_t base, int64_t floor,
-		skh_apply_result_t *result, skh_error_t *err)
+static bool apply_change(apply_state_t *state, const skh_manifest_t *manifest,
+			 int64_t base_revision, int64_t min_revision, skh_apply_result_t *result,
+			 skh_error_t *err)
 {
-	if (!read_head(applying, &applying->current, &applying->head_mod_revision, err))
+	if (!read_head(state, &state->current, &state->head_mod_revision, err))
 		return false;
-	prepare(applying, manifest, floor);
-	if (applying->current)
-		result->changed_parts =
-			skh_config_head_changed_parts(applying->current, applying->wanted);
+	build_next_head(state, manifest, min_revision);
+	if (state->current)
+		result->changed_parts = skh_config_head_changed_parts(state->current, state->next);
 	else
 		result->changed_parts = g_strdup("everything");
-	/* A pipeline that repeats itself after a lost answer gets the same result. */
-	if (applying->current && *result->changed_parts == '\0') {
+	/* A deployment pipeline that retries after a lost response gets the same result. */
+	if (state->current && *result->changed_parts == '\0') {
 		result->unchanged = true;
-		result->revision = applying->current->revision;
+		result->revision = state->current->revision;
 		return true;
 	}
-	if (!check_base(applying, base, err) ||
-	    !write_parts(applying, &result->parts_written, err) || !swap_head(applying, err))
+	if (!check_base_revision(state, base_revision, err) ||
+	    !write_parts(state, &result->parts_written, err) || !swap_head(state, err))
 		return false;
-	result->revision = applying->wanted->revision;
+	result->revision = state->next->revision;
 	return true;
 }
 
 bool skh_apply_manifest(skh_store_t *store, const char *prefix, const skh_manifest_t *manifest,
-			int64_t base, int64_t floor, skh_apply_result_t *result, skh_error_t *err)
+			int64_t base_revision, int64_t min_revision, skh_apply_result_t *result,
+			skh_error_t *err)
 {
-	applying_t applying = { .store = store, .prefix = prefix };
-	bool accepted;
+	apply_state_t state = { .store = store, .prefix = prefix };
+	bool is_accepted;
 
 	*result = (skh_apply_result_t){ 0 };
-	applying.head_key = g_strconcat(prefix, SKH_CONFIG_HEAD_KEY, NULL);
-	applying.texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	accepted = run(&applying, manifest, base, floor, result, err);
-	skh_config_head_free(applying.current);
-	skh_config_head_free(applying.wanted);
-	g_hash_table_unref(applying.texts);
-	g_free(applying.head_key);
-	return accepted;
+	state.head_key = g_strconcat(prefix, SKH_CONFIG_HEAD_KEY, NULL);
+	state.part_texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	is_accepted = apply_change(&state, manifest, base_revision, min_revision, result, err);
+	skh_config_head_free(state.current);
+	skh_config_head_free(state.next);
+	g_hash_table_unref(state.part_texts);
+	g_free(state.head_key);
+	return is_accepted;
 }
 
 void skh_apply_result_clear(skh_apply_result_t *result)
--- a/src/apply.h
+++ b/src/apply.h
@@ -2,11 +2,14 @@
 #define SKH_APPLY_H
 
 /**
- * DOC: Accepting a manifest
+ * DOC: Applying a manifest
  *
- * Accepted means: the head was swapped by compare-and-swap. An answer lost on
- * the way is settled by reading back one's own attempt. Of two operators who
- * race, one wins and the other is told what changed.
+ * Writes a manifest to the key-value service as parts and a head. A manifest is
+ * accepted once a compare-and-swap has replaced the head. When the response to
+ * the swap is lost, the head is read back and compared with the caller's
+ * attempt id. When two operators apply at the same time, one succeeds and the
+ * other gets SKH_CONFLICT with the names of the changed parts. Calls block
+ * their thread; the functions keep no state of their own.
  */
 
 #include "manifest.h"
@@ -17,24 +20,34 @@
 extern "C" {
 #endif
 
-/** struct skh_apply_result - what became of an apply */
+/** struct skh_apply_result - outcome of an apply; free with skh_apply_result_clear() */
 typedef struct skh_apply_result {
-	int64_t revision; /* of the configuration that is accepted now */
-	bool unchanged;	  /* it already was */
+	int64_t revision; /* revision of the accepted configuration */
+	bool unchanged;	  /* the manifest had already been accepted; nothing was written */
 	size_t parts_written;
-	char *changed_parts; /* names, joined by ", " */
+	char *changed_parts; /* names joined by ", "; "everything" for the first configuration */
 } skh_apply_result_t;
 
 /**
- * skh_apply_manifest() - have @manifest accepted
- * @prefix: the system's prefix in the key-value service
- * @base: revision that the caller's change is based on; -1 for the current one
- * @floor: newest revision known to be in force anywhere; a service that has
- *	lost its contents would otherwise count from 1, and nobody goes back
+ * skh_apply_manifest() - write a manifest and make it the accepted configuration
+ * @store: key-value service
+ * @prefix: key prefix of the system in the key-value service
+ * @manifest: valid manifest to apply; borrowed
+ * @base_revision: revision that the change is based on; -1 for the current one
+ * @min_revision: newest revision known to be in force at any process; the new revision is
+ *	higher. A key-value service that lost its contents would otherwise restart at 1, and
+ *	processes ignore a revision that is not newer than their own.
+ * @result: receives the outcome, also on failure; free with skh_apply_result_clear()
+ * @err: receives SKH_CONFLICT when another change was accepted first, SKH_OUTCOME_UNKNOWN
+ *	when the acceptance can't be determined, or an error of the key-value service
+ *
+ * Return: true when the manifest is accepted; otherwise false with @err.
  */
 bool skh_apply_manifest(skh_store_t *store, const char *prefix, const skh_manifest_t *manifest,
-			int64_t base, int64_t floor, skh_apply_result_t *result, skh_error_t *err);
+			int64_t base_revision, int64_t min_revision, skh_apply_result_t *result,
+			skh_error_t *err);
 
+/** skh_apply_result_clear() - free the contents of @result and reset it */
 void skh_apply_result_clear(skh_apply_result_t *result);
 
 #ifdef __cplusplus
