--- a/src/cmd.c
+++ b/src/cmd.c
@@ -11,7 +11,7 @@
 bool skh_cmd_parse(int argc, char **argv, void **table, const struct arg_lit *help,
 		   struct arg_end *end, const char *summary, int *status)
 {
-	int errors = arg_parse(argc, argv, table);
+	int n_errors = arg_parse(argc, argv, table);
 
 	if (help->count > 0) {
 		(void)printf("usage: skylarkhead %s", argv[0]);
@@ -21,7 +21,7 @@
 		*status = SKH_EXIT_OK;
 		return false;
 	}
-	if (errors > 0) {
+	if (n_errors > 0) {
 		arg_print_errors(stderr, end, argv[0]);
 		(void)fprintf(stderr, "'skylarkhead %s --help' tells more.\n", argv[0]);
 		*status = SKH_EXIT_USAGE;
@@ -30,31 +30,31 @@
 	return true;
 }
 
-void skh_cmd_print_validation_errors(FILE *out, const char *file, skh_validation_errors_t *faults)
+void skh_cmd_print_validation_errors(FILE *out, const char *file, skh_validation_errors_t *errors)
 {
-	for (size_t i = 0; i < skh_validation_errors_count(faults); i++) {
-		const skh_validation_error_t *fault = skh_validation_errors_at(faults, i);
+	for (size_t i = 0; i < skh_validation_errors_count(errors); i++) {
+		const skh_validation_error_t *error = skh_validation_errors_at(errors, i);
 
-		(void)fprintf(out, "%s:%u: %s: %s\n", file, fault->line,
-			      *fault->key ? fault->key : "(document)", fault->reason);
+		(void)fprintf(out, "%s:%u: %s: %s\n", file, error->line,
+			      *error->key ? error->key : "(document)", error->reason);
 	}
 }
 
 skh_settings_t *skh_cmd_load_settings(const char *file, skh_role_t role)
 {
-	skh_validation_errors_t *faults = skh_validation_errors_new();
-	skh_settings_t *settings = skh_settings_load(file, role, faults);
+	skh_validation_errors_t *errors = skh_validation_errors_new();
+	skh_settings_t *settings = skh_settings_load(file, role, errors);
 
-	if (skh_validation_errors_count(faults) > 0) {
-		skh_cmd_print_validation_errors(stderr, file, faults);
+	if (skh_validation_errors_count(errors) > 0) {
+		skh_cmd_print_validation_errors(stderr, file, errors);
 		skh_settings_free(settings);
 		settings = NULL;
 	}
-	skh_validation_errors_free(faults);
+	skh_validation_errors_free(errors);
 	return settings;
 }
 
-#define Z85_KEY_BYTES 41 /* with the NUL */
+#define Z85_KEY_BYTES 41 /* with the terminating NUL */
 
 static int run_role(int argc, char **argv, skh_role_t role, const char *summary,
 		    int (*run)(const skh_settings_t *settings))
