--- a/src/config_watcher.h
+++ b/src/config_watcher.h
@@ -2,10 +2,12 @@
 #define SKH_CONFIG_WATCHER_H
 
 /**
- * DOC: Configuration controller
+ * DOC: Configuration watcher
  *
- * Follows the accepted configuration and the platform's list of instances and
- * publishes both on the blackboard. A configuration replaces only an older one.
+ * Watches the accepted configuration and the platform's list of instances in
+ * the key-value service and publishes both on the blackboard. The configuration
+ * is published only when its revision is newer than the one in force. Each of
+ * the two watches runs on a thread that the watcher owns.
  */
 
 #include "board.h"
@@ -22,14 +24,30 @@
 
 typedef struct skh_config_watcher skh_config_watcher_t;
 
+/**
+ * skh_config_watcher_start() - start both watches
+ * @store: key-value service; borrowed until skh_config_watcher_stop()
+ * @settings: settings of the process; borrowed until skh_config_watcher_stop()
+ * @board: blackboard to publish on; borrowed until skh_config_watcher_stop()
+ *
+ * Return: a watcher to be freed with skh_config_watcher_stop().
+ */
 skh_config_watcher_t *skh_config_watcher_start(skh_store_t *store, const skh_settings_t *settings,
 					       skh_board_t *board);
-void skh_config_watcher_stop(skh_config_watcher_t *follower);
 
-/** skh_config_watcher_hint_revision() - a peer has named @revision; look for it if it is news */
-void skh_config_watcher_hint_revision(skh_config_watcher_t *follower, int64_t revision);
+/** skh_config_watcher_stop() - end both threads and free @watcher */
+void skh_config_watcher_stop(skh_config_watcher_t *watcher);
+
+/**
+ * skh_config_watcher_hint_revision() - read the configuration soon if a peer has a newer one
+ * @watcher: watcher
+ * @revision: revision that a peer reported
+ *
+ * Reads at most once a second. Must be called by one thread at a time.
+ */
+void skh_config_watcher_hint_revision(skh_config_watcher_t *watcher, int64_t revision);
 
-/** skh_settings_open_store() - open the key-value service that the settings name */
+/** skh_settings_open_store() - open the key-value service at the endpoints in @settings */
 skh_store_t *skh_settings_open_store(const skh_settings_t *settings);
 
 #ifdef __cplusplus
