--- a/src/config_parts.c
+++ b/src/config_parts.c
@@ -3,13 +3,16 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define N_BUCKETS 64
-#define BASE_PART "base"
+#define N_BUCKETS      64
+#define BASE_PART_NAME "base"
 
-/* Long collections are spread over buckets by the hash of each item's name. */
-static const char *const bucketed[] = { "customer", "group", NULL };
+/*
+ * Collections that can grow long. Their items are distributed over buckets by the hash of the
+ * item's name, so that a change of one item rewrites one small part.
+ */
+static const char *const bucketed_collections[] = { "customer", "group", NULL };
 
-static char *part_name(const char *collection, const skh_doc_node_t *item)
+static char *bucket_part_name(const char *collection, const skh_doc_node_t *item)
 {
 	const skh_doc_node_t *name = skh_doc_node_find(item, "name");
 	uint64_t hash =
@@ -23,7 +26,7 @@
 	skh_doc_node_free(node);
 }
 
-static skh_doc_node_t *part_of(GHashTable *trees, const char *name)
+static skh_doc_node_t *get_or_add_part(GHashTable *trees, const char *name)
 {
 	skh_doc_node_t *tree = g_hash_table_lookup(trees, name);
 
@@ -34,7 +37,7 @@
 	return tree;
 }
 
-static skh_doc_node_t *array_of(skh_doc_node_t *tree, const char *key)
+static skh_doc_node_t *get_or_add_array(skh_doc_node_t *tree, const char *key)
 {
 	skh_doc_node_t *array = skh_doc_node_find(tree, key);
 
@@ -45,34 +48,34 @@
 	return array;
 }
 
-static void spread(GHashTable *trees, const skh_doc_node_t *collection)
+static void split_collection(GHashTable *trees, const skh_doc_node_t *collection)
 {
 	const char *key = skh_doc_node_key(collection);
 
 	for (size_t i = 0; i < skh_doc_node_count(collection); i++) {
 		const skh_doc_node_t *item = skh_doc_node_at(collection, i);
-		g_autofree char *name = part_name(key, item);
-		skh_doc_node_t *array = array_of(part_of(trees, name), key);
+		g_autofree char *name = bucket_part_name(key, item);
+		skh_doc_node_t *array = get_or_add_array(get_or_add_part(trees, name), key);
 
 		skh_doc_node_add(array, NULL, skh_doc_node_copy(item));
 	}
 }
 
-static GHashTable *split_trees(const skh_doc_node_t *tree)
+static GHashTable *split_into_parts(const skh_doc_node_t *tree)
 {
 	GHashTable *trees = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_node);
 
 	for (size_t i = 0; i < skh_doc_node_count(tree); i++) {
 		const skh_doc_node_t *child = skh_doc_node_at(tree, i);
 
-		/* Who and why belong to the head: the same content keeps its hash. */
+		/* The head holds author and reason, so that equal content has an equal hash. */
 		if (strcmp(skh_doc_node_key(child), "change") == 0)
 			continue;
-		if (g_strv_contains(bucketed, skh_doc_node_key(child)))
-			spread(trees, child);
+		if (g_strv_contains(bucketed_collections, skh_doc_node_key(child)))
+			split_collection(trees, child);
 		else
-			skh_doc_node_add(part_of(trees, BASE_PART), skh_doc_node_key(child),
-					 skh_doc_node_copy(child));
+			skh_doc_node_add(get_or_add_part(trees, BASE_PART_NAME),
+					 skh_doc_node_key(child), skh_doc_node_copy(child));
 	}
 	return trees;
 }
@@ -80,7 +83,7 @@
 GHashTable *skh_config_parts_split(const skh_doc_node_t *tree, GHashTable *texts)
 {
 	GHashTable *parts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_autoptr(GHashTable) trees = split_trees(tree);
+	g_autoptr(GHashTable) trees = split_into_parts(tree);
 	GHashTableIter iter;
 	gpointer name;
 	gpointer part;
@@ -104,7 +107,7 @@
 		skh_doc_node_add(tree, skh_doc_node_key(child), skh_doc_node_copy(child));
 		return;
 	}
-	array = array_of(tree, skh_doc_node_key(child));
+	array = get_or_add_array(tree, skh_doc_node_key(child));
 	for (size_t i = 0; i < skh_doc_node_count(child); i++)
 		skh_doc_node_add(array, NULL, skh_doc_node_copy(skh_doc_node_at(child, i)));
 }
@@ -127,28 +130,28 @@
 	return tree;
 }
 
-skh_config_head_t *skh_config_head_new(int64_t revision, const char *by, const char *reason,
+skh_config_head_t *skh_config_head_new(int64_t revision, const char *author, const char *reason,
 				       const char *attempt, int64_t unix_ms, GHashTable *parts)
 {
 	skh_config_head_t *head = g_new0(skh_config_head_t, 1);
 
 	head->revision = revision;
 	head->accepted_unix_ms = unix_ms;
-	head->author = g_strdup(by);
+	head->author = g_strdup(author);
 	head->reason = g_strdup(reason);
 	head->attempt = g_strdup(attempt);
 	head->part_hashes = g_hash_table_ref(parts);
 	return head;
 }
 
-static const char *text_at(const skh_doc_node_t *table, const char *key)
+static const char *get_text(const skh_doc_node_t *table, const char *key)
 {
 	const skh_doc_node_t *node = skh_doc_node_find(table, key);
 
 	return node ? skh_doc_node_text(node) : "";
 }
 
-static int64_t integer_at(const skh_doc_node_t *table, const char *key)
+static int64_t get_integer(const skh_doc_node_t *table, const char *key)
 {
 	const skh_doc_node_t *node = skh_doc_node_find(table, key);
 
@@ -163,19 +166,19 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	skh_config_head_t *head = NULL;
 
-	if (list && integer_at(tree, "revision") > 0) {
+	if (list && get_integer(tree, "revision") > 0) {
 		for (size_t i = 0; i < skh_doc_node_count(list); i++) {
 			const skh_doc_node_t *part = skh_doc_node_at(list, i);
 
 			g_hash_table_insert(parts, g_strdup(skh_doc_node_key(part)),
 					    g_strdup(skh_doc_node_text(part)));
 		}
-		head = skh_config_head_new(integer_at(tree, "revision"), text_at(tree, "by"),
-					   text_at(tree, "reason"), text_at(tree, "attempt"),
-					   integer_at(tree, "unix_ms"), parts);
+		head = skh_config_head_new(get_integer(tree, "revision"), get_text(tree, "by"),
+					   get_text(tree, "reason"), get_text(tree, "attempt"),
+					   get_integer(tree, "unix_ms"), parts);
 	} else if (tree) {
 		(void)skh_error_set(err, SKH_CONFIG_INVALID,
-				    "the head has no revision or no parts");
+				    "the configuration head has no revision or no parts");
 	}
 	skh_doc_node_free(tree);
 	return head;
@@ -215,8 +218,8 @@
 	g_free(head);
 }
 
-static void note_differences(const skh_config_head_t *from, const skh_config_head_t *to,
-			     bool only_missing, GPtrArray *names)
+static void add_differing_names(const skh_config_head_t *from, const skh_config_head_t *to,
+				bool only_missing, GPtrArray *names)
 {
 	GHashTableIter iter;
 	gpointer name;
@@ -224,9 +227,9 @@
 
 	g_hash_table_iter_init(&iter, from->part_hashes);
 	while (g_hash_table_iter_next(&iter, &name, &hash)) {
-		const char *other = g_hash_table_lookup(to->part_hashes, name);
+		const char *other_hash = g_hash_table_lookup(to->part_hashes, name);
 
-		if (!other || (!only_missing && strcmp(other, hash) != 0))
+		if (!other_hash || (!only_missing && strcmp(other_hash, hash) != 0))
 			g_ptr_array_add(names, name);
 	}
 }
@@ -240,8 +243,8 @@
 {
 	g_autoptr(GPtrArray) names = g_ptr_array_new();
 
-	note_differences(a, b, false, names);
-	note_differences(b, a, true, names);
+	add_differing_names(a, b, false, names);
+	add_differing_names(b, a, true, names);
 	g_ptr_array_sort(names, compare_names);
 	g_ptr_array_add(names, NULL);
 	return g_strjoinv(", ", (char **)names->pdata);
