--- a/src/schema.c
+++ b/src/schema.c
@@ -5,51 +5,51 @@
 
 struct skh_validation_errors {
 	GArray *list;
-	bool sorted;
+	bool is_sorted;
 };
 
-static void clear_fault(gpointer item)
+static void clear_error(gpointer item)
 {
-	skh_validation_error_t *fault = item;
+	skh_validation_error_t *error = item;
 
-	g_free(fault->key);
-	g_free(fault->reason);
+	g_free(error->key);
+	g_free(error->reason);
 }
 
 skh_validation_errors_t *skh_validation_errors_new(void)
 {
-	skh_validation_errors_t *faults = g_new0(skh_validation_errors_t, 1);
+	skh_validation_errors_t *errors = g_new0(skh_validation_errors_t, 1);
 
-	faults->list = g_array_new(FALSE, FALSE, sizeof(skh_validation_error_t));
-	g_array_set_clear_func(faults->list, clear_fault);
-	return faults;
+	errors->list = g_array_new(FALSE, FALSE, sizeof(skh_validation_error_t));
+	g_array_set_clear_func(errors->list, clear_error);
+	return errors;
 }
 
-void skh_validation_errors_free(skh_validation_errors_t *faults)
+void skh_validation_errors_free(skh_validation_errors_t *errors)
 {
-	g_array_unref(faults->list);
-	g_free(faults);
+	g_array_unref(errors->list);
+	g_free(errors);
 }
 
-void skh_validation_errors_add(skh_validation_errors_t *faults, uint32_t line, const char *key,
+void skh_validation_errors_add(skh_validation_errors_t *errors, uint32_t line, const char *key,
 			       const char *format, ...)
 {
-	skh_validation_error_t fault = { .line = line, .key = g_strdup(key) };
+	skh_validation_error_t error = { .line = line, .key = g_strdup(key) };
 	va_list args;
 
 	va_start(args, format);
-	fault.reason = g_strdup_vprintf(format, args);
+	error.reason = g_strdup_vprintf(format, args);
 	va_end(args);
-	g_array_append_val(faults->list, fault);
-	faults->sorted = false;
+	g_array_append_val(errors->list, error);
+	errors->is_sorted = false;
 }
 
-size_t skh_validation_errors_count(const skh_validation_errors_t *faults)
+size_t skh_validation_errors_count(const skh_validation_errors_t *errors)
 {
-	return faults->list->len;
+	return errors->list->len;
 }
 
-static gint compare_faults(gconstpointer a, gconstpointer b)
+static gint compare_errors(gconstpointer a, gconstpointer b)
 {
 	const skh_validation_error_t *left = a;
 	const skh_validation_error_t *right = b;
@@ -59,135 +59,136 @@
 	return strcmp(left->key, right->key);
 }
 
-const skh_validation_error_t *skh_validation_errors_at(skh_validation_errors_t *faults,
+const skh_validation_error_t *skh_validation_errors_at(skh_validation_errors_t *errors,
 						       size_t index)
 {
-	if (!faults->sorted) {
-		g_array_sort(faults->list, compare_faults);
-		faults->sorted = true;
+	if (!errors->is_sorted) {
+		g_array_sort(errors->list, compare_errors);
+		errors->is_sorted = true;
 	}
-	return &g_array_index(faults->list, skh_validation_error_t, index);
+	return &g_array_index(errors->list, skh_validation_error_t, index);
 }
 
-typedef struct reading {
+/* One field that is read: its schema, its node and its key for error messages. */
+typedef struct field_reader {
 	const skh_field_t *field;
 	const skh_doc_node_t *node;
 	const char *key;
-	skh_validation_errors_t *faults;
-} reading_t;
+	skh_validation_errors_t *errors;
+} field_reader_t;
 
-static void fault_type(const reading_t *reading, const char *wanted)
+static void add_type_error(const field_reader_t *reader, const char *expected)
 {
-	skh_validation_errors_add(reading->faults, skh_doc_node_line(reading->node), reading->key,
-				  "expected %s, found %s", wanted,
-				  skh_doc_node_type_name(skh_doc_node_type(reading->node)));
+	skh_validation_errors_add(reader->errors, skh_doc_node_line(reader->node), reader->key,
+				  "expected %s, found %s", expected,
+				  skh_doc_node_type_name(skh_doc_node_type(reader->node)));
 }
 
-static void check_range(const reading_t *reading, double value, const char *what)
+static void check_range(const field_reader_t *reader, double value, const char *quantity)
 {
-	const skh_field_t *field = reading->field;
+	const skh_field_t *field = reader->field;
 
 	if (field->min == 0 && field->max == 0)
 		return;
 	if (value >= (double)field->min && value <= (double)field->max)
 		return;
-	skh_validation_errors_add(reading->faults, skh_doc_node_line(reading->node), reading->key,
-				  "%s must be from %" PRId64 " to %" PRId64, what, field->min,
+	skh_validation_errors_add(reader->errors, skh_doc_node_line(reader->node), reader->key,
+				  "%s must be from %" PRId64 " to %" PRId64, quantity, field->min,
 				  field->max);
 }
 
-static void read_text(const reading_t *reading, void *target)
+static void read_text(const field_reader_t *reader, void *target)
 {
-	if (skh_doc_node_type(reading->node) != SKH_DOC_NODE_TEXT) {
-		fault_type(reading, "text");
+	if (skh_doc_node_type(reader->node) != SKH_DOC_NODE_TEXT) {
+		add_type_error(reader, "text");
 		return;
 	}
-	*(const char **)target = skh_doc_node_text(reading->node);
-	check_range(reading, (double)strlen(skh_doc_node_text(reading->node)), "length");
+	*(const char **)target = skh_doc_node_text(reader->node);
+	check_range(reader, (double)strlen(skh_doc_node_text(reader->node)), "length");
 }
 
-static void read_texts(const reading_t *reading, void *target)
+static void read_text_array(const field_reader_t *reader, void *target)
 {
-	if (skh_doc_node_type(reading->node) != SKH_DOC_NODE_ARRAY) {
-		fault_type(reading, "array of texts");
+	if (skh_doc_node_type(reader->node) != SKH_DOC_NODE_ARRAY) {
+		add_type_error(reader, "array of texts");
 		return;
 	}
-	for (size_t i = 0; i < skh_doc_node_count(reading->node); i++) {
-		const skh_doc_node_t *item = skh_doc_node_at(reading->node, i);
+	for (size_t i = 0; i < skh_doc_node_count(reader->node); i++) {
+		const skh_doc_node_t *item = skh_doc_node_at(reader->node, i);
 
 		if (skh_doc_node_type(item) != SKH_DOC_NODE_TEXT) {
-			skh_validation_errors_add(reading->faults, skh_doc_node_line(item),
-						  reading->key, "expected text, found %s",
+			skh_validation_errors_add(reader->errors, skh_doc_node_line(item),
+						  reader->key, "expected text, found %s",
 						  skh_doc_node_type_name(skh_doc_node_type(item)));
 			return;
 		}
 	}
-	*(const skh_doc_node_t **)target = reading->node;
+	*(const skh_doc_node_t **)target = reader->node;
 }
 
-static void read_choice(const reading_t *reading, void *target)
+static void read_choice(const field_reader_t *reader, void *target)
 {
-	if (skh_doc_node_type(reading->node) != SKH_DOC_NODE_TEXT) {
-		fault_type(reading, "text");
+	if (skh_doc_node_type(reader->node) != SKH_DOC_NODE_TEXT) {
+		add_type_error(reader, "text");
 		return;
 	}
-	for (int32_t i = 0; reading->field->choices[i]; i++) {
-		if (strcmp(reading->field->choices[i], skh_doc_node_text(reading->node)) == 0) {
+	for (int32_t i = 0; reader->field->choices[i]; i++) {
+		if (strcmp(reader->field->choices[i], skh_doc_node_text(reader->node)) == 0) {
 			*(int32_t *)target = i;
 			return;
 		}
 	}
-	skh_validation_errors_add(reading->faults, skh_doc_node_line(reading->node), reading->key,
-				  "\"%s\" is not one of the known choices",
-				  skh_doc_node_text(reading->node));
+	skh_validation_errors_add(reader->errors, skh_doc_node_line(reader->node), reader->key,
+				  "\"%s\" is not one of the accepted choices",
+				  skh_doc_node_text(reader->node));
 }
 
-static void read_number(const reading_t *reading, void *target)
+static void read_number(const field_reader_t *reader, void *target)
 {
-	skh_doc_node_type_t type = skh_doc_node_type(reading->node);
+	skh_doc_node_type_t type = skh_doc_node_type(reader->node);
 
-	if (reading->field->type == SKH_FIELD_INTEGER && type != SKH_DOC_NODE_INTEGER) {
-		fault_type(reading, "integer");
+	if (reader->field->type == SKH_FIELD_INTEGER && type != SKH_DOC_NODE_INTEGER) {
+		add_type_error(reader, "integer");
 		return;
 	}
 	if (type != SKH_DOC_NODE_INTEGER && type != SKH_DOC_NODE_REAL) {
-		fault_type(reading, "number");
+		add_type_error(reader, "number");
 		return;
 	}
-	check_range(reading, skh_doc_node_real(reading->node), "value");
-	if (reading->field->type == SKH_FIELD_INTEGER)
-		*(int64_t *)target = skh_doc_node_integer(reading->node);
+	check_range(reader, skh_doc_node_real(reader->node), "value");
+	if (reader->field->type == SKH_FIELD_INTEGER)
+		*(int64_t *)target = skh_doc_node_integer(reader->node);
 	else
-		*(double *)target = skh_doc_node_real(reading->node);
+		*(double *)target = skh_doc_node_real(reader->node);
 }
 
-static void read_field(const reading_t *reading, void *target)
+static void read_field(const field_reader_t *reader, void *target)
 {
-	switch (reading->field->type) {
+	switch (reader->field->type) {
 	case SKH_FIELD_TEXT:
-		read_text(reading, target);
+		read_text(reader, target);
 		break;
 	case SKH_FIELD_TEXT_ARRAY:
-		read_texts(reading, target);
+		read_text_array(reader, target);
 		break;
 	case SKH_FIELD_INTEGER:
 	case SKH_FIELD_REAL:
-		read_number(reading, target);
+		read_number(reader, target);
 		break;
 	case SKH_FIELD_CHOICE:
-		read_choice(reading, target);
+		read_choice(reader, target);
 		break;
 	case SKH_FIELD_BOOL:
-		if (skh_doc_node_type(reading->node) == SKH_DOC_NODE_BOOL)
-			*(bool *)target = skh_doc_node_bool(reading->node);
+		if (skh_doc_node_type(reader->node) == SKH_DOC_NODE_BOOL)
+			*(bool *)target = skh_doc_node_bool(reader->node);
 		else
-			fault_type(reading, "bool");
+			add_type_error(reader, "bool");
 		break;
 	case SKH_FIELD_ARRAY:
-		if (skh_doc_node_type(reading->node) == SKH_DOC_NODE_ARRAY)
-			*(const skh_doc_node_t **)target = reading->node;
+		if (skh_doc_node_type(reader->node) == SKH_DOC_NODE_ARRAY)
+			*(const skh_doc_node_t **)target = reader->node;
 		else
-			fault_type(reading, "array");
+			add_type_error(reader, "array");
 		break;
 	}
 }
@@ -197,19 +198,20 @@
 	return *path ? g_strdup_printf("%s.%s", path, key) : g_strdup(key);
 }
 
-static void refuse_unknown(const skh_doc_node_t *table, const char *path, const skh_field_t *fields,
-			   size_t n_fields, skh_validation_errors_t *faults)
+static void check_unknown_keys(const skh_doc_node_t *table, const char *path,
+			       const skh_field_t *fields, size_t n_fields,
+			       skh_validation_errors_t *errors)
 {
 	for (size_t i = 0; i < skh_doc_node_count(table); i++) {
 		const skh_doc_node_t *child = skh_doc_node_at(table, i);
-		bool known = false;
+		bool is_known = false;
 
-		for (size_t f = 0; f < n_fields && !known; f++)
-			known = strcmp(fields[f].key, skh_doc_node_key(child)) == 0;
-		if (!known) {
+		for (size_t f = 0; f < n_fields && !is_known; f++)
+			is_known = strcmp(fields[f].key, skh_doc_node_key(child)) == 0;
+		if (!is_known) {
 			g_autofree char *key = join_key(path, skh_doc_node_key(child));
 
-			skh_validation_errors_add(faults, skh_doc_node_line(child), key,
+			skh_validation_errors_add(errors, skh_doc_node_line(child), key,
 						  "unknown key");
 		}
 	}
@@ -217,10 +219,10 @@
 
 void skh_schema_read(const skh_doc_node_t *table, const char *path, uint32_t line,
 		     const skh_field_t *fields, size_t n_fields, void *base,
-		     skh_validation_errors_t *faults)
+		     skh_validation_errors_t *errors)
 {
 	if (table && skh_doc_node_type(table) != SKH_DOC_NODE_TABLE) {
-		skh_validation_errors_add(faults, skh_doc_node_line(table), path,
+		skh_validation_errors_add(errors, skh_doc_node_line(table), path,
 					  "expected table, found %s",
 					  skh_doc_node_type_name(skh_doc_node_type(table)));
 		return;
@@ -228,14 +230,14 @@
 	for (size_t f = 0; f < n_fields; f++) {
 		g_autofree char *key = join_key(path, fields[f].key);
 		const skh_doc_node_t *node = table ? skh_doc_node_find(table, fields[f].key) : NULL;
-		reading_t reading = { &fields[f], node, key, faults };
+		field_reader_t reader = { &fields[f], node, key, errors };
 
 		if (node)
-			read_field(&reading, (char *)base + fields[f].offset);
+			read_field(&reader, (char *)base + fields[f].offset);
 		else if (fields[f].required)
-			skh_validation_errors_add(faults, table ? skh_doc_node_line(table) : line,
+			skh_validation_errors_add(errors, table ? skh_doc_node_line(table) : line,
 						  key, "missing");
 	}
 	if (table)
-		refuse_unknown(table, path, fields, n_fields, faults);
+		check_unknown_keys(table, path, fields, n_fields, errors);
 }
