--- a/src/manifest.c
+++ b/src/manifest.c
@@ -6,9 +6,9 @@
 #define MAX_NAME_BYTES 64
 
 struct skh_manifest {
-	gint references;
+	gint n_references;
 	skh_doc_node_t *tree;
-	const char *by;
+	const char *author;
 	const char *reason;
 	double skew_weight;
 	double cost_weight;
@@ -18,8 +18,8 @@
 	GArray *customers;
 	GArray *groups;
 	GArray *operators;
-	GHashTable *by_operator_key; /* the same for operators */
-	GHashTable *by_key;	     /* SHA-256 text -> index + 1 of the customer */
+	GHashTable *operator_index_by_hash; /* SHA-256 text -> index + 1 of the operator */
+	GHashTable *customer_index_by_hash; /* SHA-256 text -> index + 1 of the customer */
 };
 
 #define TEXT(key, type, member, required)                                                          \
@@ -40,7 +40,7 @@
 static const char *const operator_roles[] = { "reader", "team", "operator", NULL };
 
 static const skh_field_t change_fields[] = {
-	TEXT("by", skh_manifest_t, by, true),
+	TEXT("by", skh_manifest_t, author, true),
 	{ "reason", SKH_FIELD_TEXT, true, offsetof(skh_manifest_t, reason), 1, 500, NULL },
 };
 static const skh_field_t balance_fields[] = {
@@ -106,7 +106,7 @@
 static const skh_operator_t operator_default = { .team = "" };
 static const skh_group_t group_default = { .service = "" };
 
-/** struct collection - one repeated table of the manifest and its schema */
+/* Schema of one repeated table of the manifest. */
 typedef struct collection {
 	const char *key;
 	const skh_field_t *fields;
@@ -130,13 +130,13 @@
 	COLLECTION("group", group, groups),	  COLLECTION("operator", operator, operators),
 };
 
-static GArray **collection_array(skh_manifest_t *manifest, const collection_t *collection)
+static GArray **get_collection_array(skh_manifest_t *manifest, const collection_t *collection)
 {
 	return (GArray **)((char *)manifest + collection->array_offset);
 }
 
-/* Every item starts with its name, so one comparison serves all kinds. */
-static const char *item_name(const GArray *array, size_t index)
+/* The name is the first member of every item struct, so one function serves all kinds. */
+static const char *get_item_name(const GArray *array, size_t index)
 {
 	const char *item = array->data + index * g_array_get_element_size((GArray *)array);
 	const char *name = *(const char *const *)item;
@@ -147,43 +147,43 @@
 static const void *find_item(const GArray *array, const char *name)
 {
 	for (size_t i = 0; i < array->len; i++) {
-		if (strcmp(item_name(array, i), name) == 0)
+		if (strcmp(get_item_name(array, i), name) == 0)
 			return array->data + i * g_array_get_element_size((GArray *)array);
 	}
 	return NULL;
 }
 
 static void read_item(const skh_doc_node_t *node, const collection_t *collection, GArray *array,
-		      skh_validation_errors_t *faults)
+		      skh_validation_errors_t *errors)
 {
 	g_autofree char *item = g_memdup2(collection->item_default, collection->item_bytes);
 
 	*(uint32_t *)(item + collection->line_offset) = skh_doc_node_line(node);
 	skh_schema_read(node, collection->key, skh_doc_node_line(node), collection->fields,
-			collection->n_fields, item, faults);
+			collection->n_fields, item, errors);
 	g_array_append_vals(array, item, 1);
 }
 
 static void read_collection(skh_manifest_t *manifest, const collection_t *collection,
-			    skh_validation_errors_t *faults)
+			    skh_validation_errors_t *errors)
 {
 	const skh_doc_node_t *list = skh_doc_node_find(manifest->tree, collection->key);
 	GArray *array = g_array_new(FALSE, FALSE, (guint)collection->item_bytes);
 
-	*collection_array(manifest, collection) = array;
+	*get_collection_array(manifest, collection) = array;
 	if (!list)
 		return;
 	if (skh_doc_node_type(list) != SKH_DOC_NODE_ARRAY) {
-		skh_validation_errors_add(faults, skh_doc_node_line(list), collection->key,
+		skh_validation_errors_add(errors, skh_doc_node_line(list), collection->key,
 					  "expected repeated tables [[%s]]", collection->key);
 		return;
 	}
 	for (size_t i = 0; i < skh_doc_node_count(list); i++)
-		read_item(skh_doc_node_at(list, i), collection, array, faults);
+		read_item(skh_doc_node_at(list, i), collection, array, errors);
 }
 
-static void refuse_duplicates(const GArray *array, const collection_t *collection,
-			      skh_validation_errors_t *faults)
+static void check_unique_names(const GArray *array, const collection_t *collection,
+			       skh_validation_errors_t *errors)
 {
 	g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
 	guint bytes = g_array_get_element_size((GArray *)array);
@@ -192,26 +192,27 @@
 		const char *item = array->data + i * bytes;
 		uint32_t line = *(const uint32_t *)(item + collection->line_offset);
 
-		if (!g_hash_table_add(seen, (gpointer)item_name(array, i))) {
+		if (!g_hash_table_add(seen, (gpointer)get_item_name(array, i))) {
 			g_autofree char *key = g_strdup_printf("%s.name", collection->key);
 
-			skh_validation_errors_add(faults, line, key, "\"%s\" stands twice",
-						  item_name(array, i));
+			skh_validation_errors_add(errors, line, key,
+						  "the name \"%s\" is used twice",
+						  get_item_name(array, i));
 		}
 	}
 }
 
-static void check_services(const skh_manifest_t *manifest, skh_validation_errors_t *faults)
+static void check_services(const skh_manifest_t *manifest, skh_validation_errors_t *errors)
 {
 	for (size_t i = 0; i < manifest->services->len; i++) {
 		const skh_service_t *service = skh_manifest_service_at(manifest, i);
 
 		if (service->kind == SKH_SERVICE_PLAIN && *service->model)
-			skh_validation_errors_add(faults, service->line, "service.model",
+			skh_validation_errors_add(errors, service->line, "service.model",
 						  "a plain service has no model");
 		if (service->kind == SKH_SERVICE_MODEL &&
 		    !skh_manifest_model(manifest, service->model))
-			skh_validation_errors_add(faults, service->line, "service.model",
+			skh_validation_errors_add(errors, service->line, "service.model",
 						  "no model is called \"%s\"", service->model);
 	}
 }
@@ -222,59 +223,60 @@
 	       strspn(text, "0123456789abcdef") == SKH_KEY_HASH_CHARS;
 }
 
-/* Of a customer or an operator: @index goes to the bearer of each of its keys. */
-static void index_keys(GHashTable *by_key, const skh_doc_node_t *hashes, size_t index,
-		       const char *key, skh_validation_errors_t *faults)
+/* Maps each key hash of a customer or an operator to its index + 1. */
+static void index_keys(GHashTable *index_by_hash, const skh_doc_node_t *hashes, size_t index,
+		       const char *error_key, skh_validation_errors_t *errors)
 {
 	for (size_t k = 0; hashes && k < skh_doc_node_count(hashes); k++) {
 		const skh_doc_node_t *node = skh_doc_node_at(hashes, k);
 		char *hash = (char *)skh_doc_node_text(node);
 
 		if (!is_key_hash(hash))
-			skh_validation_errors_add(faults, skh_doc_node_line(node), key,
+			skh_validation_errors_add(errors, skh_doc_node_line(node), error_key,
 						  "not a SHA-256 in lower-case hexadecimal");
-		else if (!g_hash_table_insert(by_key, hash, GSIZE_TO_POINTER(index + 1)))
-			skh_validation_errors_add(faults, skh_doc_node_line(node), key,
-						  "the same key stands twice");
+		else if (!g_hash_table_insert(index_by_hash, hash, GSIZE_TO_POINTER(index + 1)))
+			skh_validation_errors_add(errors, skh_doc_node_line(node), error_key,
+						  "the same key is listed twice");
 	}
 }
 
-static void check_operators(skh_manifest_t *manifest, skh_validation_errors_t *faults)
+static void check_operators(skh_manifest_t *manifest, skh_validation_errors_t *errors)
 {
-	bool has_operator = false;
+	bool has_full_operator = false;
 
 	for (size_t i = 0; i < manifest->operators->len; i++) {
-		const skh_operator_t *operator= &
-			g_array_index(manifest->operators, skh_operator_t, i);
-
-		index_keys(manifest->by_operator_key, operator->key_sha256, i,
-			   "operator.key_sha256", faults);
-		if ((operator->role == SKH_OPERATOR_TEAM) != (*operator->team != '\0'))
-			skh_validation_errors_add(faults, operator->line, "operator.team",
-						  "belongs to role \"team\", and only there");
-		has_operator = has_operator || operator->role == SKH_OPERATOR_FULL;
+		const skh_operator_t *op = &g_array_index(manifest->operators, skh_operator_t, i);
+
+		index_keys(manifest->operator_index_by_hash, op->key_sha256, i,
+			   "operator.key_sha256", errors);
+		if ((op->role == SKH_OPERATOR_TEAM) != (*op->team != '\0'))
+			skh_validation_errors_add(errors, op->line, "operator.team",
+						  "an operator of role \"team\" needs a team, and "
+						  "only that role has one");
+		has_full_operator = has_full_operator || op->role == SKH_OPERATOR_FULL;
 	}
-	if (manifest->operators->len > 0 && !has_operator)
-		skh_validation_errors_add(faults, 1, "operator.role",
-					  "nobody could change the manifest any more");
+	if (manifest->operators->len > 0 && !has_full_operator)
+		skh_validation_errors_add(
+			errors, 1, "operator.role",
+			"no operator has the role \"operator\"; nobody could change the manifest");
 }
 
-static void check_customers(skh_manifest_t *manifest, skh_validation_errors_t *faults)
+static void check_customers(skh_manifest_t *manifest, skh_validation_errors_t *errors)
 {
 	for (size_t i = 0; i < manifest->customers->len; i++) {
 		const skh_customer_t *customer = skh_manifest_customer_at(manifest, i);
 
-		index_keys(manifest->by_key, customer->key_sha256, i, "customer.key_sha256",
-			   faults);
+		index_keys(manifest->customer_index_by_hash, customer->key_sha256, i,
+			   "customer.key_sha256", errors);
 		if (!skh_manifest_priority(manifest, customer->priority))
-			skh_validation_errors_add(faults, customer->line, "customer.priority",
+			skh_validation_errors_add(errors, customer->line, "customer.priority",
 						  "no priority is called \"%s\"",
 						  customer->priority);
 		if (customer->rate_per_s <= 0.0)
-			skh_validation_errors_add(faults, customer->line, "customer.rate_per_s",
+			skh_validation_errors_add(errors, customer->line, "customer.rate_per_s",
 						  "a rate of 0 admits nothing");
 		if (customer->weight <= 0.0)
-			skh_validation_errors_add(faults, customer->line, "customer.weight",
+			skh_validation_errors_add(errors, customer->line, "customer.weight",
 						  "must be above 0");
 		for (size_t s = 0; customer->services && s < skh_doc_node_count(customer->services);
 		     s++) {
@@ -282,7 +284,7 @@
 				skh_doc_node_text(skh_doc_node_at(customer->services, s));
 
 			if (!skh_manifest_service(manifest, name))
-				skh_validation_errors_add(faults, customer->line,
+				skh_validation_errors_add(errors, customer->line,
 							  "customer.services",
 							  "no service is called \"%s\"", name);
 		}
@@ -290,19 +292,19 @@
 }
 
 static void check_rank(const skh_group_t *group, size_t r, int64_t experts, int64_t *replicas,
-		       skh_validation_errors_t *faults)
+		       skh_validation_errors_t *errors)
 {
 	const skh_doc_node_t *rank = skh_doc_node_at(group->placement, r);
 
 	if ((int64_t)skh_doc_node_count(rank) > group->slots_per_rank)
-		skh_validation_errors_add(faults, skh_doc_node_line(rank), "group.placement",
+		skh_validation_errors_add(errors, skh_doc_node_line(rank), "group.placement",
 					  "rank %zu holds more experts than its %" PRId64 " slots",
 					  r, group->slots_per_rank);
 	for (size_t s = 0; s < skh_doc_node_count(rank); s++) {
 		int64_t expert = skh_doc_node_integer(skh_doc_node_at(rank, s));
 
 		if (expert < 0 || expert >= experts)
-			skh_validation_errors_add(faults, skh_doc_node_line(rank),
+			skh_validation_errors_add(errors, skh_doc_node_line(rank),
 						  "group.placement",
 						  "expert %" PRId64 " does not exist", expert);
 		else
@@ -310,7 +312,7 @@
 	}
 }
 
-static int64_t first_unplaced(const int64_t *replicas, int64_t experts)
+static int64_t find_unplaced_expert(const int64_t *replicas, int64_t experts)
 {
 	int64_t expert = 0;
 
@@ -320,26 +322,27 @@
 }
 
 static void check_placement(const skh_group_t *group, int64_t experts,
-			    skh_validation_errors_t *faults)
+			    skh_validation_errors_t *errors)
 {
 	int64_t *replicas = g_new0(int64_t, experts);
 	size_t ranks = skh_doc_node_count(group->placement);
 	int64_t unplaced;
 
 	if ((int64_t)ranks != group->ranks)
-		skh_validation_errors_add(faults, group->line, "group.placement",
-					  "%zu ranks are placed, the group has %" PRId64, ranks,
-					  group->ranks);
+		skh_validation_errors_add(
+			errors, group->line, "group.placement",
+			"the placement lists %zu ranks, but the group has %" PRId64, ranks,
+			group->ranks);
 	for (size_t r = 0; r < ranks; r++)
-		check_rank(group, r, experts, replicas, faults);
-	unplaced = first_unplaced(replicas, experts);
+		check_rank(group, r, experts, replicas, errors);
+	unplaced = find_unplaced_expert(replicas, experts);
 	if (unplaced < experts)
-		skh_validation_errors_add(faults, group->line, "group.placement",
+		skh_validation_errors_add(errors, group->line, "group.placement",
 					  "expert %" PRId64 " is placed nowhere", unplaced);
 	g_free(replicas);
 }
 
-static void check_groups(const skh_manifest_t *manifest, skh_validation_errors_t *faults)
+static void check_groups(const skh_manifest_t *manifest, skh_validation_errors_t *errors)
 {
 	for (size_t i = 0; i < manifest->groups->len; i++) {
 		const skh_group_t *group = &g_array_index(manifest->groups, skh_group_t, i);
@@ -348,88 +351,88 @@
 			service ? skh_manifest_model(manifest, service->model) : NULL;
 
 		if (!model) {
-			skh_validation_errors_add(faults, group->line, "group.service",
+			skh_validation_errors_add(errors, group->line, "group.service",
 						  "\"%s\" is not a model service", group->service);
 			continue;
 		}
 		if (group->ranks * group->slots_per_rank < model->experts_per_layer)
 			skh_validation_errors_add(
-				faults, group->line, "group.slots_per_rank",
+				errors, group->line, "group.slots_per_rank",
 				"%" PRId64 " slots can't hold %" PRId64 " experts",
 				group->ranks * group->slots_per_rank, model->experts_per_layer);
 		else if (group->placement)
-			check_placement(group, model->experts_per_layer, faults);
+			check_placement(group, model->experts_per_layer, errors);
 	}
 }
 
-static void refuse_unknown_tables(const skh_doc_node_t *tree, skh_validation_errors_t *faults)
+static void check_unknown_tables(const skh_doc_node_t *tree, skh_validation_errors_t *errors)
 {
-	static const char *const known[] = { "change",	 "balance",  "model",
-					     "priority", "service",  "customer",
-					     "group",	 "operator", NULL };
+	static const char *const known_tables[] = { "change",	"balance",  "model",
+						    "priority", "service",  "customer",
+						    "group",	"operator", NULL };
 
 	for (size_t i = 0; i < skh_doc_node_count(tree); i++) {
 		const skh_doc_node_t *child = skh_doc_node_at(tree, i);
 
-		if (!g_strv_contains(known, skh_doc_node_key(child)))
-			skh_validation_errors_add(faults, skh_doc_node_line(child),
+		if (!g_strv_contains(known_tables, skh_doc_node_key(child)))
+			skh_validation_errors_add(errors, skh_doc_node_line(child),
 						  skh_doc_node_key(child), "unknown table");
 	}
 }
 
-skh_manifest_t *skh_manifest_from_tree(skh_doc_node_t *tree, skh_validation_errors_t *faults)
+skh_manifest_t *skh_manifest_from_tree(skh_doc_node_t *tree, skh_validation_errors_t *errors)
 {
 	skh_manifest_t *manifest = g_new0(skh_manifest_t, 1);
-	size_t before = skh_validation_errors_count(faults);
+	size_t n_errors_before = skh_validation_errors_count(errors);
 
-	manifest->references = 1;
+	manifest->n_references = 1;
 	manifest->tree = tree;
 	manifest->skew_weight = 1.0;
 	manifest->cost_weight = 1.0;
-	manifest->by_key = g_hash_table_new(g_str_hash, g_str_equal);
-	manifest->by_operator_key = g_hash_table_new(g_str_hash, g_str_equal);
+	manifest->customer_index_by_hash = g_hash_table_new(g_str_hash, g_str_equal);
+	manifest->operator_index_by_hash = g_hash_table_new(g_str_hash, g_str_equal);
 	skh_schema_read(skh_doc_node_find(tree, "change"), "change", 1, change_fields,
-			G_N_ELEMENTS(change_fields), manifest, faults);
+			G_N_ELEMENTS(change_fields), manifest, errors);
 	skh_schema_read(skh_doc_node_find(tree, "balance"), "balance", 1, balance_fields,
-			G_N_ELEMENTS(balance_fields), manifest, faults);
+			G_N_ELEMENTS(balance_fields), manifest, errors);
 	for (size_t c = 0; c < G_N_ELEMENTS(collections); c++) {
-		read_collection(manifest, &collections[c], faults);
-		refuse_duplicates(*collection_array(manifest, &collections[c]), &collections[c],
-				  faults);
+		read_collection(manifest, &collections[c], errors);
+		check_unique_names(*get_collection_array(manifest, &collections[c]),
+				   &collections[c], errors);
 	}
-	refuse_unknown_tables(tree, faults);
-	check_services(manifest, faults);
-	check_customers(manifest, faults);
-	check_groups(manifest, faults);
-	check_operators(manifest, faults);
-	if (skh_validation_errors_count(faults) > before) {
+	check_unknown_tables(tree, errors);
+	check_services(manifest, errors);
+	check_customers(manifest, errors);
+	check_groups(manifest, errors);
+	check_operators(manifest, errors);
+	if (skh_validation_errors_count(errors) > n_errors_before) {
 		skh_manifest_unref(manifest);
 		return NULL;
 	}
 	return manifest;
 }
 
-skh_manifest_t *skh_manifest_from_toml(skh_chunk_t text, skh_validation_errors_t *faults)
+skh_manifest_t *skh_manifest_from_toml(skh_chunk_t text, skh_validation_errors_t *errors)
 {
 	skh_error_t err;
 	uint32_t line = 0;
 	skh_doc_node_t *tree = skh_doc_node_from_toml(text, &line, &err);
 
 	if (!tree) {
-		skh_validation_errors_add(faults, line, "", "%s", err.text);
+		skh_validation_errors_add(errors, line, "", "%s", err.text);
 		return NULL;
 	}
-	return skh_manifest_from_tree(tree, faults);
+	return skh_manifest_from_tree(tree, errors);
 }
 
 void skh_manifest_unref(skh_manifest_t *manifest)
 {
-	if (!manifest || !g_atomic_int_dec_and_test(&manifest->references))
+	if (!manifest || !g_atomic_int_dec_and_test(&manifest->n_references))
 		return;
 	for (size_t c = 0; c < G_N_ELEMENTS(collections); c++)
-		g_array_unref(*collection_array(manifest, &collections[c]));
-	g_hash_table_unref(manifest->by_key);
-	g_hash_table_unref(manifest->by_operator_key);
+		g_array_unref(*get_collection_array(manifest, &collections[c]));
+	g_hash_table_unref(manifest->customer_index_by_hash);
+	g_hash_table_unref(manifest->operator_index_by_hash);
 	skh_doc_node_free(manifest->tree);
 	g_free(manifest);
 }
@@ -441,7 +444,7 @@
 
 const char *skh_manifest_author(const skh_manifest_t *manifest)
 {
-	return manifest->by;
+	return manifest->author;
 }
 
 const char *skh_manifest_reason(const skh_manifest_t *manifest)
@@ -506,19 +509,19 @@
 	return NULL;
 }
 
-static size_t index_of_key(GHashTable *by_key, const char *bearer_key)
+static size_t find_index_plus_1(GHashTable *index_by_hash, const char *bearer_key)
 {
 	g_autofree char *hash = g_compute_checksum_for_string(G_CHECKSUM_SHA256, bearer_key, -1);
 
-	return GPOINTER_TO_SIZE(g_hash_table_lookup(by_key, hash));
+	return GPOINTER_TO_SIZE(g_hash_table_lookup(index_by_hash, hash));
 }
 
 const skh_customer_t *skh_manifest_customer_by_key(const skh_manifest_t *manifest,
 						   const char *bearer_key)
 {
-	size_t found = index_of_key(manifest->by_key, bearer_key);
+	size_t index_plus_1 = find_index_plus_1(manifest->customer_index_by_hash, bearer_key);
 
-	return found ? skh_manifest_customer_at(manifest, found - 1) : NULL;
+	return index_plus_1 ? skh_manifest_customer_at(manifest, index_plus_1 - 1) : NULL;
 }
 
 size_t skh_manifest_count_operators(const skh_manifest_t *manifest)
@@ -529,9 +532,10 @@
 const skh_operator_t *skh_manifest_operator_by_key(const skh_manifest_t *manifest,
 						   const char *bearer_key)
 {
-	size_t found = index_of_key(manifest->by_operator_key, bearer_key);
+	size_t index_plus_1 = find_index_plus_1(manifest->operator_index_by_hash, bearer_key);
 
-	return found ? &g_array_index(manifest->operators, skh_operator_t, found - 1) : NULL;
+	return index_plus_1 ? &g_array_index(manifest->operators, skh_operator_t, index_plus_1 - 1)
+			    : NULL;
 }
 
 static bool texts_contain(const skh_doc_node_t *texts, const char *wanted)
