--- a/src/config_parts.h
+++ b/src/config_parts.h
@@ -42,7 +42,7 @@
  * skh_config_parts_merge() - merge parts into the tree of a manifest
  * @texts: JSON of all parts, in any order
  * @n_texts: length of @texts
- * @err: receives SKH_CONFIG_INVALID when a part is not valid JSON
+ * @err: receives SKH_BAD_REQUEST when a part is not valid JSON
  *
  * Return: new tree without the "change" table, or NULL with @err.
  */
