--- a/test/config_test.cc
+++ b/test/config_test.cc
@@ -1,4 +1,5 @@
-// Settings, manifests, their parts, and apply over a fake key-value service.
+// Tests of settings, manifests, configuration parts, and apply with a fake key-value service that
+// can lose a write or its response.
 #include "apply.h"
 #include "fake_store.h"
 #include "manifest.h"
@@ -22,33 +23,34 @@
 	return text.str();
 }
 
-skh_manifest_t *manifest_of(const std::string &text, std::string *faults_text = nullptr)
+skh_manifest_t *parse_manifest(const std::string &text, std::string *errors_text = nullptr)
 {
-	skh_validation_errors_t *faults = skh_validation_errors_new();
+	skh_validation_errors_t *errors = skh_validation_errors_new();
 	skh_manifest_t *manifest =
-		skh_manifest_from_toml(skh_chunk_make(text.data(), text.size()), faults);
+		skh_manifest_from_toml(skh_chunk_make(text.data(), text.size()), errors);
 
-	for (size_t i = 0; faults_text && i < skh_validation_errors_count(faults); i++)
-		*faults_text += std::string(skh_validation_errors_at(faults, i)->key) + ": " +
-				skh_validation_errors_at(faults, i)->reason + "\n";
-	skh_validation_errors_free(faults);
+	for (size_t i = 0; errors_text && i < skh_validation_errors_count(errors); i++)
+		*errors_text += std::string(skh_validation_errors_at(errors, i)->key) + ": " +
+				skh_validation_errors_at(errors, i)->reason + "\n";
+	skh_validation_errors_free(errors);
 	return manifest;
 }
 
-std::string good_text()
+std::string valid_manifest_text()
 {
 	return read_file("good-manifest.toml");
 }
 
-TEST(Manifest, CharactersBeyondAsciiAreRefusedWithTheirLine)
+TEST(Manifest, NonAsciiCharactersAreRejectedWithTheirLine)
 {
-	/* What the fuzzer found: each made toml++ reach "unreachable" code. */
-	for (const char *bad :
+	/* Found by the fuzzer: each text made toml++ reach code marked as unreachable. */
+	for (const char *invalid_text :
 	     { "[change]\nby = 0\"x-\310\235\"\n", "a = 1\n[inst\312\250nce]\n" }) {
 		skh_error_t err = {};
 		uint32_t line = 0;
 
-		EXPECT_EQ(nullptr, skh_doc_node_from_toml(skh_chunk_from_string(bad), &line, &err));
+		EXPECT_EQ(nullptr,
+			  skh_doc_node_from_toml(skh_chunk_from_string(invalid_text), &line, &err));
 		EXPECT_EQ(2u, line);
 		EXPECT_EQ(SKH_CONFIG_INVALID, err.kind);
 	}
@@ -62,12 +64,12 @@
 	skh_doc_node_free(node);
 }
 
-TEST(Manifest, LooksUpWhatItHolds)
+TEST(Manifest, LooksUpCustomersAndServices)
 {
-	std::string faults;
-	skh_manifest_t *manifest = manifest_of(good_text(), &faults);
+	std::string errors;
+	skh_manifest_t *manifest = parse_manifest(valid_manifest_text(), &errors);
 
-	ASSERT_NE(manifest, nullptr) << faults;
+	ASSERT_NE(manifest, nullptr) << errors;
 	const skh_customer_t *customer = skh_manifest_customer_by_key(manifest, "clerk-key");
 	ASSERT_NE(customer, nullptr);
 	EXPECT_STREQ(customer->name, "nairobi-yard");
@@ -80,9 +82,9 @@
 	skh_manifest_unref(manifest);
 }
 
-TEST(Parts, SplitAndMergedIsTheSameManifest)
+TEST(Parts, MergeRestoresTheSplitManifest)
 {
-	skh_manifest_t *manifest = manifest_of(good_text());
+	skh_manifest_t *manifest = parse_manifest(valid_manifest_text());
 	GHashTable *texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	GHashTable *parts = skh_config_parts_split(skh_manifest_tree(manifest), texts);
 	std::vector<const char *> list;
@@ -95,19 +97,19 @@
 		list.push_back(static_cast<const char *>(text));
 	skh_doc_node_t *merged = skh_config_parts_merge(list.data(), list.size(), &err);
 	ASSERT_NE(merged, nullptr);
-	GHashTable *again_texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	GHashTable *again = skh_config_parts_split(merged, again_texts);
-	skh_config_head_t *a = skh_config_head_new(1, "a", "r", "x", 0, parts);
-	skh_config_head_t *b = skh_config_head_new(1, "a", "r", "x", 0, again);
-	char *difference = skh_config_head_changed_parts(a, b);
+	GHashTable *merged_texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	GHashTable *merged_parts = skh_config_parts_split(merged, merged_texts);
+	skh_config_head_t *first = skh_config_head_new(1, "a", "r", "x", 0, parts);
+	skh_config_head_t *second = skh_config_head_new(1, "a", "r", "x", 0, merged_parts);
+	char *difference = skh_config_head_changed_parts(first, second);
 	EXPECT_STREQ(difference, "");
 	g_free(difference);
-	skh_config_head_free(a);
-	skh_config_head_free(b);
+	skh_config_head_free(first);
+	skh_config_head_free(second);
 	g_hash_table_unref(parts);
-	g_hash_table_unref(again);
+	g_hash_table_unref(merged_parts);
 	g_hash_table_unref(texts);
-	g_hash_table_unref(again_texts);
+	g_hash_table_unref(merged_texts);
 	skh_doc_node_free(merged);
 	skh_manifest_unref(manifest);
 }
@@ -115,26 +117,26 @@
 class Apply : public ::testing::Test
 {
       protected:
-	bool apply(const std::string &text, int64_t base = -1)
+	bool apply(const std::string &text, int64_t base_revision = -1)
 	{
-		skh_manifest_t *manifest = manifest_of(text);
-		bool accepted = skh_apply_manifest(&store.base, "/skh/", manifest, base, floor,
-						   &result, &err);
+		skh_manifest_t *manifest = parse_manifest(text);
+		bool accepted = skh_apply_manifest(&store.base, "/skh/", manifest, base_revision,
+						   min_revision, &result, &err);
 
 		skh_manifest_unref(manifest);
-		skh_apply_result_clear_keeping_numbers();
+		free_changed_parts();
 		return accepted;
 	}
 
-	void skh_apply_result_clear_keeping_numbers()
+	void free_changed_parts()
 	{
 		g_free(result.changed_parts);
 		result.changed_parts = nullptr;
 	}
 
-	std::string with_rate(int rate)
+	std::string manifest_text_with_rate(int rate)
 	{
-		std::string text = good_text();
+		std::string text = valid_manifest_text();
 		const std::string from = "rate_per_s = 50.0";
 
 		text.replace(text.find(from), from.size(),
@@ -143,102 +145,102 @@
 	}
 
 	FakeStore store;
-	int64_t floor = 0;
+	int64_t min_revision = 0;
 	skh_apply_result_t result = {};
 	skh_error_t err = {};
 };
 
-TEST_F(Apply, CountsRevisionsAndWritesOnlyWhatChanged)
+TEST_F(Apply, IncrementsRevisionAndWritesOnlyChangedParts)
 {
-	ASSERT_TRUE(apply(good_text()));
+	ASSERT_TRUE(apply(valid_manifest_text()));
 	EXPECT_EQ(result.revision, 1);
-	ASSERT_TRUE(apply(with_rate(60)));
+	ASSERT_TRUE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(result.revision, 2);
 	EXPECT_EQ(result.parts_written, 1U);
 }
 
-TEST_F(Apply, RepeatedByAPipelineGivesTheSameResult)
+TEST_F(Apply, RetryOfAnAcceptedManifestChangesNothing)
 {
-	ASSERT_TRUE(apply(good_text()));
-	ASSERT_TRUE(apply(good_text()));
+	ASSERT_TRUE(apply(valid_manifest_text()));
+	ASSERT_TRUE(apply(valid_manifest_text()));
 	EXPECT_TRUE(result.unchanged);
 	EXPECT_EQ(result.revision, 1);
 }
 
-TEST_F(Apply, AServiceThatLostItsContentsDoesNotCountFromOneAgain)
+TEST_F(Apply, RevisionExceedsMinimumWhenStoreLostItsContents)
 {
-	floor = 41;
-	ASSERT_TRUE(apply(good_text()));
+	min_revision = 41;
+	ASSERT_TRUE(apply(valid_manifest_text()));
 	EXPECT_EQ(result.revision, 42);
 }
 
-TEST_F(Apply, AnAnswerLostAfterTheWriteIsSettledByReadingBack)
+TEST_F(Apply, LostResponseIsResolvedByReadingTheHeadBack)
 {
-	ASSERT_TRUE(apply(good_text()));
-	store.lose_answer_of_txn = store.n_txns + 2; /* the swap of the head */
-	ASSERT_TRUE(apply(with_rate(60))) << err.text;
+	ASSERT_TRUE(apply(valid_manifest_text()));
+	store.lose_answer_of_txn = store.n_txns + 2; /* the transaction that swaps the head */
+	ASSERT_TRUE(apply(manifest_text_with_rate(60))) << err.text;
 	EXPECT_EQ(result.revision, 2);
 }
 
-TEST_F(Apply, AWriteThatDidNotHappenIsNotReportedAsAccepted)
+TEST_F(Apply, LostWriteIsNotReportedAsAccepted)
 {
-	ASSERT_TRUE(apply(good_text()));
+	ASSERT_TRUE(apply(valid_manifest_text()));
 	store.drop_txn = store.n_txns + 2;
-	EXPECT_FALSE(apply(with_rate(60)));
+	EXPECT_FALSE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_STORE_UNAVAILABLE);
 	EXPECT_EQ(err.run_state, SKH_RUN_NOT_RUN);
 }
 
-TEST_F(Apply, ALostAnswerDuringAnOutageIsUnknown)
+TEST_F(Apply, LostResponseDuringAnOutageIsUnknown)
 {
-	ASSERT_TRUE(apply(good_text()));
+	ASSERT_TRUE(apply(valid_manifest_text()));
 	store.lose_answer_of_txn = store.n_txns + 2;
 	store.down_after_loss = true;
-	EXPECT_FALSE(apply(with_rate(60)));
+	EXPECT_FALSE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_OUTCOME_UNKNOWN);
 	EXPECT_EQ(err.run_state, SKH_RUN_UNKNOWN);
 }
 
-TEST_F(Apply, OfTwoRacingOperatorsOneIsToldWhatChanged)
+TEST_F(Apply, ConcurrentApplyFailsWithTheChangedParts)
 {
-	ASSERT_TRUE(apply(good_text()));
+	ASSERT_TRUE(apply(valid_manifest_text()));
 	store.before_txn = store.n_txns + 2;
 	store.intrude = [this] {
-		skh_manifest_t *rival = manifest_of(with_rate(70));
-		skh_apply_result_t rival_result = {};
-		skh_error_t rival_err = {};
-		EXPECT_TRUE(skh_apply_manifest(&store.base, "/skh/", rival, -1, 0, &rival_result,
-					       &rival_err));
-		skh_apply_result_clear(&rival_result);
-		skh_manifest_unref(rival);
+		skh_manifest_t *concurrent_manifest = parse_manifest(manifest_text_with_rate(70));
+		skh_apply_result_t concurrent_result = {};
+		skh_error_t concurrent_err = {};
+		EXPECT_TRUE(skh_apply_manifest(&store.base, "/skh/", concurrent_manifest, -1, 0,
+					       &concurrent_result, &concurrent_err));
+		skh_apply_result_clear(&concurrent_result);
+		skh_manifest_unref(concurrent_manifest);
 	};
-	EXPECT_FALSE(apply(with_rate(60)));
+	EXPECT_FALSE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_CONFLICT);
 	EXPECT_NE(std::string(err.text).find("customer-"), std::string::npos) << err.text;
 }
 
-TEST_F(Apply, AChangeOnAnOldBaseIsAConflict)
+TEST_F(Apply, ChangeBasedOnAnOldRevisionIsAConflict)
 {
-	ASSERT_TRUE(apply(good_text()));
-	ASSERT_TRUE(apply(with_rate(60), 1));
-	EXPECT_FALSE(apply(with_rate(70), 1));
+	ASSERT_TRUE(apply(valid_manifest_text()));
+	ASSERT_TRUE(apply(manifest_text_with_rate(60), 1));
+	EXPECT_FALSE(apply(manifest_text_with_rate(70), 1));
 	EXPECT_EQ(err.kind, SKH_CONFLICT);
 }
 
-RC_GTEST_PROP(Manifest, AnyTextIsRefusedOrSafe, (const std::string &text))
+RC_GTEST_PROP(Manifest, AnyTextIsParsedOrRejectedSafely, (const std::string &text))
 {
-	skh_manifest_unref(manifest_of(text));
+	skh_manifest_unref(parse_manifest(text));
 }
 
-RC_GTEST_PROP(Settings, AnyTextIsRefusedOrSafe, (const std::string &text))
+RC_GTEST_PROP(Settings, AnyTextIsRejectedWithErrors, (const std::string &text))
 {
-	skh_validation_errors_t *faults = skh_validation_errors_new();
+	skh_validation_errors_t *errors = skh_validation_errors_new();
 	skh_settings_t *settings = skh_settings_parse(skh_chunk_make(text.data(), text.size()),
-						      SKH_ROLE_SIDECAR, faults);
+						      SKH_ROLE_SIDECAR, errors);
 
-	RC_ASSERT(skh_validation_errors_count(faults) > 0U);
+	RC_ASSERT(skh_validation_errors_count(errors) > 0U);
 	skh_settings_free(settings);
-	skh_validation_errors_free(faults);
+	skh_validation_errors_free(errors);
 }
 
 } // namespace
