--- a/src/mirror.c
+++ b/src/mirror.c
@@ -33,7 +33,7 @@
 	if (!mirror->store->ops->range(mirror->store, mirror->prefix, true, &pairs, &err)) {
 		skh_metrics_add(SKH_COUNT_STORE_FAILED, 1);
 		skh_log(SKH_LOG_WARNING, PART,
-			"Reading from the key-value service failed; the last copy is kept.",
+			"The key-value service did not answer a read; the last copy is kept.",
 			"prefix=%s reason=%s", mirror->prefix, err.text);
 		return false;
 	}
