--- a/src/manifest.c
+++ b/src/manifest.c
@@ -195,8 +195,7 @@
 		if (!g_hash_table_add(seen, (gpointer)get_item_name(array, i))) {
 			g_autofree char *key = g_strdup_printf("%s.name", collection->key);
 
-			skh_validation_errors_add(errors, line, key,
-						  "the name \"%s\" is used twice",
+			skh_validation_errors_add(errors, line, key, "\"%s\" stands twice",
 						  get_item_name(array, i));
 		}
 	}
--- a/src/schema.c
+++ b/src/schema.c
@@ -139,7 +139,7 @@
 		}
 	}
 	skh_validation_errors_add(reader->errors, skh_doc_node_line(reader->node), reader->key,
-				  "\"%s\" is not one of the accepted choices",
+				  "\"%s\" is not one of the known choices",
 				  skh_doc_node_text(reader->node));
 }
 
