--- a/src/cmd_apply.c
+++ b/src/cmd_apply.c
@@ -149,7 +149,7 @@
 	struct arg_int *base_revision = arg_int0(
 		NULL, "base", "REVISION", "refuse the change unless this revision is in force");
 	struct arg_int *wait_s =
-		arg_int0(NULL, "wait", "SECONDS", "longest wait until all instances have it (30)");
+		arg_int0(NULL, "wait", "SECONDS", "how long to wait for all instances (30)");
 	struct arg_str *prefix = arg_str0(NULL, "prefix", "KEY", "key prefix of the system");
 	struct arg_str *instances =
 		arg_str0(NULL, "instances", "KEY", "key prefix of the platform's list");
--- a/src/config_parts.h
+++ b/src/config_parts.h
@@ -22,7 +22,7 @@
 /** struct skh_config_head - description of the accepted configuration and list of its parts */
 typedef struct skh_config_head {
 	int64_t revision;
-	int64_t accepted_unix_ms; /* Unix time of the apply that was accepted */
+	int64_t accepted_unix_ms; /* Unix time of the apply */
 	char *author;
 	char *reason;
 	char *attempt; /* random id of the apply that wrote the head; identifies the writer */
--- a/src/schema.h
+++ b/src/schema.h
@@ -55,6 +55,7 @@
 const skh_validation_error_t *skh_validation_errors_at(skh_validation_errors_t *errors,
 						       size_t index);
 
+/** enum skh_field_type - type of a value and of the member that receives the value */
 typedef enum skh_field_type {
 	SKH_FIELD_TEXT,	      /* const char * */
 	SKH_FIELD_TEXT_ARRAY, /* const skh_doc_node_t *, an array of texts */
