--- a/src/manifest.h
+++ b/src/manifest.h
@@ -123,10 +123,10 @@
 /** skh_manifest_reason() - reason of the change, from the "change" table */
 const char *skh_manifest_reason(const skh_manifest_t *manifest);
 
-/** skh_manifest_skew_weight() - weight of the skew of step times in the rebalancing objective */
+/** skh_manifest_skew_weight() - value of balance.skew_weight, the weight of step-time skew */
 double skh_manifest_skew_weight(const skh_manifest_t *manifest);
 
-/** skh_manifest_cost_weight() - weight of expert moves in the rebalancing objective */
+/** skh_manifest_cost_weight() - value of balance.cost_weight, the weight of expert moves */
 double skh_manifest_cost_weight(const skh_manifest_t *manifest);
 
 /** skh_manifest_count_services() - number of services */
