--- a/src/board.c
+++ b/src/board.c
@@ -5,68 +5,71 @@
 #include <glib.h>
 #include <string.h>
 
-/* A section is stored behind this header; readers see only the payload. */
-typedef struct header {
+/* Precedes the payload of each section in memory; readers see only the payload. */
+typedef struct section_header {
 	struct rcu_head rcu;
-	gint references;
+	gint refcount;
 	void (*destroy)(void *payload);
-} header_t;
+} section_header_t;
 
 struct skh_board {
-	header_t *sections[SKH_BOARD_SECTION_COUNT];
+	section_header_t *sections[SKH_BOARD_SECTION_COUNT];
 };
 
-static void *payload_of(header_t *header)
+static void *get_payload(section_header_t *header)
 {
 	return header + 1;
 }
 
-static header_t *header_of(const void *payload)
+static section_header_t *get_header(const void *payload)
 {
-	return (header_t *)payload - 1;
+	return (section_header_t *)payload - 1;
 }
 
-static header_t *new_section(size_t payload_bytes, void (*destroy)(void *payload))
+static section_header_t *new_section(size_t payload_bytes, void (*destroy)(void *payload))
 {
-	header_t *header = g_malloc0(sizeof(*header) + payload_bytes);
+	section_header_t *header = g_malloc0(sizeof(*header) + payload_bytes);
 
-	header->references = 1;
+	header->refcount = 1;
 	header->destroy = destroy;
 	return header;
 }
 
-static void drop(header_t *header)
+static void unref_section(section_header_t *header)
 {
-	if (!g_atomic_int_dec_and_test(&header->references))
+	if (!g_atomic_int_dec_and_test(&header->refcount))
 		return;
-	header->destroy(payload_of(header));
+	header->destroy(get_payload(header));
 	g_free(header);
 }
 
-static void drop_after_grace(struct rcu_head *rcu)
+static void unref_after_grace_period(struct rcu_head *rcu)
 {
-	drop(caa_container_of(rcu, header_t, rcu));
+	unref_section(caa_container_of(rcu, section_header_t, rcu));
 }
 
-static void publish(skh_board_t *board, skh_board_section_t id, header_t *fresh)
+static void publish(skh_board_t *board, skh_board_section_t id, section_header_t *replacement)
 {
-	header_t *old = rcu_xchg_pointer(&board->sections[id], fresh);
+	section_header_t *old = rcu_xchg_pointer(&board->sections[id], replacement);
 
 	if (old)
-		call_rcu(&old->rcu, drop_after_grace);
+		call_rcu(&old->rcu, unref_after_grace_period);
 }
 
-/* The grace period keeps the count above zero until the lock is released. */
-static void *take(skh_board_t *board, skh_board_section_t id)
+/*
+ * publish() drops the board's reference only after a grace period, so the count
+ * cannot reach zero between the load of the pointer and the increment.
+ */
+static void *acquire_section(skh_board_t *board, skh_board_section_t id)
 {
-	header_t *header;
+	section_header_t *header;
 
 	rcu_read_lock();
 	header = rcu_dereference(board->sections[id]);
 	if (header)
-		g_atomic_int_inc(&header->references);
+		g_atomic_int_inc(&header->refcount);
 	rcu_read_unlock();
-	return header ? payload_of(header) : NULL;
+	return header ? get_payload(header) : NULL;
 }
 
 skh_board_t *skh_board_new(void)
@@ -91,7 +94,7 @@
 	g_free(config->reason);
 }
 
-static void destroy_members(void *payload)
+static void destroy_instances(void *payload)
 {
 	skh_instances_clear(payload);
 }
@@ -106,18 +109,18 @@
 	skh_roster_clear(payload);
 }
 
-static void destroy_nothing(void *payload)
+static void destroy_noop(void *payload)
 {
 	(void)payload;
 }
 
-/* The section takes over what @content holds; the struct itself is given up. */
+/* Moves @content into a new section, which owns everything @content refers to, and frees @content. */
 static void publish_content(skh_board_t *board, skh_board_section_t id, void *content, size_t size,
 			    void (*destroy)(void *payload))
 {
-	header_t *header = new_section(size, destroy);
+	section_header_t *header = new_section(size, destroy);
 
-	memcpy(payload_of(header), content, size);
+	memcpy(get_payload(header), content, size);
 	g_free(content);
 	publish(board, id, header);
 }
@@ -127,10 +130,10 @@
 	publish_content(board, SKH_BOARD_SECTION_CONFIG, config, sizeof(*config), destroy_config);
 }
 
-void skh_board_publish_instances(skh_board_t *board, skh_instances_t *members)
+void skh_board_publish_instances(skh_board_t *board, skh_instances_t *instances)
 {
-	publish_content(board, SKH_BOARD_SECTION_INSTANCES, members, sizeof(*members),
-			destroy_members);
+	publish_content(board, SKH_BOARD_SECTION_INSTANCES, instances, sizeof(*instances),
+			destroy_instances);
 }
 
 void skh_board_publish_routing(skh_board_t *board, skh_routing_t *routing)
@@ -146,45 +149,46 @@
 
 const skh_routing_t *skh_board_acquire_routing(skh_board_t *board)
 {
-	return take(board, SKH_BOARD_SECTION_ROUTING);
+	return acquire_section(board, SKH_BOARD_SECTION_ROUTING);
 }
 
 const skh_roster_t *skh_board_acquire_roster(skh_board_t *board)
 {
-	return take(board, SKH_BOARD_SECTION_ROSTER);
+	return acquire_section(board, SKH_BOARD_SECTION_ROSTER);
 }
 
-void skh_board_publish_lifecycle(skh_board_t *board, skh_lifecycle_t self)
+void skh_board_publish_lifecycle(skh_board_t *board, skh_lifecycle_t lifecycle)
 {
-	header_t *header = new_section(sizeof(self), destroy_nothing);
+	section_header_t *header = new_section(sizeof(lifecycle), destroy_noop);
 
-	*(skh_lifecycle_t *)payload_of(header) = self;
+	*(skh_lifecycle_t *)get_payload(header) = lifecycle;
 	publish(board, SKH_BOARD_SECTION_LIFECYCLE, header);
 }
 
 const skh_config_t *skh_board_acquire_config(skh_board_t *board)
 {
-	return take(board, SKH_BOARD_SECTION_CONFIG);
+	return acquire_section(board, SKH_BOARD_SECTION_CONFIG);
 }
 
 const skh_instances_t *skh_board_acquire_instances(skh_board_t *board)
 {
-	return take(board, SKH_BOARD_SECTION_INSTANCES);
+	return acquire_section(board, SKH_BOARD_SECTION_INSTANCES);
 }
 
 skh_lifecycle_t skh_board_get_lifecycle(skh_board_t *board)
 {
-	skh_lifecycle_t *section = take(board, SKH_BOARD_SECTION_LIFECYCLE);
-	skh_lifecycle_t self = section ? *section : (skh_lifecycle_t){ SKH_LIFECYCLE_STARTING, 0 };
+	skh_lifecycle_t *section = acquire_section(board, SKH_BOARD_SECTION_LIFECYCLE);
+	skh_lifecycle_t lifecycle =
+		section ? *section : (skh_lifecycle_t){ SKH_LIFECYCLE_STARTING, 0 };
 
 	skh_board_release(section);
-	return self;
+	return lifecycle;
 }
 
 void skh_board_release(const void *section)
 {
 	if (section)
-		drop(header_of(section));
+		unref_section(get_header(section));
 }
 
 int64_t skh_board_config_revision(skh_board_t *board)
--- a/src/board.h
+++ b/src/board.h
@@ -4,9 +4,10 @@
 /**
  * DOC: Blackboard
  *
- * Typed sections that one controller writes and anyone reads. A section is
- * immutable once published. Readers take a reference under RCU and may keep it
- * as long as they like; a writer never waits for them.
+ * Shared state of one process as typed sections. Each section has one writer,
+ * which publishes a new immutable version to replace the previous one. Any
+ * thread can read: readers take a reference under RCU and can keep it for any
+ * length of time, and writers never wait for readers.
  */
 
 #include "manifest.h"
@@ -27,7 +28,7 @@
 	SKH_BOARD_SECTION_COUNT
 } skh_board_section_t;
 
-/** struct skh_config - the configuration in force; written by the config controller */
+/** struct skh_config - configuration in force, published by the configuration controller */
 typedef struct skh_config {
 	int64_t revision;
 	skh_manifest_t *manifest;
@@ -35,11 +36,11 @@
 	char *reason;
 } skh_config_t;
 
-/** enum skh_lifecycle_state - what this process is doing; written by its main thread */
+/** enum skh_lifecycle_state - state of this process, published by its main thread */
 typedef enum skh_lifecycle_state {
 	SKH_LIFECYCLE_STARTING,
 	SKH_LIFECYCLE_SERVING,
-	SKH_LIFECYCLE_LEAVING, /* still serving, but no longer ready for more */
+	SKH_LIFECYCLE_LEAVING, /* still serves requests, but readiness checks fail */
 	SKH_LIFECYCLE_STOPPING
 } skh_lifecycle_state_t;
 
@@ -50,35 +51,80 @@
 
 typedef struct skh_board skh_board_t;
 
+/**
+ * skh_board_new() - create a board without any published section
+ * Return: a board to be freed with skh_board_free().
+ */
 skh_board_t *skh_board_new(void);
 
-/** skh_board_free() - only after every reader has stopped */
+/** skh_board_free() - free the board; every reader must have stopped before the call */
 void skh_board_free(skh_board_t *board);
 
-/* Each publish takes ownership of what it is given. */
+/**
+ * skh_board_publish_config() - replace the configuration in force
+ * @board: the board
+ * @config: allocated with g_new(); the board takes ownership of it and its contents
+ */
 void skh_board_publish_config(skh_board_t *board, skh_config_t *config);
-void skh_board_publish_instances(skh_board_t *board, skh_instances_t *members);
-/* The routing table and the roster are given up by the caller and no longer changed. */
+
+/**
+ * skh_board_publish_instances() - replace the list of instances
+ * @board: the board
+ * @instances: allocated with g_new(); the board takes ownership of it and its contents
+ */
+void skh_board_publish_instances(skh_board_t *board, skh_instances_t *instances);
+
+/**
+ * skh_board_publish_routing() - replace the routing table
+ * @board: the board
+ * @routing: allocated with g_new(); the board takes ownership of it and its contents
+ */
 void skh_board_publish_routing(skh_board_t *board, skh_routing_t *routing);
+
+/**
+ * skh_board_publish_roster() - replace the list of known backend servers
+ * @board: the board
+ * @roster: allocated with g_new(); the board takes ownership of it and its contents
+ */
 void skh_board_publish_roster(skh_board_t *board, skh_roster_t *roster);
-void skh_board_publish_lifecycle(skh_board_t *board, skh_lifecycle_t self);
+
+/** skh_board_publish_lifecycle() - replace the state of this process with a copy of @lifecycle */
+void skh_board_publish_lifecycle(skh_board_t *board, skh_lifecycle_t lifecycle);
 
 /**
- * skh_board_acquire_config() - the configuration in force, or NULL before the first
- * Return: a reference to be given back with skh_board_release().
+ * skh_board_acquire_config() - get the configuration in force
+ * Return: a reference to be released with skh_board_release(); NULL before the first publication.
  */
 const skh_config_t *skh_board_acquire_config(skh_board_t *board);
+
+/**
+ * skh_board_acquire_instances() - get the list of instances
+ * Return: a reference to be released with skh_board_release(); NULL before the first publication.
+ */
 const skh_instances_t *skh_board_acquire_instances(skh_board_t *board);
-/** skh_board_acquire_routing() - the routing table in force, or NULL before the first */
+
+/**
+ * skh_board_acquire_routing() - get the routing table in force
+ * Return: a reference to be released with skh_board_release(); NULL before the first publication.
+ */
 const skh_routing_t *skh_board_acquire_routing(skh_board_t *board);
-/** skh_board_acquire_roster() - the backend servers known, or NULL before the first list */
+
+/**
+ * skh_board_acquire_roster() - get the list of known backend servers
+ * Return: a reference to be released with skh_board_release(); NULL before the first publication.
+ */
 const skh_roster_t *skh_board_acquire_roster(skh_board_t *board);
+
+/**
+ * skh_board_get_lifecycle() - get the state of this process
+ * Return: a copy; SKH_LIFECYCLE_STARTING before the first publication.
+ */
 skh_lifecycle_t skh_board_get_lifecycle(skh_board_t *board);
 
-/** skh_board_release() - give back a section; NULL is allowed */
+/** skh_board_release() - release a reference taken by an acquire function; NULL is allowed */
 void skh_board_release(const void *section);
 
-/** skh_board_config_revision() - revision of the configuration in force, 0 for none */
+/** skh_board_config_revision() - revision of the configuration in force; 0 for none */
 int64_t skh_board_config_revision(skh_board_t *board);
 
 #ifdef __cplusplus
