--- a/src/clock.c
+++ b/src/clock.c
@@ -7,8 +7,8 @@
 
 #define NS_PER_US 1000
 #define NS_PER_MS 1000000
-/* A pause notices a stop this late at most. */
-#define SLICE_US (100 * SKH_US_PER_MS)
+/* Maximum delay before skh_clock_sleep() notices that @stop is set. */
+#define STOP_CHECK_INTERVAL_US (100 * SKH_US_PER_MS)
 
 int64_t skh_clock_now_us(void)
 {
@@ -34,11 +34,13 @@
 	return (int64_t)now.tv_sec * SKH_MS_PER_S + now.tv_nsec / NS_PER_MS;
 }
 
-void skh_clock_sleep(int64_t pause_us, const bool *stop)
+void skh_clock_sleep(int64_t duration_us, const bool *stop)
 {
-	while (pause_us > 0 && !__atomic_load_n(stop, __ATOMIC_ACQUIRE)) {
-		(void)usleep((useconds_t)(pause_us < SLICE_US ? pause_us : SLICE_US));
-		pause_us -= SLICE_US;
+	while (duration_us > 0 && !__atomic_load_n(stop, __ATOMIC_ACQUIRE)) {
+		(void)usleep((useconds_t)(duration_us < STOP_CHECK_INTERVAL_US
+						  ? duration_us
+						  : STOP_CHECK_INTERVAL_US));
+		duration_us -= STOP_CHECK_INTERVAL_US;
 	}
 }
 
@@ -46,7 +48,7 @@
 {
 	uint64_t value = 0;
 
-	/* getrandom() only falls short before the system's pool is filled. */
+	/* getrandom() returns less than asked only before the kernel's entropy pool is ready. */
 	while (getrandom(&value, sizeof(value), 0) != (ssize_t)sizeof(value))
 		continue;
 	return value;
--- a/src/clock.h
+++ b/src/clock.h
@@ -2,10 +2,12 @@
 #define SKH_CLOCK_H
 
 /**
- * DOC: Time
+ * DOC: Clocks and random numbers
  *
- * Decisions never read a clock: they are given @now_us. Only I/O threads call
- * these functions. Deadlines are stored as points on the monotonic clock.
+ * Reads the system clocks and the kernel's random source, from any thread. Only
+ * I/O threads call these functions; decision modules never read a clock and take
+ * the time as a parameter, @now_us. Deadlines are stored as points on the
+ * monotonic clock.
  */
 
 #include <stdbool.h>
@@ -23,19 +25,23 @@
 int64_t skh_clock_now_us(void);
 
 /**
- * skh_clock_boot_us() - clock that also counts while the instance is suspended
+ * skh_clock_boot_us() - monotonic clock that includes suspended time, in microseconds
  *
- * What was learned before a suspension is older afterwards by its whole length.
+ * Used for the age of received data: the length of a suspension adds to the age.
  */
 int64_t skh_clock_boot_us(void);
 
-/** skh_clock_unix_ms() - wall clock, milliseconds since 1970 (UTC) */
+/** skh_clock_unix_ms() - wall clock, in milliseconds since 1970 (UTC) */
 int64_t skh_clock_unix_ms(void);
 
-/** skh_clock_sleep() - let this thread rest for @pause_us, or until @stop is set by another */
-void skh_clock_sleep(int64_t pause_us, const bool *stop);
+/**
+ * skh_clock_sleep() - block the calling thread
+ * @duration_us: time to sleep, in microseconds
+ * @stop: ends the sleep early, within 100 ms, when another thread sets it
+ */
+void skh_clock_sleep(int64_t duration_us, const bool *stop);
 
-/** skh_random_u64() - unpredictable number for identifiers and jitter */
+/** skh_random_u64() - unpredictable number, for identifiers and jitter */
 uint64_t skh_random_u64(void);
 
 #ifdef __cplusplus
