--- a/src/error.c
+++ b/src/error.c
@@ -7,8 +7,8 @@
 typedef struct kind_row {
 	const char *name;
 	int32_t http_status;
-	skh_run_state_t run;
-	bool may_retry;
+	skh_run_state_t run_state;
+	bool is_retryable;
 } kind_row_t;
 
 static const kind_row_t kind_table[SKH_ERROR_KIND_COUNT] = {
@@ -51,7 +51,7 @@
 	va_list args;
 
 	err->kind = kind;
-	err->run_state = kind_table[kind].run;
+	err->run_state = kind_table[kind].run_state;
 	err->retry_at_us = 0;
 	va_start(args, format);
 	(void)vsnprintf(err->text, sizeof(err->text), format, args);
@@ -80,12 +80,12 @@
 
 bool skh_error_kind_is_retryable(skh_error_kind_t kind)
 {
-	return kind_table[kind].may_retry;
+	return kind_table[kind].is_retryable;
 }
 
-const char *skh_run_state_name(skh_run_state_t run)
+const char *skh_run_state_name(skh_run_state_t run_state)
 {
 	static const char *const names[] = { "not_run", "ran", "unknown" };
 
-	return names[run];
+	return names[run_state];
 }
--- a/src/error.h
+++ b/src/error.h
@@ -4,9 +4,10 @@
 /**
  * DOC: Errors
  *
- * One closed list of error kinds. A table (error.c) maps each kind to its
- * name, HTTP status, run state and retry advice. Functions that can fail take
- * a &skh_error_t and return true when they succeeded.
+ * Closed list of error kinds. A constant table in error.c maps each kind to its
+ * name, HTTP status, default run state and whether a retry can succeed. Functions
+ * that can fail take a &skh_error_t and return true on success. The module keeps
+ * no state and can be used from any thread.
  */
 
 #include <stdbool.h>
@@ -16,7 +17,7 @@
 extern "C" {
 #endif
 
-/** enum skh_error_kind - every way in which an operation can fail */
+/** enum skh_error_kind - why an operation failed */
 typedef enum skh_error_kind {
 	SKH_OK = 0,
 	SKH_BAD_REQUEST,
@@ -53,7 +54,7 @@
 	SKH_ERROR_KIND_COUNT
 } skh_error_kind_t;
 
-/** enum skh_run_state - what is known about whether a request ran */
+/** enum skh_run_state - whether a backend server ran the request */
 typedef enum skh_run_state {
 	SKH_RUN_NOT_RUN = 0,
 	SKH_RUN_RAN,
@@ -63,11 +64,11 @@
 #define SKH_ERROR_TEXT_BYTES 256
 
 /**
- * struct skh_error - one failure, filled by the function that met it
- * @kind: what failed; SKH_OK when nothing did
- * @run: whether the caller's request ran; starts as the kind's default
- * @retry_at_us: earliest useful retry on the monotonic clock; 0 for none
- * @text: one sentence for a person, NUL-terminated
+ * struct skh_error - one failure, filled in by the function that detects it
+ * @kind: reason of the failure; SKH_OK for none
+ * @run_state: whether the request ran; skh_error_set() sets the default of @kind
+ * @retry_at_us: earliest useful retry on the monotonic clock, in microseconds; 0 for none
+ * @text: one sentence for people, NUL-terminated
  */
 typedef struct skh_error {
 	skh_error_kind_t kind;
@@ -76,24 +77,31 @@
 	char text[SKH_ERROR_TEXT_BYTES];
 } skh_error_t;
 
-/** skh_error_set() - fill @err and return false, so callers can return it */
+/**
+ * skh_error_set() - fill in an error with the defaults of its kind
+ * @err: the error to fill in
+ * @kind: reason of the failure
+ * @format: printf format of the text, which is truncated to SKH_ERROR_TEXT_BYTES
+ *
+ * Return: always false, so that callers can return the result directly.
+ */
 bool skh_error_set(skh_error_t *err, skh_error_kind_t kind, const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 
-/** skh_error_kind_name() - stable name of @kind as it appears in answers and logs */
+/** skh_error_kind_name() - stable name of @kind, as written in responses and logs */
 const char *skh_error_kind_name(skh_error_kind_t kind);
 
-/** skh_error_kind_from_name() - the kind called @name, or SKH_INTERNAL */
+/** skh_error_kind_from_name() - kind with this name; SKH_INTERNAL for an unknown name */
 skh_error_kind_t skh_error_kind_from_name(const char *name);
 
-/** skh_error_kind_http_status() - HTTP status that answers @kind */
+/** skh_error_kind_http_status() - HTTP status of a response that reports @kind */
 int32_t skh_error_kind_http_status(skh_error_kind_t kind);
 
 /** skh_error_kind_is_retryable() - true when the same request may succeed later */
 bool skh_error_kind_is_retryable(skh_error_kind_t kind);
 
 /** skh_run_state_name() - "not_run", "ran" or "unknown" */
-const char *skh_run_state_name(skh_run_state_t run);
+const char *skh_run_state_name(skh_run_state_t run_state);
 
 #ifdef __cplusplus
 }
