--- a/src/fetch.c
+++ b/src/fetch.c
@@ -8,22 +8,22 @@
 #include <sys/epoll.h>
 #include <unistd.h>
 
-#define MAX_EPOLL_EVENTS     64
-#define CONNECT_TIMEOUT_MS   2000L
-#define MAX_IDLE_CONNECTIONS 256L
-#define LENGTH_HEADER	     "content-length:"
-#define CODING_HEADER	     "transfer-encoding:"
+#define MAX_EPOLL_EVENTS	 64
+#define CONNECT_TIMEOUT_MS	 2000L
+#define MAX_IDLE_CONNECTIONS	 256L
+#define CONTENT_LENGTH_HEADER	 "content-length:"
+#define TRANSFER_ENCODING_HEADER "transfer-encoding:"
 
 struct skh_fetch {
 	CURLM *multi;
 	int epoll_fd;
-	int64_t timer_at_us; /* when libcurl wants to be called; INT64_MAX for never */
-	const skh_fetch_ops_t *events;
+	int64_t timer_deadline_us; /* of libcurl's timer; INT64_MAX when it is not set */
+	const skh_fetch_ops_t *ops;
 	void *context;
-	GHashTable *transfers; /* id -> transfer_t */
-	GPtrArray *cancelled;  /* freed outside of libcurl's callbacks */
-	GPtrArray *not_begun;  /* reported outside of libcurl's callbacks */
-	GPtrArray *spare;      /* idle easy handles: reusing one saves its set-up */
+	GHashTable *transfers;	  /* id -> transfer_t */
+	GPtrArray *cancelled;	  /* transfers to free outside of libcurl's callbacks */
+	GPtrArray *failed_starts; /* transfers to report outside of libcurl's callbacks */
+	GPtrArray *idle_handles;  /* easy handles, reused to save their set-up */
 	bool in_callback;
 };
 
@@ -34,35 +34,36 @@
 	struct curl_slist *headers;
 	bool cancelled;
 	bool paused;
-	bool framed; /* the answer says where it ends */
+	bool has_framing; /* the response has Content-Length or Transfer-Encoding */
 	bool has_body;
 } transfer_t;
 
-static void release(skh_fetch_t *fetch, transfer_t *transfer)
+static void release_transfer(skh_fetch_t *fetch, transfer_t *transfer)
 {
 	curl_multi_remove_handle(fetch->multi, transfer->curl);
 	curl_easy_reset(transfer->curl);
-	g_ptr_array_add(fetch->spare, transfer->curl);
+	g_ptr_array_add(fetch->idle_handles, transfer->curl);
 	curl_slist_free_all(transfer->headers);
 	g_free(transfer);
 }
 
-static int on_socket(CURL *curl, curl_socket_t fd, int what, void *context, void *known)
+static int on_socket(CURL *curl, curl_socket_t fd, int poll_flags, void *context, void *registered)
 {
 	skh_fetch_t *fetch = context;
 	struct epoll_event event = { .data.fd = fd };
 
 	(void)curl;
-	if (what == CURL_POLL_REMOVE) {
+	if (poll_flags == CURL_POLL_REMOVE) {
 		(void)epoll_ctl(fetch->epoll_fd, EPOLL_CTL_DEL, fd, NULL);
 		return 0;
 	}
-	if (what & CURL_POLL_IN)
+	if (poll_flags & CURL_POLL_IN)
 		event.events |= EPOLLIN;
-	if (what & CURL_POLL_OUT)
+	if (poll_flags & CURL_POLL_OUT)
 		event.events |= EPOLLOUT;
-	if (epoll_ctl(fetch->epoll_fd, known ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd, &event) != 0)
-		(void)epoll_ctl(fetch->epoll_fd, known ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, fd, &event);
+	if (epoll_ctl(fetch->epoll_fd, registered ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd, &event) != 0)
+		(void)epoll_ctl(fetch->epoll_fd, registered ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, fd,
+				&event);
 	curl_multi_assign(fetch->multi, fd, fetch);
 	return 0;
 }
@@ -73,24 +74,24 @@
 
 	(void)multi;
 	if (timeout_ms < 0)
-		fetch->timer_at_us = INT64_MAX;
+		fetch->timer_deadline_us = INT64_MAX;
 	else
-		fetch->timer_at_us = skh_clock_now_us() + timeout_ms * SKH_US_PER_MS;
+		fetch->timer_deadline_us = skh_clock_now_us() + timeout_ms * SKH_US_PER_MS;
 	return 0;
 }
 
-skh_fetch_t *skh_fetch_new(const skh_fetch_ops_t *events, void *context)
+skh_fetch_t *skh_fetch_new(const skh_fetch_ops_t *ops, void *context)
 {
 	skh_fetch_t *fetch = g_new0(skh_fetch_t, 1);
 
-	fetch->events = events;
+	fetch->ops = ops;
 	fetch->context = context;
-	fetch->timer_at_us = INT64_MAX;
+	fetch->timer_deadline_us = INT64_MAX;
 	fetch->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
 	fetch->transfers = g_hash_table_new(g_int64_hash, g_int64_equal);
 	fetch->cancelled = g_ptr_array_new();
-	fetch->not_begun = g_ptr_array_new();
-	fetch->spare = g_ptr_array_new();
+	fetch->failed_starts = g_ptr_array_new();
+	fetch->idle_handles = g_ptr_array_new();
 	fetch->multi = curl_multi_init();
 	curl_multi_setopt(fetch->multi, CURLMOPT_SOCKETFUNCTION, on_socket);
 	curl_multi_setopt(fetch->multi, CURLMOPT_SOCKETDATA, fetch);
@@ -103,7 +104,7 @@
 static void reap_cancelled(skh_fetch_t *fetch)
 {
 	for (size_t i = 0; i < fetch->cancelled->len; i++)
-		release(fetch, fetch->cancelled->pdata[i]);
+		release_transfer(fetch, fetch->cancelled->pdata[i]);
 	g_ptr_array_set_size(fetch->cancelled, 0);
 }
 
@@ -115,19 +116,19 @@
 	reap_cancelled(fetch);
 	g_hash_table_iter_init(&iter, fetch->transfers);
 	while (g_hash_table_iter_next(&iter, NULL, &transfer))
-		release(fetch, transfer);
-	for (size_t i = 0; i < fetch->spare->len; i++)
-		curl_easy_cleanup(fetch->spare->pdata[i]);
+		release_transfer(fetch, transfer);
+	for (size_t i = 0; i < fetch->idle_handles->len; i++)
+		curl_easy_cleanup(fetch->idle_handles->pdata[i]);
 	curl_multi_cleanup(fetch->multi);
-	g_ptr_array_unref(fetch->spare);
+	g_ptr_array_unref(fetch->idle_handles);
 	g_ptr_array_unref(fetch->cancelled);
-	g_ptr_array_unref(fetch->not_begun);
+	g_ptr_array_unref(fetch->failed_starts);
 	g_hash_table_unref(fetch->transfers);
 	(void)close(fetch->epoll_fd);
 	g_free(fetch);
 }
 
-static int32_t status_of(CURL *curl, const char **content_type)
+static int32_t get_status(CURL *curl, const char **content_type)
 {
 	long status = 0;
 	char *type = NULL;
@@ -138,7 +139,7 @@
 	return (int32_t)status;
 }
 
-static size_t on_bytes(char *data, size_t size, size_t n, void *context)
+static size_t on_body_bytes(char *data, size_t size, size_t n, void *context)
 {
 	transfer_t *transfer = context;
 	skh_fetch_t *fetch = transfer->fetch;
@@ -149,35 +150,36 @@
 		return 0;
 	if (transfer->paused)
 		return CURL_WRITEFUNC_PAUSE;
-	status = status_of(transfer->curl, &content_type);
+	status = get_status(transfer->curl, &content_type);
 	transfer->has_body = true;
 	fetch->in_callback = true;
-	fetch->events->on_body(fetch->context, transfer->id, status, content_type,
-			       skh_chunk_make(data, size * n));
+	fetch->ops->on_body(fetch->context, transfer->id, status, content_type,
+			    skh_chunk_make(data, size * n));
 	fetch->in_callback = false;
 	return size * n;
 }
 
-/* An answer that merely ends with its connection may have been cut off. */
+/* A response that ends with its connection and has no framing may be incomplete. */
 static size_t on_header(char *data, size_t size, size_t n, void *context)
 {
 	transfer_t *transfer = context;
 	size_t len = size * n;
 
-	if (len > strlen(LENGTH_HEADER) &&
-	    g_ascii_strncasecmp(data, LENGTH_HEADER, strlen(LENGTH_HEADER)) == 0)
-		transfer->framed = true;
-	if (len > strlen(CODING_HEADER) &&
-	    g_ascii_strncasecmp(data, CODING_HEADER, strlen(CODING_HEADER)) == 0)
-		transfer->framed = true;
+	if (len > strlen(CONTENT_LENGTH_HEADER) &&
+	    g_ascii_strncasecmp(data, CONTENT_LENGTH_HEADER, strlen(CONTENT_LENGTH_HEADER)) == 0)
+		transfer->has_framing = true;
+	if (len > strlen(TRANSFER_ENCODING_HEADER) &&
+	    g_ascii_strncasecmp(data, TRANSFER_ENCODING_HEADER, strlen(TRANSFER_ENCODING_HEADER)) ==
+		    0)
+		transfer->has_framing = true;
 	return len;
 }
 
-static CURL *take_handle(skh_fetch_t *fetch)
+static CURL *acquire_handle(skh_fetch_t *fetch)
 {
-	if (fetch->spare->len == 0)
+	if (fetch->idle_handles->len == 0)
 		return curl_easy_init();
-	return g_ptr_array_steal_index_fast(fetch->spare, fetch->spare->len - 1);
+	return g_ptr_array_steal_index_fast(fetch->idle_handles, fetch->idle_handles->len - 1);
 }
 
 static void set_body(CURL *curl, const skh_fetch_request_t *request)
@@ -193,33 +195,33 @@
 void skh_fetch_start(skh_fetch_t *fetch, const skh_fetch_request_t *request, int64_t now_us)
 {
 	transfer_t *transfer = g_new0(transfer_t, 1);
-	int64_t budget_us = MAX(request->deadline_us - now_us, SKH_US_PER_MS);
+	int64_t timeout_us = MAX(request->deadline_us - now_us, SKH_US_PER_MS);
 
 	transfer->id = request->id;
 	transfer->fetch = fetch;
-	transfer->curl = take_handle(fetch);
-	/* Waiting for "100 Continue" would hold every large body back. */
+	transfer->curl = acquire_handle(fetch);
+	/* Disables "Expect: 100-continue", which would delay every large body. */
 	transfer->headers = curl_slist_append(NULL, "Expect:");
 	for (size_t i = 0; request->headers && request->headers[i]; i++)
 		transfer->headers = curl_slist_append(transfer->headers, request->headers[i]);
 	curl_easy_setopt(transfer->curl, CURLOPT_URL, request->url);
 	curl_easy_setopt(transfer->curl, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(transfer->curl, CURLOPT_HTTPHEADER, transfer->headers);
-	curl_easy_setopt(transfer->curl, CURLOPT_WRITEFUNCTION, on_bytes);
+	curl_easy_setopt(transfer->curl, CURLOPT_WRITEFUNCTION, on_body_bytes);
 	curl_easy_setopt(transfer->curl, CURLOPT_WRITEDATA, transfer);
 	curl_easy_setopt(transfer->curl, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(transfer->curl, CURLOPT_HEADERDATA, transfer);
 	curl_easy_setopt(transfer->curl, CURLOPT_PRIVATE, transfer);
 	curl_easy_setopt(transfer->curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(transfer->curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
-	curl_easy_setopt(transfer->curl, CURLOPT_TIMEOUT_MS, (long)(budget_us / SKH_US_PER_MS));
-	/* libcurl sends a request again when a reused connection closes without an answer. */
+	curl_easy_setopt(transfer->curl, CURLOPT_TIMEOUT_MS, (long)(timeout_us / SKH_US_PER_MS));
+	/* libcurl resends a request when a reused connection closes without a response. */
 	curl_easy_setopt(transfer->curl, CURLOPT_FRESH_CONNECT, request->at_most_once ? 1L : 0L);
 	set_body(transfer->curl, request);
 	g_hash_table_insert(fetch->transfers, &transfer->id, transfer);
-	/* libcurl takes none while it delivers bytes; nothing is sent then. */
+	/* Adding a handle fails inside a libcurl callback; nothing has been sent then. */
 	if (curl_multi_add_handle(fetch->multi, transfer->curl) != CURLM_OK)
-		g_ptr_array_add(fetch->not_begun, transfer);
+		g_ptr_array_add(fetch->failed_starts, transfer);
 }
 
 void skh_fetch_cancel(skh_fetch_t *fetch, uint64_t id)
@@ -242,7 +244,7 @@
 	if (!transfer || transfer->paused == paused)
 		return;
 	transfer->paused = paused;
-	/* While paused, the next write callback stops the transfer itself. */
+	/* To pause, the next write callback returns CURL_WRITEFUNC_PAUSE. */
 	if (!paused)
 		curl_easy_pause(transfer->curl, CURLPAUSE_CONT);
 }
@@ -254,9 +256,9 @@
 	(void)epoll_ctl(fetch->epoll_fd, EPOLL_CTL_ADD, fd, &event);
 }
 
-static skh_error_kind_t kind_of(CURLcode code)
+static skh_error_kind_t error_kind_from_curl(CURLcode code)
 {
-	/* Nothing was sent, so the backend server can't have run anything. */
+	/* The request was not sent, so the backend server did not run it. */
 	if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST)
 		return SKH_NO_BACKEND;
 	if (code == CURLE_OPERATION_TIMEDOUT)
@@ -270,28 +272,29 @@
 static void finish(skh_fetch_t *fetch, transfer_t *transfer, CURLcode code)
 {
 	const char *content_type;
-	int32_t status = status_of(transfer->curl, &content_type);
+	int32_t status = get_status(transfer->curl, &content_type);
 	skh_error_t err;
 
-	bool complete = code == CURLE_OK && (transfer->framed || !transfer->has_body);
+	bool complete = code == CURLE_OK && (transfer->has_framing || !transfer->has_body);
 
 	g_hash_table_remove(fetch->transfers, &transfer->id);
 	if (code != CURLE_OK)
-		(void)skh_error_set(&err, kind_of(code), "backend server: %s",
+		(void)skh_error_set(&err, error_kind_from_curl(code), "backend server: %s",
 				    curl_easy_strerror(code));
 	else if (!complete)
 		(void)skh_error_set(&err, SKH_BACKEND_FAILED,
-				    "backend server: the answer does not say where it ends");
-	fetch->events->on_done(fetch->context, transfer->id, status, content_type,
-			       complete ? NULL : &err);
-	release(fetch, transfer);
+				    "backend server: answer without Content-Length or "
+				    "Transfer-Encoding; it may be incomplete");
+	fetch->ops->on_done(fetch->context, transfer->id, status, content_type,
+			    complete ? NULL : &err);
+	release_transfer(fetch, transfer);
 }
 
-static void report_not_begun(skh_fetch_t *fetch)
+static void report_failed_starts(skh_fetch_t *fetch)
 {
-	while (fetch->not_begun->len > 0) {
-		transfer_t *transfer =
-			g_ptr_array_remove_index(fetch->not_begun, fetch->not_begun->len - 1);
+	while (fetch->failed_starts->len > 0) {
+		transfer_t *transfer = g_ptr_array_remove_index(fetch->failed_starts,
+								fetch->failed_starts->len - 1);
 
 		if (!transfer->cancelled)
 			finish(fetch, transfer, CURLE_COULDNT_CONNECT);
@@ -301,9 +304,9 @@
 static void reap_finished(skh_fetch_t *fetch)
 {
 	CURLMsg *message;
-	int left;
+	int n_remaining;
 
-	while ((message = curl_multi_info_read(fetch->multi, &left)) != NULL) {
+	while ((message = curl_multi_info_read(fetch->multi, &n_remaining)) != NULL) {
 		transfer_t *transfer = NULL;
 		CURLcode code = message->data.result;
 
@@ -320,15 +323,15 @@
 {
 	int running;
 
-	if (skh_clock_now_us() < fetch->timer_at_us)
+	if (skh_clock_now_us() < fetch->timer_deadline_us)
 		return;
-	fetch->timer_at_us = INT64_MAX;
+	fetch->timer_deadline_us = INT64_MAX;
 	curl_multi_socket_action(fetch->multi, CURL_SOCKET_TIMEOUT, 0, &running);
 }
 
-static int32_t wait_ms(const skh_fetch_t *fetch, int64_t until_us)
+static int32_t get_poll_timeout_ms(const skh_fetch_t *fetch, int64_t deadline_us)
 {
-	int64_t wake_us = MIN(until_us, fetch->timer_at_us);
+	int64_t wake_us = MIN(deadline_us, fetch->timer_deadline_us);
 	int64_t wait_us = wake_us - skh_clock_now_us();
 
 	if (wait_us <= 0)
@@ -336,23 +339,24 @@
 	return (int32_t)MIN((wait_us + SKH_US_PER_MS - 1) / SKH_US_PER_MS, SKH_MS_PER_S);
 }
 
-void skh_fetch_poll(skh_fetch_t *fetch, int64_t until_us)
+void skh_fetch_poll(skh_fetch_t *fetch, int64_t deadline_us)
 {
 	struct epoll_event events[MAX_EPOLL_EVENTS];
-	int n = epoll_wait(fetch->epoll_fd, events, MAX_EPOLL_EVENTS, wait_ms(fetch, until_us));
+	int n = epoll_wait(fetch->epoll_fd, events, MAX_EPOLL_EVENTS,
+			   get_poll_timeout_ms(fetch, deadline_us));
 	int running;
 
 	for (int i = 0; i < n; i++) {
-		int what = 0;
+		int poll_flags = 0;
 
 		if (events[i].events & (EPOLLIN | EPOLLHUP | EPOLLERR))
-			what |= CURL_CSELECT_IN;
+			poll_flags |= CURL_CSELECT_IN;
 		if (events[i].events & EPOLLOUT)
-			what |= CURL_CSELECT_OUT;
-		/* A watched descriptor is not libcurl's; libcurl ignores unknown ones. */
-		curl_multi_socket_action(fetch->multi, events[i].data.fd, what, &running);
+			poll_flags |= CURL_CSELECT_OUT;
+		/* libcurl ignores descriptors that it does not know, such as watched ones. */
+		curl_multi_socket_action(fetch->multi, events[i].data.fd, poll_flags, &running);
 	}
 	run_timer(fetch);
-	report_not_begun(fetch);
+	report_failed_starts(fetch);
 	reap_finished(fetch);
 }
--- a/src/fetch.h
+++ b/src/fetch.h
@@ -2,11 +2,13 @@
 #define SKH_FETCH_H
 
 /**
- * DOC: Transfers
+ * DOC: HTTP transfers
  *
- * Many concurrent HTTP requests on one thread: libcurl's multi interface on an
- * epoll set, so that the cost of an event does not grow with the number of
- * transfers.
+ * Runs many concurrent HTTP requests on one thread, with libcurl's multi
+ * interface on an epoll set, so that the cost of an event does not grow with the
+ * number of transfers. The owner calls all functions from that thread. Callbacks
+ * run inside skh_fetch_poll(); on_body can also run inside skh_fetch_set_paused().
+ * Failures are reported through on_done.
  */
 
 #include "buffer.h"
@@ -18,43 +20,62 @@
 
 typedef struct skh_fetch skh_fetch_t;
 
-/** struct skh_fetch_request - one request; everything is copied */
+/** struct skh_fetch_request - one HTTP request; all texts and bytes are copied */
 typedef struct skh_fetch_request {
-	uint64_t id;
+	uint64_t id; /* chosen by the owner; unique among the transfers in progress */
 	const char *method;
 	const char *url;
-	const char *const *headers; /* NULL-terminated "Name: value" */
+	const char *const *headers; /* "Name: value", NULL-terminated; NULL for none */
 	skh_chunk_t body;
-	int64_t deadline_us; /* monotonic deadline */
-	bool at_most_once;   /* never send it a second time, whatever happens to its connection */
+	int64_t deadline_us; /* end of the whole transfer, on the monotonic clock */
+	bool at_most_once;   /* never resend the request, even when its connection closes */
 } skh_fetch_request_t;
 
-/** struct skh_fetch_ops - how the owner learns what happens */
+/** struct skh_fetch_ops - callbacks into the owner */
 typedef struct skh_fetch_ops {
-	/* Bytes of the answer; @status and @content_type are final by then. */
+	/* Receives response bytes; @status and @content_type are final. */
 	void (*on_body)(void *context, uint64_t id, int32_t status, const char *content_type,
 			skh_chunk_t bytes);
-	/* Nothing follows. @err is NULL when the transfer was complete. */
+	/* Last callback of a transfer; @err is NULL when the response is complete. */
 	void (*on_done)(void *context, uint64_t id, int32_t status, const char *content_type,
 			const skh_error_t *err);
 } skh_fetch_ops_t;
 
-skh_fetch_t *skh_fetch_new(const skh_fetch_ops_t *events, void *context);
+/**
+ * skh_fetch_new() - create a set of transfers
+ * @ops: callbacks; must outlive the result
+ * @context: first argument of each callback
+ *
+ * Return: the set, to be freed with skh_fetch_free().
+ */
+skh_fetch_t *skh_fetch_new(const skh_fetch_ops_t *ops, void *context);
+
+/** skh_fetch_free() - free the set and close its transfers without callbacks */
 void skh_fetch_free(skh_fetch_t *fetch);
 
+/**
+ * skh_fetch_start() - start a transfer
+ * @fetch: the set
+ * @request: the request; copied
+ * @now_us: current time on the monotonic clock; a deadline already passed gives 1 ms
+ */
 void skh_fetch_start(skh_fetch_t *fetch, const skh_fetch_request_t *request, int64_t now_us);
 
-/** skh_fetch_cancel() - close the transfer; no event follows */
+/** skh_fetch_cancel() - close the transfer, if it exists; no callback follows */
 void skh_fetch_cancel(skh_fetch_t *fetch, uint64_t id);
 
-/** skh_fetch_set_paused() - stop or go on reading an answer */
+/** skh_fetch_set_paused() - pause or resume receiving the response */
 void skh_fetch_set_paused(skh_fetch_t *fetch, uint64_t id, bool paused);
 
-/** skh_fetch_watch_fd() - let skh_fetch_poll() also return when @fd is readable */
+/** skh_fetch_watch_fd() - make skh_fetch_poll() return when @fd is readable, too */
 void skh_fetch_watch_fd(skh_fetch_t *fetch, int fd);
 
-/** skh_fetch_poll() - run transfers until something happened or @until_us */
-void skh_fetch_poll(skh_fetch_t *fetch, int64_t until_us);
+/**
+ * skh_fetch_poll() - wait for events, process them and run the callbacks
+ * @fetch: the set
+ * @deadline_us: latest return without an event, on the monotonic clock; waits 1 s at most
+ */
+void skh_fetch_poll(skh_fetch_t *fetch, int64_t deadline_us);
 
 #ifdef __cplusplus
 }
