--- a/src/log.c
+++ b/src/log.c
@@ -11,8 +11,8 @@
 #include <unistd.h>
 
 #define LAST_FIELD "reason"
-/* Lines a second; what is beyond is counted and left out. */
-#define MOST_LINES 400
+/* Rate limit of standard output; lines above the limit are dropped and counted. */
+#define MAX_LINES_PER_S 400
 
 typedef struct level_row {
 	GLogLevelFlags flag;
@@ -27,38 +27,42 @@
 	[SKH_LOG_ERROR] = { G_LOG_LEVEL_CRITICAL, "3", "error" },
 };
 
-static skh_log_level_t lowest_level = SKH_LOG_INFO;
+static skh_log_level_t min_log_level = SKH_LOG_INFO;
 static bool write_json;
 static bool to_stdout;
 
-/* Lines of the second under way; a line more or less does not matter between threads. */
-static int64_t second;
-static uint32_t lines;
-static uint64_t dropped;
+/* Rate limiter, updated without a lock: races between threads miscount a few lines. */
+static int64_t window_s;
+static uint32_t lines_in_window;
+static uint64_t n_dropped;
 
-static bool may_write(void)
+static bool admit_line(void)
 {
 	int64_t now_s = skh_clock_boot_us() / SKH_US_PER_S;
 
-	if (now_s != second) {
-		second = now_s;
-		lines = 0;
+	if (now_s != window_s) {
+		window_s = now_s;
+		lines_in_window = 0;
 	}
-	if (++lines <= MOST_LINES)
+	if (++lines_in_window <= MAX_LINES_PER_S)
 		return true;
-	dropped++;
+	n_dropped++;
 	return false;
 }
 
-/* One write for each line, so that lines of several threads do not mix; it never waits. */
-static void put_line(const char *text, size_t len)
+/*
+ * Writes each line in one call, so that lines of several threads do not interleave.
+ * Standard output is non-blocking: a line that does not fit is dropped, so that
+ * logging never blocks the caller.
+ */
+static void output_line(const char *text, size_t len)
 {
 	if (!to_stdout) {
 		(void)fwrite(text, 1, len, stderr);
 		return;
 	}
 	if (write(STDOUT_FILENO, text, len) != (ssize_t)len)
-		dropped++;
+		n_dropped++;
 }
 
 static const char *level_name(GLogLevelFlags flag)
@@ -91,7 +95,8 @@
 	g_free(copy);
 }
 
-static void print_json(const char *level, const char *part, const char *message, const char *fields)
+static void output_json(const char *level, const char *part, const char *message,
+			const char *fields)
 {
 	json_t *line = json_object();
 	char *text;
@@ -101,48 +106,49 @@
 	json_object_set_new(line, "part", json_string(part));
 	json_object_set_new(line, "message", json_string(message));
 	add_json_fields(line, fields);
-	if (dropped > 0)
-		json_object_set_new(line, "lines_dropped", json_integer((json_int_t)dropped));
+	if (n_dropped > 0)
+		json_object_set_new(line, "lines_dropped", json_integer((json_int_t)n_dropped));
 	text = json_dumps(line, JSON_COMPACT);
 	if (text) {
-		g_autofree char *whole = g_strconcat(text, "\n", NULL);
+		g_autofree char *output = g_strconcat(text, "\n", NULL);
 
-		put_line(whole, strlen(whole));
+		output_line(output, strlen(output));
 	}
 	free(text);
 	json_decref(line);
 }
 
 static GLogWriterOutput write_line(GLogLevelFlags flag, const GLogField *fields, gsize n,
-				   gpointer unused)
+				   gpointer user_data)
 {
 	const char *part = "glib";
 	const char *message = "";
-	const char *pairs = "";
+	const char *field_text = "";
 
-	(void)unused;
+	(void)user_data;
 	for (gsize i = 0; i < n; i++) {
 		if (strcmp(fields[i].key, "SKH_PART") == 0)
 			part = fields[i].value;
 		else if (strcmp(fields[i].key, "MESSAGE") == 0)
 			message = fields[i].value;
 		else if (strcmp(fields[i].key, "SKH_FIELDS") == 0)
-			pairs = fields[i].value;
+			field_text = fields[i].value;
 	}
 	if (write_json)
-		print_json(level_name(flag), part, message, pairs);
+		output_json(level_name(flag), part, message, field_text);
 	else {
-		g_autofree char *whole = g_strdup_printf("%s: %s: %s%s%s\n", level_name(flag), part,
-							 message, *pairs ? " " : "", pairs);
+		g_autofree char *output =
+			g_strdup_printf("%s: %s: %s%s%s\n", level_name(flag), part, message,
+					*field_text ? " " : "", field_text);
 
-		put_line(whole, strlen(whole));
+		output_line(output, strlen(output));
 	}
 	return G_LOG_WRITER_HANDLED;
 }
 
-void skh_log_setup(skh_log_level_t lowest, bool json)
+void skh_log_setup(skh_log_level_t min_level, bool json)
 {
-	lowest_level = lowest;
+	min_log_level = min_level;
 	write_json = json;
 	g_log_set_writer_func(write_line, NULL, NULL);
 }
@@ -159,19 +165,19 @@
 void skh_log(skh_log_level_t level, const char *part, const char *sentence, const char *fields, ...)
 {
 	va_list args;
-	char *pairs;
+	char *field_text;
 
-	if (level < lowest_level || (to_stdout && !may_write()))
+	if (level < min_log_level || (to_stdout && !admit_line()))
 		return;
 	va_start(args, fields);
-	pairs = g_strdup_vprintf(fields, args);
+	field_text = g_strdup_vprintf(fields, args);
 	va_end(args);
 	const GLogField list[] = {
 		{ "PRIORITY", level_table[level].priority, -1 },
 		{ "SKH_PART", part, -1 },
 		{ "MESSAGE", sentence, -1 },
-		{ "SKH_FIELDS", pairs, -1 },
+		{ "SKH_FIELDS", field_text, -1 },
 	};
 	g_log_structured_array(level_table[level].flag, list, G_N_ELEMENTS(list));
-	g_free(pairs);
+	g_free(field_text);
 }
--- a/src/log.h
+++ b/src/log.h
@@ -2,11 +2,13 @@
 #define SKH_LOG_H
 
 /**
- * DOC: Logs
+ * DOC: Logging
  *
- * GLib structured logging. A line is a short sentence behind the fixed prefix
- * of its part, followed by fields written as "name=value". A field's value
- * holds no space, except for "reason", which comes last and takes the rest.
+ * Writes log lines through GLib's structured logging, as text or JSON. A line
+ * is the prefix of a part of the program, a short sentence and fields in the form
+ * "name=value". A value contains no space, except for that of "reason", which is
+ * the last field and extends to the end of the line. Any thread can log; the two
+ * set-up functions are called before other threads start.
  */
 
 #include <stdbool.h>
@@ -23,16 +25,25 @@
 	SKH_LOG_ERROR
 } skh_log_level_t;
 
-/** skh_log_setup() - choose the lowest level written and JSON lines or text */
-void skh_log_setup(skh_log_level_t lowest, bool json);
+/**
+ * skh_log_setup() - configure logging for this process
+ * @min_level: lowest level that is written
+ * @json: write one JSON object per line instead of text
+ */
+void skh_log_setup(skh_log_level_t min_level, bool json);
 
-/** skh_log_to_stdout() - lines go to standard output; those it can't take at once are dropped */
+/**
+ * skh_log_to_stdout() - log to standard output instead of standard error
+ *
+ * Makes standard output non-blocking. Lines that cannot be written at once and
+ * lines above the rate limit are dropped and counted.
+ */
 void skh_log_to_stdout(void);
 
 /**
  * skh_log() - write one line
- * @level: how urgent it is
- * @part: fixed prefix of the part that speaks, such as "entry"
+ * @level: severity
+ * @part: constant prefix for the part of the program, such as "entry"
  * @sentence: constant short sentence
  * @fields: printf format of "name=value" pairs, or "" for none
  */
