--- a/src/metrics.c
+++ b/src/metrics.c
@@ -6,7 +6,7 @@
 #include <inttypes.h>
 #include <stdatomic.h>
 
-/* Bucket i counts values below FIRST_BOUND_US << i; the last is unbounded. */
+/* Upper bound of bucket i: FIRST_BOUND_US << i, exclusive; the last bucket is unbounded. */
 #define FIRST_BOUND_US ((int64_t)128)
 #define N_BUCKETS      24
 
@@ -107,7 +107,7 @@
 	return series;
 }
 
-static int32_t bucket_of(int64_t value_us)
+static int32_t find_bucket(int64_t value_us)
 {
 	int32_t bucket = 0;
 
@@ -124,30 +124,31 @@
 
 	if (!series)
 		series = add_series(histogram, key, customer, class_name);
-	atomic_fetch_add(&series->buckets[bucket_of(value_us)], 1);
+	atomic_fetch_add(&series->buckets[find_bucket(value_us)], 1);
 	atomic_fetch_add(&series->sum_us, (uint64_t)(value_us > 0 ? value_us : 0));
 }
 
 static void write_series(skh_buffer_t *out, const char *name, series_t *series)
 {
-	uint64_t total = 0;
+	uint64_t cumulative_count = 0;
 
 	for (int32_t i = 0; i < N_BUCKETS; i++) {
 		g_autofree char *bound = i == N_BUCKETS - 1
 						 ? g_strdup("+Inf")
 						 : g_strdup_printf("%" PRId64, FIRST_BOUND_US << i);
 
-		total += atomic_load(&series->buckets[i]);
+		cumulative_count += atomic_load(&series->buckets[i]);
 		skh_buffer_printf(out,
 				  "skylarkhead_%s_bucket{customer=\"%s\",class=\"%s\",le=\"%s\"} "
 				  "%" PRIu64 "\n",
-				  name, series->customer, series->class_name, bound, total);
+				  name, series->customer, series->class_name, bound,
+				  cumulative_count);
 	}
 	skh_buffer_printf(out, "skylarkhead_%s_sum{customer=\"%s\",class=\"%s\"} %" PRIu64 "\n",
 			  name, series->customer, series->class_name,
 			  (uint64_t)atomic_load(&series->sum_us));
 	skh_buffer_printf(out, "skylarkhead_%s_count{customer=\"%s\",class=\"%s\"} %" PRIu64 "\n",
-			  name, series->customer, series->class_name, total);
+			  name, series->customer, series->class_name, cumulative_count);
 }
 
 static void write_histogram(skh_buffer_t *out, skh_histogram_t histogram)
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -4,9 +4,10 @@
 /**
  * DOC: Metrics
  *
- * Counters of the process and histograms per customer and class, written out
- * in the Prometheus text form. Counting takes no lock; the first observation
- * of a customer and class takes one.
+ * Process-wide counters, and latency histograms per customer and class, exported
+ * in the Prometheus text format. Any thread can call these functions. Counters
+ * take no lock. An observation takes a shared lock, and the first one of a
+ * customer and class an exclusive lock.
  */
 
 #include "buffer.h"
@@ -17,6 +18,7 @@
 extern "C" {
 #endif
 
+/** enum skh_counter - counters; metrics.c has the exported names and help texts */
 typedef enum skh_counter {
 	SKH_COUNT_REQUESTS,
 	SKH_COUNT_ANSWERS_WHOLE,
@@ -53,20 +55,30 @@
 	SKH_COUNTER_COUNT
 } skh_counter_t;
 
+/** enum skh_histogram - latency histograms */
 typedef enum skh_histogram {
-	SKH_HIST_FIRST_BYTE, /* microseconds from acceptance to the first byte */
-	SKH_HIST_ANSWER,     /* microseconds from acceptance to the last byte */
+	SKH_HIST_FIRST_BYTE, /* microseconds from acceptance of a request to the first byte of the response */
+	SKH_HIST_ANSWER, /* microseconds from acceptance of a request to the last byte of the response */
 	SKH_HISTOGRAM_COUNT
 } skh_histogram_t;
 
+/** skh_metrics_add() - add @amount to a counter */
 void skh_metrics_add(skh_counter_t counter, uint64_t amount);
+
+/** skh_metrics_get() - current value of a counter */
 uint64_t skh_metrics_get(skh_counter_t counter);
 
-/** skh_metrics_observe() - record @value_us for @customer in @class_name */
+/**
+ * skh_metrics_observe() - record one latency
+ * @histogram: the histogram
+ * @customer: customer of the request; copied
+ * @class_name: class of the request; copied
+ * @value_us: latency in microseconds
+ */
 void skh_metrics_observe(skh_histogram_t histogram, const char *customer, const char *class_name,
 			 int64_t value_us);
 
-/** skh_metrics_write() - append everything in the Prometheus text form */
+/** skh_metrics_write() - append all metrics to @out in the Prometheus text format */
 void skh_metrics_write(skh_buffer_t *out);
 
 #ifdef __cplusplus
