--- a/src/process.c
+++ b/src/process.c
@@ -9,9 +9,9 @@
 static atomic_int stop_requests;
 static atomic_int reload_requests;
 
-static void on_signal(int number)
+static void on_signal(int signal_number)
 {
-	atomic_fetch_add(number == SIGHUP ? &reload_requests : &stop_requests, 1);
+	atomic_fetch_add(signal_number == SIGHUP ? &reload_requests : &stop_requests, 1);
 }
 
 void skh_process_setup(const skh_settings_t *settings)
