--- a/src/doc_node.c
+++ b/src/doc_node.c
@@ -12,7 +12,7 @@
 	union {
 		int64_t integer;
 		double real;
-		bool flag;
+		bool boolean;
 	} value;
 	GPtrArray *children;
 };
@@ -77,7 +77,7 @@
 {
 	skh_doc_node_t *node = new_node(SKH_DOC_NODE_BOOL, line);
 
-	node->value.flag = value;
+	node->value.boolean = value;
 	return node;
 }
 
@@ -178,7 +178,7 @@
 
 bool skh_doc_node_bool(const skh_doc_node_t *node)
 {
-	return node->type == SKH_DOC_NODE_BOOL && node->value.flag;
+	return node->type == SKH_DOC_NODE_BOOL && node->value.boolean;
 }
 
 static json_t *to_json(const skh_doc_node_t *node)
@@ -209,7 +209,7 @@
 		json = json_real(node->value.real);
 		break;
 	case SKH_DOC_NODE_BOOL:
-		json = json_boolean(node->value.flag);
+		json = json_boolean(node->value.boolean);
 		break;
 	}
 	return json;
@@ -218,10 +218,10 @@
 char *skh_doc_node_to_json(const skh_doc_node_t *node)
 {
 	json_t *json = to_json(node);
-	char *dump = json_dumps(json, JSON_COMPACT | JSON_SORT_KEYS);
-	char *text = g_strdup(dump ? dump : "{}");
+	char *encoded = json_dumps(json, JSON_COMPACT | JSON_SORT_KEYS);
+	char *text = g_strdup(encoded ? encoded : "{}");
 
-	free(dump);
+	free(encoded);
 	json_decref(json);
 	return text;
 }
@@ -256,13 +256,13 @@
 
 skh_doc_node_t *skh_doc_node_from_json(skh_chunk_t text, skh_error_t *err)
 {
-	json_error_t fault;
+	json_error_t json_error;
 	json_t *json =
-		json_loadb((const char *)text.data, text.len, JSON_REJECT_DUPLICATES, &fault);
+		json_loadb((const char *)text.data, text.len, JSON_REJECT_DUPLICATES, &json_error);
 	skh_doc_node_t *node;
 
 	if (!json) {
-		(void)skh_error_set(err, SKH_BAD_REQUEST, "not JSON: %s", fault.text);
+		(void)skh_error_set(err, SKH_BAD_REQUEST, "not JSON: %s", json_error.text);
 		return NULL;
 	}
 	node = from_json(json);
--- a/src/doc_node_toml.cc
+++ b/src/doc_node_toml.cc
@@ -1,4 +1,4 @@
-/* The only C++ file of the product: toml++ behind the C header doc_node.h. */
+/* TOML parser of doc_node.h, based on toml++; the only C++ file of the library. */
 #include "doc_node.h"
 
 #include <string>
@@ -42,45 +42,47 @@
 		return skh_doc_node_new_integer(integer->get(), line);
 	if (const auto *real = source.as_floating_point())
 		return skh_doc_node_new_real(real->get(), line);
-	if (const auto *flag = source.as_boolean())
-		return skh_doc_node_new_bool(flag->get(), line);
-	/* Dates are not part of any schema; the reader refuses them as text. */
+	if (const auto *boolean = source.as_boolean())
+		return skh_doc_node_new_bool(boolean->get(), line);
+	/* No schema has dates; schema validation rejects the empty text that replaces a date. */
 	return skh_doc_node_new_text("", line);
 }
 
 /*
- * toml++ 3.3 reaches code that it marks as unreachable when a character beyond
- * ASCII stands where it looks for white space, found by fuzz/fuzz_manifest.c.
+ * toml++ 3.3 executes code that it marks as unreachable when a non-ASCII character
+ * stands where white space can stand (found by fuzz/fuzz_manifest.c). Documents
+ * with such characters are therefore rejected before toml++ parses them.
  */
-bool is_ascii(skh_chunk_t text, uint32_t *fault_line)
+bool is_ascii(skh_chunk_t text, uint32_t *error_line)
 {
-	*fault_line = 1;
+	*error_line = 1;
 	for (size_t i = 0; i < text.len; i++) {
 		if (text.data[i] >= 0x80)
 			return false;
-		*fault_line += text.data[i] == '\n';
+		*error_line += text.data[i] == '\n';
 	}
 	return true;
 }
 
 } // namespace
 
-skh_doc_node_t *skh_doc_node_from_toml(skh_chunk_t text, uint32_t *fault_line, skh_error_t *err)
+skh_doc_node_t *skh_doc_node_from_toml(skh_chunk_t text, uint32_t *error_line, skh_error_t *err)
 {
-	if (!is_ascii(text, fault_line)) {
+	if (!is_ascii(text, error_line)) {
 		(void)skh_error_set(
 			err, SKH_CONFIG_INVALID,
-			"a character beyond ASCII; write it as \\uXXXX in a quoted text");
+			"a character is not ASCII; write it as \\uXXXX in a quoted text");
 		return nullptr;
 	}
 	try {
-		const std::string_view view(reinterpret_cast<const char *>(text.data), text.len);
+		const std::string_view document(reinterpret_cast<const char *>(text.data),
+						text.len);
 
-		return convert_table(toml::parse(view));
-	} catch (const toml::parse_error &fault) {
-		*fault_line = fault.source().begin.line;
+		return convert_table(toml::parse(document));
+	} catch (const toml::parse_error &error) {
+		*error_line = error.source().begin.line;
 		(void)skh_error_set(err, SKH_CONFIG_INVALID, "%s",
-				    std::string(fault.description()).c_str());
+				    std::string(error.description()).c_str());
 		return nullptr;
 	}
 }
