--- a/src/settings.c
+++ b/src/settings.c
@@ -2,26 +2,26 @@
 
 #include <string.h>
 
-#define FIELD(member)  offsetof(skh_settings_t, member)
-#define MAX_TEXT_BYTES 255
-#define Z85_KEY_CHARS  40
+#define FIELD_OFFSET(member) offsetof(skh_settings_t, member)
+#define MAX_TEXT_BYTES	     255
+#define Z85_KEY_CHARS	     40
 #define TEXT(key, member, required)                                                                \
 	{                                                                                          \
-		key, SKH_FIELD_TEXT, required, FIELD(member), 1, MAX_TEXT_BYTES, NULL              \
+		key, SKH_FIELD_TEXT, required, FIELD_OFFSET(member), 1, MAX_TEXT_BYTES, NULL       \
 	}
 #define INTEGER(key, member, min, max)                                                             \
 	{                                                                                          \
-		key, SKH_FIELD_INTEGER, false, FIELD(member), min, max, NULL                       \
+		key, SKH_FIELD_INTEGER, false, FIELD_OFFSET(member), min, max, NULL                \
 	}
 #define CHOICE(key, member, required, choices)                                                     \
 	{                                                                                          \
-		key, SKH_FIELD_CHOICE, required, FIELD(member), 0, 0, choices                      \
+		key, SKH_FIELD_CHOICE, required, FIELD_OFFSET(member), 0, 0, choices               \
 	}
 
-static const char *const kind_choices[] = { "engine", "plain", NULL };
-static const char *const level_choices[] = { "debug", "info", "warning", "error", NULL };
-static const char *const output_choices[] = { "stderr", "stdout", NULL };
-static const char *const format_choices[] = { "text", "json", NULL };
+static const char *const backend_kind_choices[] = { "engine", "plain", NULL };
+static const char *const log_level_choices[] = { "debug", "info", "warning", "error", NULL };
+static const char *const log_output_choices[] = { "stderr", "stdout", NULL };
+static const char *const log_format_choices[] = { "text", "json", NULL };
 
 static const skh_field_t instance_fields[] = {
 	TEXT("id", id, true),
@@ -41,19 +41,19 @@
 	INTEGER("window_bytes", window_bytes, 4096, 16 << 20),
 };
 static const skh_field_t security_fields[] = {
-	{ "link_public_key", SKH_FIELD_TEXT, true, FIELD(link_public_key), Z85_KEY_CHARS,
+	{ "link_public_key", SKH_FIELD_TEXT, true, FIELD_OFFSET(link_public_key), Z85_KEY_CHARS,
 	  Z85_KEY_CHARS, NULL },
-	{ "link_secret_key", SKH_FIELD_TEXT, true, FIELD(link_secret_key), Z85_KEY_CHARS,
+	{ "link_secret_key", SKH_FIELD_TEXT, true, FIELD_OFFSET(link_secret_key), Z85_KEY_CHARS,
 	  Z85_KEY_CHARS, NULL },
 };
 static const skh_field_t store_fields[] = {
-	{ "endpoints", SKH_FIELD_TEXT_ARRAY, true, FIELD(store_endpoints), 0, 0, NULL },
+	{ "endpoints", SKH_FIELD_TEXT_ARRAY, true, FIELD_OFFSET(store_endpoints), 0, 0, NULL },
 	TEXT("prefix", store_prefix, false),
 	TEXT("instances_prefix", instances_prefix, false),
 	INTEGER("timeout_ms", store_timeout_ms, 50, 60000),
 };
 static const skh_field_t backend_fields[] = {
-	CHOICE("kind", backend_kind, true, kind_choices),
+	CHOICE("kind", backend_kind, true, backend_kind_choices),
 	TEXT("url", backend_url, true),
 	TEXT("service", backend_service, true),
 	TEXT("group", backend_group, false),
@@ -84,9 +84,9 @@
 	INTEGER("drain_ms", drain_ms, 0, 3600000),
 };
 static const skh_field_t log_fields[] = {
-	CHOICE("level", log_level, false, level_choices),
-	CHOICE("format", log_format, false, format_choices),
-	CHOICE("output", log_output, false, output_choices),
+	CHOICE("level", log_level, false, log_level_choices),
+	CHOICE("format", log_format, false, log_format_choices),
+	CHOICE("output", log_output, false, log_output_choices),
 };
 
 #define ROLE_BIT(role) (1U << (uint32_t)(role))
@@ -98,7 +98,7 @@
 	const skh_field_t *fields;
 	size_t n_fields;
 	uint32_t roles;
-	bool optional; /* its required keys matter only where it stands */
+	bool optional; /* required keys are only required when the section is present */
 } section_t;
 
 static const section_t sections[] = {
@@ -144,8 +144,8 @@
 	settings->log_level = 1;
 }
 
-static void refuse_sections(const skh_doc_node_t *tree, skh_role_t role,
-			    skh_validation_errors_t *faults)
+static void reject_unknown_sections(const skh_doc_node_t *tree, skh_role_t role,
+				    skh_validation_errors_t *errors)
 {
 	for (size_t i = 0; i < skh_doc_node_count(tree); i++) {
 		const skh_doc_node_t *child = skh_doc_node_at(tree, i);
@@ -156,14 +156,14 @@
 				known = sections[s].roles & ROLE_BIT(role);
 		}
 		if (!known)
-			skh_validation_errors_add(faults, skh_doc_node_line(child),
+			skh_validation_errors_add(errors, skh_doc_node_line(child),
 						  skh_doc_node_key(child),
 						  "unknown section for this role");
 	}
 }
 
 skh_settings_t *skh_settings_parse(skh_chunk_t text, skh_role_t role,
-				   skh_validation_errors_t *faults)
+				   skh_validation_errors_t *errors)
 {
 	skh_settings_t *settings = g_new0(skh_settings_t, 1);
 	skh_error_t err;
@@ -173,7 +173,7 @@
 	set_defaults(settings);
 	settings->tree = skh_doc_node_from_toml(text, &line, &err);
 	if (!settings->tree) {
-		skh_validation_errors_add(faults, line, "", "%s", err.text);
+		skh_validation_errors_add(errors, line, "", "%s", err.text);
 		return settings;
 	}
 	for (size_t s = 0; s < G_N_ELEMENTS(sections); s++) {
@@ -182,28 +182,28 @@
 		if (!(sections[s].roles & ROLE_BIT(role)) || (!table && sections[s].optional))
 			continue;
 		skh_schema_read(table, sections[s].name, 1, sections[s].fields,
-				sections[s].n_fields, settings, faults);
+				sections[s].n_fields, settings, errors);
 	}
 	if (settings->store_endpoints && skh_doc_node_count(settings->store_endpoints) == 0)
-		skh_validation_errors_add(faults, skh_doc_node_line(settings->store_endpoints),
+		skh_validation_errors_add(errors, skh_doc_node_line(settings->store_endpoints),
 					  "store.endpoints", "at least one address is needed");
-	refuse_sections(settings->tree, role, faults);
+	reject_unknown_sections(settings->tree, role, errors);
 	return settings;
 }
 
 skh_settings_t *skh_settings_load(const char *path, skh_role_t role,
-				  skh_validation_errors_t *faults)
+				  skh_validation_errors_t *errors)
 {
-	g_autoptr(GError) fault = NULL;
+	g_autoptr(GError) error = NULL;
 	g_autofree char *text = NULL;
 	skh_settings_t *settings;
 	gsize len = 0;
 
-	if (!g_file_get_contents(path, &text, &len, &fault)) {
-		skh_validation_errors_add(faults, 0, path, "%s", fault->message);
+	if (!g_file_get_contents(path, &text, &len, &error)) {
+		skh_validation_errors_add(errors, 0, path, "%s", error->message);
 		return NULL;
 	}
-	settings = skh_settings_parse(skh_chunk_make(text, len), role, faults);
+	settings = skh_settings_parse(skh_chunk_make(text, len), role, errors);
 	settings->path = g_strdup(path);
 	return settings;
 }
--- a/src/settings.h
+++ b/src/settings.h
@@ -4,8 +4,9 @@
 /**
  * DOC: Settings
  *
- * What one process learns from its TOML file: its identity, addresses and
- * failure domain. Everything shared comes from the manifest instead.
+ * Settings of one process, read from its TOML file: its identity, addresses and
+ * failure domain. Configuration that processes share is in the manifest. Parsed
+ * settings do not change and can be read from any thread.
  */
 
 #include "schema.h"
@@ -16,6 +17,7 @@
 extern "C" {
 #endif
 
+/** enum skh_role - role of a process */
 typedef enum skh_role {
 	SKH_ROLE_ENTRY,
 	SKH_ROLE_SIDECAR,
@@ -23,27 +25,33 @@
 	SKH_ROLE_BALANCER
 } skh_role_t;
 
+/** enum skh_backend_kind - type of the backend server of a sidecar */
 typedef enum skh_backend_kind {
 	SKH_BACKEND_ENGINE,
 	SKH_BACKEND_PLAIN
 } skh_backend_kind_t;
 
-/** struct skh_settings - texts borrowed from the file's node tree */
+/**
+ * struct skh_settings - all settings of a process, grouped by section of the file
+ *
+ * Texts point into @tree. Settings of sections that the role does not have keep
+ * their defaults.
+ */
 typedef struct skh_settings {
 	/* [instance] */
 	const char *id;
 	const char *failure_domain;
-	/* [http]: callers of an entry */
+	/* [http]: listener for callers */
 	const char *http_listen;
 	int64_t http_threads;
-	int64_t http_stack_kib;
+	int64_t http_stack_kib; /* stack size of a thread */
 	int64_t max_body_bytes;
 	/* [admin] */
 	const char *admin_listen;
-	/* [link]: where a sidecar hears entries */
+	/* [link]: listener of a sidecar for connections from entries */
 	const char *link_listen;
-	int64_t window_bytes;
-	/* [security]: CURVE keys of the links in Z85, NULL for none */
+	int64_t window_bytes; /* response bytes that a sidecar sends before the entry grants more */
+	/* [security]: CURVE keys of the links in Z85; NULL for unencrypted links */
 	const char *link_public_key;
 	const char *link_secret_key;
 	/* [store] */
@@ -51,50 +59,72 @@
 	const char *store_prefix;
 	const char *instances_prefix;
 	int64_t store_timeout_ms;
-	/* [backend]: what a sidecar stands beside */
-	int32_t backend_kind;
+	/* [backend]: backend server of a sidecar */
+	int32_t backend_kind; /* skh_backend_kind_t */
 	const char *backend_url;
-	const char *backend_service;
+	const char *backend_service; /* also "service" of [balancer] */
 	const char *backend_group;
 	int64_t backend_rank;
-	int64_t backend_capacity;
-	int64_t backend_queue;
-	/* [gateway]: an entry that reaches backend servers directly */
-	const char *dialect; /* how callers, servers and the store are spoken to */
-	const char *gossip_listen;
+	int64_t backend_capacity; /* concurrent attempts */
+	int64_t backend_queue;	  /* queued attempts */
+	/* [gateway]: entry that sends requests to backend servers without sidecars */
+	const char *dialect;	   /* protocol variant for callers, servers and the store */
+	const char *gossip_listen; /* also "listen" of [balancer] */
 	const char *peers_prefix;
-	int64_t poll_pace_ms;
-	int64_t poll_wait_ms;
-	int64_t key_trust_ms;  /* keys hold this long after the store was last heard */
-	int64_t retry_percent; /* repeats for 100 requests, of all gateways together */
-	int64_t retry_least;   /* repeats that are always allowed in a window */
+	int64_t poll_pace_ms; /* interval between two polls of the store */
+	int64_t poll_wait_ms; /* timeout of a poll without changes */
+	int64_t key_trust_ms; /* customers' keys stay valid this long after the last store response */
+	int64_t retry_percent; /* retries per 100 requests, for all gateways together */
+	int64_t retry_least;   /* retries always allowed in a window, for all gateways together */
 	int64_t retry_window_ms;
-	/* [balancer]: beside a rank whose group's experts it helps to place */
+	/* [balancer]: runs beside a rank and takes part in placing its group's experts */
 	const char *engine_address;
-	int64_t skew_weight; /* what step time is worth against orders and copies */
-	int64_t cost_weight;
+	int64_t skew_weight; /* weight of step-time skew in the objective */
+	int64_t cost_weight; /* weight of orders and copies in the objective */
 	/* [stop] */
 	int64_t drain_ms;
 	/* [log] */
-	int32_t log_level;
-	int32_t log_format;
-	int32_t log_output;
+	int32_t log_level;  /* skh_log_level_t */
+	int32_t log_format; /* 0: text, 1: JSON */
+	int32_t log_output; /* 0: standard error, 1: standard output */
 	skh_role_t role;
-	char *path; /* of the file; NULL when read from elsewhere */
+	char *path; /* path of the file; NULL when parsed from memory */
 	skh_doc_node_t *tree;
 } skh_settings_t;
 
-/** skh_settings_parse() - read @text for @role; faults tell what is wrong */
+/**
+ * skh_settings_parse() - parse and validate settings
+ * @text: TOML document
+ * @role: role of the process, which determines the sections
+ * @errors: receives each error found; without errors, the result is valid
+ *
+ * Return: settings to be freed with skh_settings_free(), also when there are errors.
+ */
 skh_settings_t *skh_settings_parse(skh_chunk_t text, skh_role_t role,
-				   skh_validation_errors_t *faults);
+				   skh_validation_errors_t *errors);
 
-/** skh_settings_load() - the same from the file at @path; NULL when unreadable */
+/**
+ * skh_settings_load() - read, parse and validate a settings file
+ * @path: path of the file; copied
+ * @role: role of the process, which determines the sections
+ * @errors: receives each error found; without errors, the result is valid
+ *
+ * Return: settings to be freed with skh_settings_free(), also when there are
+ * errors; NULL when the file cannot be read.
+ */
 skh_settings_t *skh_settings_load(const char *path, skh_role_t role,
-				  skh_validation_errors_t *faults);
+				  skh_validation_errors_t *errors);
 
+/** skh_settings_free() - free @settings; NULL is allowed */
 void skh_settings_free(skh_settings_t *settings);
 
-/** skh_store_endpoint() - first address of the key-value service */
+/**
+ * skh_settings_store_endpoint() - address of the key-value service
+ * @settings: valid settings
+ * @index: number of the endpoint, modulo the number of endpoints
+ *
+ * Return: an address that is valid as long as @settings.
+ */
 const char *skh_settings_store_endpoint(const skh_settings_t *settings, size_t index);
 
 #ifdef __cplusplus
