--- a/src/store.c
+++ b/src/store.c
@@ -4,7 +4,7 @@
 #include <stdatomic.h>
 #include <string.h>
 
-static atomic_uint_fast64_t calls;
+static atomic_uint_fast64_t call_count;
 
 void skh_kv_pairs_clear(skh_kv_pairs_t *pairs)
 {
@@ -48,20 +48,20 @@
 
 size_t skh_store_append_response(char *data, size_t size, size_t n, void *context)
 {
-	skh_buffer_t *answer = context;
+	skh_buffer_t *response = context;
 
-	if (answer->len + size * n > SKH_STORE_MAX_RESPONSE_BYTES)
+	if (response->len + size * n > SKH_STORE_MAX_RESPONSE_BYTES)
 		return 0;
-	skh_buffer_append(answer, skh_chunk_make(data, size * n));
+	skh_buffer_append(response, skh_chunk_make(data, size * n));
 	return size * n;
 }
 
 uint64_t skh_store_call_count(void)
 {
-	return atomic_load(&calls);
+	return atomic_load(&call_count);
 }
 
 void skh_store_count_call(void)
 {
-	atomic_fetch_add(&calls, 1);
+	atomic_fetch_add(&call_count, 1);
 }
