--- a/test/address_test.cc
+++ b/test/address_test.cc
@@ -1,4 +1,5 @@
-// Addresses come from settings, the store and other processes.
+// Address parsing. Texts come from settings, the store and other processes, so
+// malformed ones must be rejected.
 #include "address.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +7,7 @@
 #include <glib.h>
 #include <string>
 
-TEST(Address, IsTakenApart)
+TEST(Address, SplitsAndParses)
 {
 	struct sockaddr_in address;
 	char *host = nullptr;
@@ -24,9 +25,9 @@
 	EXPECT_TRUE(skh_address_parse("127.0.0.1:65535", &address));
 }
 
-TEST(Address, WhatIsNoneIsRefused)
+TEST(Address, RejectsMalformedAddresses)
 {
-	static const char *const none[] = {
+	static const char *const malformed[] = {
 		nullptr,
 		"",
 		":",
@@ -48,6 +49,6 @@
 	};
 	struct sockaddr_in address;
 
-	for (const char *text : none)
+	for (const char *text : malformed)
 		EXPECT_FALSE(skh_address_parse(text, &address)) << (text ? text : "NULL");
 }
--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -1,4 +1,4 @@
-// Foundations: errors, bytes, documents, metrics, the blackboard.
+// Errors, buffers, document trees, metrics and the blackboard.
 #include "board.h"
 #include "buffer.h"
 #include "error.h"
@@ -15,7 +15,7 @@
 namespace
 {
 
-TEST(Error, EveryKindHasARowAndItsNameLeadsBack)
+TEST(Error, EveryKindHasARowAndAUniqueName)
 {
 	for (int i = 0; i < SKH_ERROR_KIND_COUNT; i++) {
 		const auto kind = static_cast<skh_error_kind_t>(i);
@@ -27,7 +27,7 @@
 	EXPECT_EQ(skh_error_kind_from_name("no such kind"), SKH_INTERNAL);
 }
 
-TEST(Error, NotRunIsOnlyClaimedByKindsThatComeBeforeAnyRun)
+TEST(Error, KindsThatCanFollowARunAreNotMarkedNotRun)
 {
 	skh_error_t err;
 
@@ -52,7 +52,7 @@
 	EXPECT_EQ(buffer.len, 0U);
 }
 
-TEST(Node, JsonIsCanonical)
+TEST(Node, WritesCanonicalJson)
 {
 	skh_error_t err;
 	const char *text = "{\"b\":[1,2.5,true],\"a\":{\"y\":\"t\",\"x\":-3}}";
@@ -65,7 +65,8 @@
 	skh_doc_node_free(node);
 }
 
-TEST(Node, DeepNestingIsRefusedNotFollowed)
+// A parser that recurses without a limit would overflow its stack.
+TEST(Node, RejectsDeeplyNestedJson)
 {
 	skh_error_t err;
 	const std::string deep(100000, '[');
@@ -74,7 +75,7 @@
 	EXPECT_EQ(err.kind, SKH_BAD_REQUEST);
 }
 
-TEST(Metrics, CountsPerCustomerAndClass)
+TEST(Metrics, ObservesPerCustomerAndClass)
 {
 	skh_buffer_t out = SKH_BUFFER_INIT;
 
@@ -90,23 +91,25 @@
 	skh_buffer_free(&out);
 }
 
-TEST(Board, ReadersKeepWhatTheyTookWhileWritersGoOn)
+// Readers acquire and release sections while a writer replaces them. A section must
+// stay valid while a reader holds it, and no reader may see an older revision later.
+TEST(Board, ReadersNeverSeeAnOlderRevision)
 {
 	skh_board_t *board = skh_board_new();
 	std::atomic<bool> stop{ false };
-	std::atomic<bool> backwards{ false };
+	std::atomic<bool> saw_older_revision{ false };
 	std::vector<std::thread> readers;
 
 	for (int i = 0; i < 4; i++) {
 		readers.emplace_back([&] {
-			int64_t last = 0;
+			int64_t last_revision = 0;
 			while (!stop) {
 				const skh_config_t *config = skh_board_acquire_config(board);
 				const int64_t revision = config ? config->revision : 0;
 
-				if (revision < last)
-					backwards = true;
-				last = revision;
+				if (revision < last_revision)
+					saw_older_revision = true;
+				last_revision = revision;
 				skh_board_release(config);
 			}
 		});
@@ -121,7 +124,7 @@
 	stop = true;
 	for (auto &reader : readers)
 		reader.join();
-	EXPECT_FALSE(backwards);
+	EXPECT_FALSE(saw_older_revision);
 	EXPECT_EQ(skh_board_config_revision(board), 2000);
 	skh_board_free(board);
 }
