--- a/src/doc_node_toml.cc
+++ b/src/doc_node_toml.cc
@@ -50,7 +50,7 @@
 
 /*
  * toml++ 3.3 executes code that it marks as unreachable when a non-ASCII character
- * stands where white space can stand (found by fuzz/fuzz_manifest.c). Documents
+ * appears where white space is allowed (found by fuzz/fuzz_manifest.c). Documents
  * with such characters are therefore rejected before toml++ parses them.
  */
 bool is_ascii(skh_chunk_t text, uint32_t *error_line)
--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -92,7 +92,7 @@
 }
 
 // Readers acquire and release sections while a writer replaces them. A section must
-// stay valid while a reader holds it, and no reader may see an older revision later.
+// stay valid while a reader holds it, and the revisions a reader sees must not decrease.
 TEST(Board, ReadersNeverSeeAnOlderRevision)
 {
 	skh_board_t *board = skh_board_new();
