--- a/src/buffer.c
+++ b/src/buffer.c
@@ -22,14 +22,14 @@
 	return XXH64(chunk.data, chunk.len, seed);
 }
 
-static void reserve(skh_buffer_t *buffer, size_t extra)
+static void reserve(skh_buffer_t *buffer, size_t extra_bytes)
 {
-	size_t need = buffer->len + extra + 1;
+	size_t required_bytes = buffer->len + extra_bytes + 1;
 	size_t capacity = buffer->capacity ? buffer->capacity : MIN_CAPACITY_BYTES;
 
-	if (need <= buffer->capacity)
+	if (required_bytes <= buffer->capacity)
 		return;
-	while (capacity < need)
+	while (capacity < required_bytes)
 		capacity *= 2;
 	buffer->data = g_realloc(buffer->data, capacity);
 	buffer->capacity = capacity;
--- a/src/entry.c
+++ b/src/entry.c
@@ -8,9 +8,9 @@
 
 #include <unistd.h>
 
-#define PART	     "entry"
-#define LOOP_US	     (50 * SKH_US_PER_MS)
-#define LAME_DUCK_US (1 * SKH_US_PER_S)
+#define PART		   "entry"
+#define POLL_INTERVAL_US   (50 * SKH_US_PER_MS)
+#define NOT_READY_GRACE_US (1 * SKH_US_PER_S)
 
 static bool is_ready(void *context)
 {
@@ -23,10 +23,10 @@
 static void add_peer(const skh_peer_t *peer, void *context)
 {
 	static const char *const phases[] = { "starting", "ready", "leaving" };
-	json_t *list = context;
+	json_t *peers = context;
 
 	json_array_append_new(
-		list,
+		peers,
 		json_pack("{s:s, s:s, s:s, s:s, s:b, s:b, s:i, s:i, s:i, s:i, s:I}", "id", peer->id,
 			  "service", peer->service, "failure_domain", peer->failure_domain, "phase",
 			  phases[peer->phase], "reachable", peer->reachable, "listed_leaving",
@@ -35,7 +35,7 @@
 			  (int)peer->own_in_flight, "revision", (json_int_t)peer->config_revision));
 }
 
-static json_t *status(void *context)
+static json_t *build_status(void *context)
 {
 	skh_entry_t *entry = context;
 	json_t *peers = json_array();
@@ -53,21 +53,21 @@
 	return json;
 }
 
-static json_t *suspects(void *context)
+static json_t *list_suspects(void *context)
 {
 	return skh_quarantine_list(((skh_entry_t *)context)->quarantine);
 }
 
-static bool clear_suspect(void *context, const char *content)
+static bool clear_suspect(void *context, const char *content_hash)
 {
 	return skh_quarantine_clear(((skh_entry_t *)context)->quarantine,
-				    g_ascii_strtoull(content, NULL, 16));
+				    g_ascii_strtoull(content_hash, NULL, 16));
 }
 
 static const skh_admin_ops_t admin_ops = {
 	.is_ready = is_ready,
-	.get_status = status,
-	.list_suspects = suspects,
+	.get_status = build_status,
+	.list_suspects = list_suspects,
 	.clear_suspect = clear_suspect,
 };
 
@@ -95,23 +95,26 @@
 	skh_board_free(entry->board);
 }
 
-/* The balancer needs a moment to see that readiness is gone before requests are refused. */
+/*
+ * Requests are accepted for NOT_READY_GRACE_US after readiness is withdrawn, because the
+ * platform's balancer sends requests until it sees the change.
+ */
 static void drain(skh_entry_t *entry)
 {
 	int64_t now_us = skh_clock_now_us();
-	int64_t stop_by_us = now_us + entry->settings->drain_ms * SKH_US_PER_MS;
-	int64_t refuse_at_us = MIN(now_us + LAME_DUCK_US, stop_by_us);
+	int64_t stop_deadline_us = now_us + entry->settings->drain_ms * SKH_US_PER_MS;
+	int64_t reject_from_us = MIN(now_us + NOT_READY_GRACE_US, stop_deadline_us);
 
 	skh_log(SKH_LOG_INFO, PART, "Planned stop begins.", "in_flight=%d",
 		g_atomic_int_get(&entry->in_flight));
 	skh_board_publish_lifecycle(entry->board,
-				    (skh_lifecycle_t){ SKH_LIFECYCLE_LEAVING, stop_by_us });
-	while (skh_clock_now_us() < refuse_at_us)
-		(void)usleep(LOOP_US);
+				    (skh_lifecycle_t){ SKH_LIFECYCLE_LEAVING, stop_deadline_us });
+	while (skh_clock_now_us() < reject_from_us)
+		(void)usleep(POLL_INTERVAL_US);
 	skh_board_publish_lifecycle(entry->board,
-				    (skh_lifecycle_t){ SKH_LIFECYCLE_STOPPING, stop_by_us });
-	while (g_atomic_int_get(&entry->in_flight) > 0 && skh_clock_now_us() < stop_by_us)
-		(void)usleep(LOOP_US);
+				    (skh_lifecycle_t){ SKH_LIFECYCLE_STOPPING, stop_deadline_us });
+	while (g_atomic_int_get(&entry->in_flight) > 0 && skh_clock_now_us() < stop_deadline_us)
+		(void)usleep(POLL_INTERVAL_US);
 	skh_log(SKH_LOG_INFO, PART, "Planned stop ends.", "in_flight=%d",
 		g_atomic_int_get(&entry->in_flight));
 }
@@ -121,10 +124,10 @@
 	const skh_settings_t *settings = entry->settings;
 	const skh_http_options_t options = { settings->http_listen, settings->http_threads,
 					     settings->http_stack_kib, settings->max_body_bytes };
-	const skh_config_admin_t control = { settings, entry->store, entry->board };
+	const skh_config_admin_t config_admin = { settings, entry->store, entry->board };
 	skh_error_t err;
 	skh_admin_t *admin = skh_admin_start(settings->admin_listen, &admin_ops, entry,
-					     entry->board, &control, &err);
+					     entry->board, &config_admin, &err);
 	skh_http_server_t *server = NULL;
 
 	if (admin)
@@ -139,7 +142,7 @@
 	skh_log(SKH_LOG_INFO, PART, "Entry is listening.", "id=%s callers=%s admin=%s",
 		settings->id, settings->http_listen, settings->admin_listen);
 	while (skh_process_stop_requests() == 0) {
-		(void)usleep(LOOP_US);
+		(void)usleep(POLL_INTERVAL_US);
 		skh_config_watcher_hint_revision(entry->follower,
 						 skh_link_newest_revision(entry->link));
 	}
@@ -153,13 +156,13 @@
 {
 	skh_entry_t entry = { .settings = settings };
 	skh_error_t err;
-	int status_code = 1;
+	int exit_status = 1;
 
 	skh_process_setup(settings);
 	if (open_entry(&entry, &err))
-		status_code = serve_until_stopped(&entry);
+		exit_status = serve_until_stopped(&entry);
 	else
 		skh_log(SKH_LOG_ERROR, PART, "Start failed.", "reason=%s", err.text);
 	close_entry(&entry);
-	return status_code;
+	return exit_status;
 }
--- a/src/entry.h
+++ b/src/entry.h
@@ -4,8 +4,10 @@
 /**
  * DOC: Entry
  *
- * The process that callers reach through the platform's balancer. It holds
- * nothing that must outlast it.
+ * The process that callers reach through the platform's balancer. It dispatches
+ * callers' requests to sidecars and keeps no state that must survive a restart.
+ * skh_entry_main() runs on the main thread; the HTTP server's threads handle
+ * requests and share &skh_entry_t.
  */
 
 #include "admission.h"
@@ -19,7 +21,13 @@
 extern "C" {
 #endif
 
-/** struct skh_entry - what an entry's handlers share */
+/**
+ * struct skh_entry - state shared by the request handlers of one entry
+ * @settings: borrowed
+ * @follower: adopts new configuration revisions from @store
+ * @admission_lock: guards @admission
+ * @in_flight: callers' requests in progress; accessed atomically
+ */
 typedef struct skh_entry {
 	const skh_settings_t *settings;
 	skh_board_t *board;
@@ -29,10 +37,13 @@
 	skh_quarantine_t *quarantine;
 	GMutex admission_lock;
 	skh_admission_t *admission;
-	gint in_flight; /* callers' requests being handled */
+	gint in_flight;
 } skh_entry_t;
 
-/** skh_entry_main() - run an entry until SIGTERM or SIGINT; the exit status */
+/**
+ * skh_entry_main() - run an entry until SIGTERM or SIGINT, then drain it
+ * Return: the process exit status; 1 when the entry could not start.
+ */
 int skh_entry_main(const skh_settings_t *settings);
 
 #ifdef __cplusplus
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -4,7 +4,8 @@
 /**
  * DOC: HTTP client
  *
- * Single blocking requests, for the commands.
+ * Blocking HTTP GET requests over libcurl, for the commands. Each call opens a
+ * connection of its own on the calling thread and times out after 2 s.
  */
 
 #include "buffer.h"
@@ -14,7 +15,15 @@
 extern "C" {
 #endif
 
-/** skh_http_client_get() - body of http://@address@path; any status but 200 is an error */
+/**
+ * skh_http_client_get() - request http://@address@path
+ * @address: host and port
+ * @path: path and query, from the leading slash on
+ * @body: receives the response body, appended; also that of an error response
+ * @err: set on failure: SKH_NO_BACKEND when the transfer failed, SKH_BACKEND_FAILED when
+ *       the status is not 200
+ * Return: true when the whole response was received with status 200.
+ */
 bool skh_http_client_get(const char *address, const char *path, skh_buffer_t *body,
 			 skh_error_t *err);
 
