--- a/src/serve.h
+++ b/src/serve.h
@@ -4,8 +4,11 @@
 /**
  * DOC: Serving one request
  *
- * The shell around request_fsm.h: places attempts over the link, turns its events
- * into relay steps and the relay's actions into writes to the caller.
+ * Runs one request through the state machine of request_fsm.h: dispatches
+ * attempts over the link, feeds the link's events to the state machine and
+ * forwards the response to the caller. Runs on the thread that handles the
+ * caller's request and blocks it; calls for different requests may run
+ * concurrently.
  */
 
 #include "link.h"
@@ -16,22 +19,30 @@
 extern "C" {
 #endif
 
-/** struct skh_entry_request - one request as the entry understood it; all borrowed */
+/**
+ * struct skh_entry_request - one request as parsed by the entry; all texts and bytes borrowed
+ * @weight: share of the customer
+ * @failure_domain: failure domain of this entry
+ * @idempotency_key: "" for none
+ * @prefix_hash: hash of the prompt's start; 0 for no affinity
+ * @accepted_at_us: arrival, on the monotonic clock
+ * @deadline_us: time by which the response must be complete, on the monotonic clock
+ */
 typedef struct skh_entry_request {
 	const char *request_id;
 	const char *customer;
-	const char *priority_name; /* name of its priority */
+	const char *priority_name;
 	uint32_t priority;
-	double weight; /* of the customer */
+	double weight;
 	const char *service;
-	const char *failure_domain; /* of this entry */
+	const char *failure_domain;
 	const char *method;
 	const char *path;
 	const char *content_type;
 	skh_chunk_t body;
 	bool is_streaming;
 	bool idempotent;
-	const char *idempotency_key; /* idempotency key, "" for none */
+	const char *idempotency_key;
 	uint64_t prefix_hash;
 	int64_t accepted_at_us;
 	int64_t deadline_us;
@@ -39,29 +50,35 @@
 
 typedef struct skh_response_sink skh_response_sink_t;
 
-/** struct skh_response_sink_ops - where an answer goes; each returns false when the caller is gone */
+/**
+ * struct skh_response_sink_ops - writes a response to the caller
+ *
+ * A response is either begin(), write()... and end(), or one send_complete(). Functions that return
+ * bool return false when the caller's connection is closed.
+ */
 typedef struct skh_response_sink_ops {
 	bool (*begin)(skh_response_sink_t *sink, int32_t status, const char *content_type);
 	bool (*write)(skh_response_sink_t *sink, skh_chunk_t bytes);
 	bool (*end)(skh_response_sink_t *sink);
 	bool (*send_complete)(skh_response_sink_t *sink, int32_t status, const char *content_type,
 			      skh_chunk_t body, bool replayed);
-	/* Before begin() an error answer, afterwards an error event and no end mark. */
+	/* Before begin() an error response; afterwards an error event without an end mark. */
 	void (*fail)(skh_response_sink_t *sink, const skh_error_t *err);
 } skh_response_sink_ops_t;
 
-/** struct skh_response_sink - first member of every implementation */
+/** struct skh_response_sink - base; the first member of every implementation */
 struct skh_response_sink {
 	const skh_response_sink_ops_t *ops;
 };
 
 /**
- * skh_serve_request() - serve @job to its end
- * @result: filled with the failure; SKH_OK when the answer was whole
- * Return: true when the whole answer was handed to @sink.
+ * skh_serve_request() - run @request until it succeeds, fails or its caller disconnects
+ * @sink: receives the response, or the error unless the caller disconnected
+ * @result: set to the failure; kind SKH_OK on success
+ * Return: true when the complete response was written to @sink.
  */
 bool skh_serve_request(skh_link_t *link, skh_quarantine_t *quarantine,
-		       const skh_entry_request_t *job, skh_response_sink_t *sink,
+		       const skh_entry_request_t *request, skh_response_sink_t *sink,
 		       skh_error_t *result);
 
 #ifdef __cplusplus
