--- a/src/link.c
+++ b/src/link.c
@@ -17,46 +17,46 @@
 #include <unistd.h>
 #include <zmq.h>
 
-#define PART	     "link"
-#define TICK_MS	     100
-#define ASK_AFTER_US (2 * SKH_US_PER_S)
-#define MAX_RECEIVES 256 /* frames handled before the tick is looked at again */
+#define PART		    "link"
+#define TICK_INTERVAL_MS    100
+#define ASK_INTERVAL_US	    (2 * SKH_US_PER_S)
+#define MAX_FRAMES_PER_POLL 256 /* bounds the time between two checks of the tick */
 
-/* A frame on its way to a sidecar. */
+/* A frame queued for a sidecar. */
 typedef struct outgoing {
 	struct cds_wfcq_node node;
 	char *peer;
-	uint64_t start_of; /* attempt whose Start this is; 0 otherwise */
+	uint64_t start_attempt; /* attempt id when the frame is a Start; else 0 */
 	skh_buffer_t bytes;
 } outgoing_t;
 
-/* An attempt whose frames somebody waits for. */
-typedef struct waiting {
+/* An attempt that was dispatched and not released. */
+typedef struct pending_attempt {
 	uint64_t attempt;
 	skh_inbox_t *inbox;
-	skh_peer_t *peer; /* kept by the table while it has work in flight */
+	skh_peer_t *peer; /* borrowed; the table keeps a peer that has requests in flight */
 	uint64_t incarnation;
 	int64_t start_before_us; /* on the sidecar's clock */
-	int64_t ask_at_us;	 /* silent until then: ask what became of it */
-} waiting_t;
+	int64_t next_ask_us;	 /* without a frame until then, an Ask is sent */
+} pending_attempt_t;
 
 struct skh_link {
 	const skh_settings_t *settings;
 	char *entry_id;
 	skh_board_t *board;
-	void *context;
+	void *zmq_context;
 	void *router;
 	int wake_fd;
 	pthread_t thread;
-	bool stop;
+	bool stop_requested;
 	struct cds_wfcq_head queue_head;
 	struct cds_wfcq_tail queue_tail;
-	GMutex lock; /* guards all below */
+	GMutex lock; /* guards the fields below */
 	skh_peers_t *peers;
-	skh_prefix_share_t *heat;   /* under the same lock */
-	skh_retry_budget_t *budget; /* the same */
-	GHashTable *waiting;	    /* attempt -> waiting_t */
-	GHashTable *connected;	    /* peer id -> address; link thread only */
+	skh_prefix_share_t *prefix_share;
+	skh_retry_budget_t *retry_budget;
+	GHashTable *pending_attempts;	 /* attempt id -> pending_attempt_t, owned */
+	GHashTable *connected_addresses; /* peer id -> address, both owned; link thread only */
 	int64_t newest_revision;
 };
 
@@ -78,7 +78,7 @@
 	return item;
 }
 
-static void enqueue(skh_link_t *link, outgoing_t *item)
+static void enqueue_frame(skh_link_t *link, outgoing_t *item)
 {
 	const uint64_t one = 1;
 
@@ -90,11 +90,11 @@
 
 static void send_frame(skh_link_t *link, const char *peer, Skh__Frame *frame)
 {
-	enqueue(link, new_outgoing(link, peer, frame));
+	enqueue_frame(link, new_outgoing(link, peer, frame));
 }
 
-/* With ZMQ_ROUTER_MANDATORY a frame for a peer that is not connected is refused. */
-static bool transmit(skh_link_t *link, const outgoing_t *item)
+/* Return: false when the peer is not connected, which ZMQ_ROUTER_MANDATORY reports. */
+static bool transmit_frame(skh_link_t *link, const outgoing_t *item)
 {
 	size_t peer_len = strlen(item->peer);
 
@@ -108,15 +108,15 @@
 
 static void report_not_sent(skh_link_t *link, uint64_t attempt)
 {
-	waiting_t *waiting;
+	pending_attempt_t *pending;
 	skh_attempt_event_t *event = skh_attempt_event_new(SKH_ATTEMPT_EVENT_NOT_SENT, attempt);
 
 	(void)skh_error_set(&event->err, SKH_NO_BACKEND, "the sidecar is not connected");
 	g_mutex_lock(&link->lock);
-	waiting = g_hash_table_lookup(link->waiting, &attempt);
-	if (waiting) {
-		skh_peers_set_lost(waiting->peer, skh_clock_now_us());
-		skh_inbox_push(waiting->inbox, event);
+	pending = g_hash_table_lookup(link->pending_attempts, &attempt);
+	if (pending) {
+		skh_peers_set_lost(pending->peer, skh_clock_now_us());
+		skh_inbox_push(pending->inbox, event);
 		event = NULL;
 	}
 	g_mutex_unlock(&link->lock);
@@ -129,17 +129,18 @@
 	uint64_t count;
 
 	if (read(link->wake_fd, &count, sizeof(count)) < 0 && errno != EAGAIN)
-		skh_log(SKH_LOG_ERROR, PART, "Reading the wake-up failed.", "errno=%d", errno);
+		skh_log(SKH_LOG_ERROR, PART, "Reading the wake-up event of the link thread failed.",
+			"errno=%d", errno);
 	while ((node = __cds_wfcq_dequeue_blocking(&link->queue_head, &link->queue_tail))) {
 		outgoing_t *item = caa_container_of(node, outgoing_t, node);
 
-		if (!transmit(link, item) && item->start_of != 0)
-			report_not_sent(link, item->start_of);
+		if (!transmit_frame(link, item) && item->start_attempt != 0)
+			report_not_sent(link, item->start_attempt);
 		free_outgoing(item);
 	}
 }
 
-static uint64_t attempt_of(const Skh__Frame *frame)
+static uint64_t get_attempt_id(const Skh__Frame *frame)
 {
 	switch (frame->body_case) {
 	case SKH__FRAME__BODY_STARTED:
@@ -155,59 +156,61 @@
 	}
 }
 
-/* Called with the lock held. */
-static void push_lost(skh_link_t *link, const skh_peer_t *peer, skh_sidecar_loss_t loss)
+/* Reports the loss to the attempts at @peer that it affects. Called with the lock held. */
+static void push_lost_events(skh_link_t *link, const skh_peer_t *peer, skh_sidecar_loss_t loss)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, link->waiting);
+	g_hash_table_iter_init(&iter, link->pending_attempts);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		waiting_t *waiting = value;
+		pending_attempt_t *pending = value;
 		skh_attempt_event_t *event;
 
-		if (waiting->peer != peer)
+		if (pending->peer != peer)
 			continue;
-		if (loss == SKH_SIDECAR_LOSS_REPLACED && waiting->incarnation == peer->incarnation)
+		if (loss == SKH_SIDECAR_LOSS_REPLACED && pending->incarnation == peer->incarnation)
 			continue;
-		event = skh_attempt_event_new(SKH_ATTEMPT_EVENT_LOST, waiting->attempt);
+		event = skh_attempt_event_new(SKH_ATTEMPT_EVENT_LOST, pending->attempt);
 		event->loss = loss;
-		skh_inbox_push(waiting->inbox, event);
+		skh_inbox_push(pending->inbox, event);
 	}
 }
 
-static void note_peer(skh_link_t *link, skh_peer_t *peer, const Skh__Frame *frame, int64_t now_us)
+static void record_peer_frame(skh_link_t *link, skh_peer_t *peer, const Skh__Frame *frame,
+			      int64_t now_us)
 {
 	int64_t revision = (int64_t)frame->revision;
 
 	link->newest_revision = MAX(link->newest_revision, revision);
 	if (skh_peers_record_frame(peer, frame->status, revision, now_us)) {
-		skh_log(SKH_LOG_WARNING, PART, "A sidecar process was replaced.", "sidecar=%s",
-			peer->id);
-		push_lost(link, peer, SKH_SIDECAR_LOSS_REPLACED);
+		skh_log(SKH_LOG_WARNING, PART,
+			"Sidecar process was replaced; attempts sent to the old one are lost.",
+			"sidecar=%s", peer->id);
+		push_lost_events(link, peer, SKH_SIDECAR_LOSS_REPLACED);
 	}
 }
 
-static void deliver(skh_link_t *link, const char *peer_id, Skh__Frame *frame)
+static void deliver_frame(skh_link_t *link, const char *peer_id, Skh__Frame *frame)
 {
-	uint64_t attempt = attempt_of(frame);
-	waiting_t *waiting = NULL;
+	uint64_t attempt = get_attempt_id(frame);
+	pending_attempt_t *pending = NULL;
 	skh_peer_t *peer;
 
 	g_mutex_lock(&link->lock);
 	peer = skh_peers_find(link->peers, peer_id);
 	if (peer)
-		note_peer(link, peer, frame, skh_clock_now_us());
+		record_peer_frame(link, peer, frame, skh_clock_now_us());
 	if (attempt != 0)
-		waiting = g_hash_table_lookup(link->waiting, &attempt);
-	/* Only the sidecar that was asked may answer. */
-	if (waiting && waiting->peer == peer) {
+		pending = g_hash_table_lookup(link->pending_attempts, &attempt);
+	/* Frames of an attempt are accepted from the sidecar that it was sent to only. */
+	if (pending && pending->peer == peer) {
 		skh_attempt_event_t *event =
 			skh_attempt_event_new(SKH_ATTEMPT_EVENT_FRAME, attempt);
 
 		event->frame = frame;
-		waiting->ask_at_us = skh_clock_now_us() + ASK_AFTER_US;
-		skh_inbox_push(waiting->inbox, event);
+		pending->next_ask_us = skh_clock_now_us() + ASK_INTERVAL_US;
+		skh_inbox_push(pending->inbox, event);
 		frame = NULL;
 	} else if (attempt != 0) {
 		skh_metrics_add(SKH_COUNT_LATE_FRAMES, 1);
@@ -217,8 +220,8 @@
 		skh_wire_free(frame);
 }
 
-/* One message is the peer's id and the frame; anything else is dropped whole. */
-static bool receive_one(skh_link_t *link)
+/* A message consists of the peer's id and the frame; any other message is dropped. */
+static bool receive_frame(skh_link_t *link)
 {
 	char peer[SKH_WIRE_MAX_NAME_BYTES + 1];
 	zmq_msg_t body;
@@ -239,7 +242,7 @@
 	}
 	(void)zmq_msg_close(&body);
 	if (frame)
-		deliver(link, peer, frame);
+		deliver_frame(link, peer, frame);
 	else
 		skh_metrics_add(SKH_COUNT_BAD_FRAMES, 1);
 	return true;
@@ -247,25 +250,25 @@
 
 static void connect_peer(skh_link_t *link, const skh_peer_t *peer)
 {
-	const char *old = g_hash_table_lookup(link->connected, peer->id);
+	const char *old_address = g_hash_table_lookup(link->connected_addresses, peer->id);
 
-	if (old && strcmp(old, peer->link) == 0)
+	if (old_address && strcmp(old_address, peer->link) == 0)
 		return;
-	if (old)
-		(void)zmq_disconnect(link->router, old);
+	if (old_address)
+		(void)zmq_disconnect(link->router, old_address);
 	if (zmq_connect(link->router, peer->link) != 0)
-		skh_log(SKH_LOG_ERROR, PART, "A sidecar's address can't be used.",
+		skh_log(SKH_LOG_ERROR, PART, "Sidecar address is not valid; no connection opened.",
 			"sidecar=%s address=%s", peer->id, peer->link);
-	g_hash_table_replace(link->connected, g_strdup(peer->id), g_strdup(peer->link));
+	g_hash_table_replace(link->connected_addresses, g_strdup(peer->id), g_strdup(peer->link));
 }
 
-static void disconnect_dropped(skh_link_t *link)
+static void disconnect_unlisted(skh_link_t *link)
 {
 	GHashTableIter iter;
 	gpointer id;
 	gpointer address;
 
-	g_hash_table_iter_init(&iter, link->connected);
+	g_hash_table_iter_init(&iter, link->connected_addresses);
 	while (g_hash_table_iter_next(&iter, &id, &address)) {
 		if (skh_peers_find(link->peers, id))
 			continue;
@@ -274,17 +277,17 @@
 	}
 }
 
-static void sync_members(skh_link_t *link, int64_t now_us)
+static void sync_peers(skh_link_t *link, int64_t now_us)
 {
-	const skh_instances_t *members = skh_board_acquire_instances(link->board);
+	const skh_instances_t *instances = skh_board_acquire_instances(link->board);
 
-	if (!members)
+	if (!instances)
 		return;
-	skh_peers_sync(link->peers, members, now_us);
-	skh_board_release(members);
+	skh_peers_sync(link->peers, instances, now_us);
+	skh_board_release(instances);
 	for (size_t i = 0; i < skh_peers_count(link->peers); i++)
 		connect_peer(link, skh_peers_at(link->peers, i));
-	disconnect_dropped(link);
+	disconnect_unlisted(link);
 }
 
 static void send_hello(skh_link_t *link, skh_peer_t *peer, int64_t now_us)
@@ -297,36 +300,36 @@
 	frame.body_case = SKH__FRAME__BODY_HELLO;
 	frame.hello = &hello;
 	item = new_outgoing(link, peer->id, &frame);
-	if (transmit(link, item)) {
+	if (transmit_frame(link, item)) {
 		skh_metrics_add(SKH_COUNT_CONTROL_BYTES_OUT, item->bytes.len);
 	} else if (peer->reachable) {
 		skh_peers_set_lost(peer, now_us);
-		push_lost(link, peer, SKH_SIDECAR_LOSS_CLOSED);
+		push_lost_events(link, peer, SKH_SIDECAR_LOSS_CLOSED);
 	}
 	free_outgoing(item);
 }
 
-/* A frame may be lost with its connection; asking settles what silence can't. */
-static void ask_about_silent(skh_link_t *link, int64_t now_us)
+/* Asks for the state of silent attempts, since a closed connection may have lost their frames. */
+static void ask_about_silent_attempts(skh_link_t *link, int64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, link->waiting);
+	g_hash_table_iter_init(&iter, link->pending_attempts);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		waiting_t *waiting = value;
+		pending_attempt_t *pending = value;
 		Skh__Frame frame = SKH__FRAME__INIT;
 		Skh__Ask ask = SKH__ASK__INIT;
 
-		if (now_us < waiting->ask_at_us || !waiting->peer->reachable)
+		if (now_us < pending->next_ask_us || !pending->peer->reachable)
 			continue;
-		waiting->ask_at_us = now_us + ASK_AFTER_US;
-		ask.attempt = waiting->attempt;
-		ask.start_before_us = waiting->start_before_us;
-		ask.incarnation = waiting->incarnation;
+		pending->next_ask_us = now_us + ASK_INTERVAL_US;
+		ask.attempt = pending->attempt;
+		ask.start_before_us = pending->start_before_us;
+		ask.incarnation = pending->incarnation;
 		frame.body_case = SKH__FRAME__BODY_ASK;
 		frame.ask = &ask;
-		send_frame(link, waiting->peer->id, &frame);
+		send_frame(link, pending->peer->id, &frame);
 	}
 }
 
@@ -335,42 +338,44 @@
 	int64_t now_us = skh_clock_now_us();
 
 	g_mutex_lock(&link->lock);
-	sync_members(link, now_us);
+	sync_peers(link, now_us);
 	for (size_t i = 0; i < skh_peers_count(link->peers); i++) {
 		skh_peer_t *peer = skh_peers_at(link->peers, i);
 
 		if (skh_peers_schedule_hello(link->peers, peer, now_us))
 			send_hello(link, peer, now_us);
 		if (skh_peers_is_lost(peer, now_us)) {
-			skh_log(SKH_LOG_WARNING, PART, "A sidecar with work went silent.",
+			skh_log(SKH_LOG_WARNING, PART,
+				"Sidecar with requests in flight timed out; its idempotent "
+				"requests are retried.",
 				"sidecar=%s", peer->id);
 			skh_peers_set_lost(peer, now_us);
-			push_lost(link, peer, SKH_SIDECAR_LOSS_SILENT);
+			push_lost_events(link, peer, SKH_SIDECAR_LOSS_SILENT);
 		}
 	}
-	ask_about_silent(link, now_us);
+	ask_about_silent_attempts(link, now_us);
 	g_mutex_unlock(&link->lock);
 }
 
-static void *run(void *argument)
+static void *run_link_thread(void *argument)
 {
 	skh_link_t *link = argument;
 	int64_t tick_at_us = 0;
 
-	while (!__atomic_load_n(&link->stop, __ATOMIC_ACQUIRE)) {
+	while (!__atomic_load_n(&link->stop_requested, __ATOMIC_ACQUIRE)) {
 		zmq_pollitem_t items[] = {
 			{ .socket = link->router, .events = ZMQ_POLLIN },
 			{ .fd = link->wake_fd, .events = ZMQ_POLLIN },
 		};
 
-		(void)zmq_poll(items, G_N_ELEMENTS(items), TICK_MS);
+		(void)zmq_poll(items, G_N_ELEMENTS(items), TICK_INTERVAL_MS);
 		if (items[1].revents & ZMQ_POLLIN)
 			send_queued(link);
-		for (int32_t i = 0; i < MAX_RECEIVES && receive_one(link); i++)
+		for (int32_t i = 0; i < MAX_FRAMES_PER_POLL && receive_frame(link); i++)
 			continue;
 		if (skh_clock_now_us() >= tick_at_us) {
 			tick(link);
-			tick_at_us = skh_clock_now_us() + TICK_MS * SKH_US_PER_MS;
+			tick_at_us = skh_clock_now_us() + TICK_INTERVAL_MS * SKH_US_PER_MS;
 		}
 	}
 	return NULL;
@@ -378,17 +383,18 @@
 
 static bool open_socket(skh_link_t *link, skh_error_t *err)
 {
-	link->context = zmq_ctx_new();
-	link->router = zmq_socket(link->context, ZMQ_ROUTER);
+	link->zmq_context = zmq_ctx_new();
+	link->router = zmq_socket(link->zmq_context, ZMQ_ROUTER);
 	if (!link->router)
-		return skh_error_set(err, SKH_INTERNAL, "no ZeroMQ socket: %s",
+		return skh_error_set(err, SKH_INTERNAL, "ZeroMQ socket could not be opened: %s",
 				     zmq_strerror(errno));
 	skh_wire_setup_router(link->router, 0);
 	skh_wire_set_option(link->router, ZMQ_RECONNECT_IVL, 100);
 	skh_wire_set_option(link->router, ZMQ_RECONNECT_IVL_MAX, 2000);
 	skh_curve_auth_set_client(link->router, link->settings);
 	if (zmq_setsockopt(link->router, ZMQ_ROUTING_ID, link->entry_id, strlen(link->entry_id)))
-		return skh_error_set(err, SKH_CONFIG_INVALID, "the instance id can't be used: %s",
+		return skh_error_set(err, SKH_CONFIG_INVALID,
+				     "the instance id is not a valid ZeroMQ routing id: %s",
 				     zmq_strerror(errno));
 	return true;
 }
@@ -401,13 +407,13 @@
 		free_outgoing(caa_container_of(node, outgoing_t, node));
 	if (link->router)
 		(void)zmq_close(link->router);
-	(void)zmq_ctx_term(link->context);
+	(void)zmq_ctx_term(link->zmq_context);
 	(void)close(link->wake_fd);
-	g_hash_table_unref(link->connected);
-	g_hash_table_unref(link->waiting);
+	g_hash_table_unref(link->connected_addresses);
+	g_hash_table_unref(link->pending_attempts);
 	skh_peers_free(link->peers);
-	skh_prefix_share_free(link->heat);
-	skh_retry_budget_free(link->budget);
+	skh_prefix_share_free(link->prefix_share);
+	skh_retry_budget_free(link->retry_budget);
 	g_mutex_clear(&link->lock);
 	cds_wfcq_destroy(&link->queue_head, &link->queue_tail);
 	g_free(link->entry_id);
@@ -418,60 +424,61 @@
 {
 	skh_link_t *link = g_new0(skh_link_t, 1);
 
-	/* The suffix keeps a restarted entry apart from its predecessor's connection. */
+	/* The suffix tells a restarted entry's connection apart from that of the earlier process. */
 	link->entry_id = g_strdup_printf("%s-%08x", settings->id, (uint32_t)skh_random_u64());
 	link->board = board;
 	link->settings = settings;
 	link->wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 	link->peers = skh_peers_new();
-	link->heat = skh_prefix_share_new();
-	link->budget = skh_retry_budget_new();
-	link->waiting = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	link->connected = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	link->prefix_share = skh_prefix_share_new();
+	link->retry_budget = skh_retry_budget_new();
+	link->pending_attempts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+	link->connected_addresses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_mutex_init(&link->lock);
 	cds_wfcq_init(&link->queue_head, &link->queue_tail);
 	if (!open_socket(link, err)) {
 		free_link(link);
 		return NULL;
 	}
-	(void)pthread_create(&link->thread, NULL, run, link);
+	(void)pthread_create(&link->thread, NULL, run_link_thread, link);
 	return link;
 }
 
 void skh_link_stop(skh_link_t *link)
 {
-	__atomic_store_n(&link->stop, true, __ATOMIC_RELEASE);
+	__atomic_store_n(&link->stop_requested, true, __ATOMIC_RELEASE);
 	(void)pthread_join(link->thread, NULL);
 	free_link(link);
 }
 
-static void fill_times(Skh__Start *start, const skh_peer_t *peer, int64_t start_by_us,
-		       int64_t finish_by_us, int64_t now_us)
+static void fill_target_and_times(Skh__Start *start, const skh_peer_t *peer,
+				  int64_t start_deadline_us, int64_t finish_deadline_us,
+				  int64_t now_us)
 {
 	int64_t peer_clock_us = skh_peers_min_clock_us(peer, now_us);
 
 	start->incarnation = peer->incarnation;
-	start->start_before_us = peer_clock_us + (start_by_us - now_us);
-	start->finish_before_us = peer_clock_us + (finish_by_us - now_us);
+	start->start_before_us = peer_clock_us + (start_deadline_us - now_us);
+	start->finish_before_us = peer_clock_us + (finish_deadline_us - now_us);
 }
 
-static void remember(skh_link_t *link, const Skh__Start *start, skh_peer_t *peer,
-		     skh_inbox_t *inbox, int64_t now_us)
+static void add_pending_attempt(skh_link_t *link, const Skh__Start *start, skh_peer_t *peer,
+				skh_inbox_t *inbox, int64_t now_us)
 {
-	waiting_t *waiting = g_new0(waiting_t, 1);
+	pending_attempt_t *pending = g_new0(pending_attempt_t, 1);
 
-	waiting->attempt = start->attempt;
-	waiting->inbox = inbox;
-	waiting->peer = peer;
-	waiting->incarnation = peer->incarnation;
-	waiting->start_before_us = start->start_before_us;
-	waiting->ask_at_us = now_us + ASK_AFTER_US;
-	g_hash_table_insert(link->waiting, &waiting->attempt, waiting);
+	pending->attempt = start->attempt;
+	pending->inbox = inbox;
+	pending->peer = peer;
+	pending->incarnation = peer->incarnation;
+	pending->start_before_us = start->start_before_us;
+	pending->next_ask_us = now_us + ASK_INTERVAL_US;
+	g_hash_table_insert(link->pending_attempts, &pending->attempt, pending);
 }
 
 bool skh_link_dispatch(skh_link_t *link, const skh_peer_query_t *query, Skh__Start *start,
-		       int64_t start_by_us, int64_t finish_by_us, skh_inbox_t *inbox,
-		       skh_dispatched_attempt_t *placement, skh_error_t *err)
+		       int64_t start_deadline_us, int64_t finish_deadline_us, skh_inbox_t *inbox,
+		       skh_dispatched_attempt_t *dispatched, skh_error_t *err)
 {
 	Skh__Frame frame = SKH__FRAME__INIT;
 	int64_t now_us = skh_clock_now_us();
@@ -479,26 +486,26 @@
 	outgoing_t *item;
 	skh_peer_t *peer;
 
-	/* The top bit is left to the sidecar. */
-	placement->attempt = (skh_random_u64() >> 1) | 1;
-	start->attempt = placement->attempt;
+	/* The top bit marks a sidecar's own transfers, SKH_WIRE_LOCAL_TRANSFER_BIT. */
+	dispatched->attempt = (skh_random_u64() >> 1) | 1;
+	start->attempt = dispatched->attempt;
 	g_mutex_lock(&link->lock);
 	peer = skh_select_peer(link->peers, query, random, now_us, err);
 	if (peer) {
-		(void)g_strlcpy(placement->peer_id, peer->id, sizeof(placement->peer_id));
-		fill_times(start, peer, start_by_us, finish_by_us, now_us);
-		placement->incarnation = start->incarnation;
+		(void)g_strlcpy(dispatched->peer_id, peer->id, sizeof(dispatched->peer_id));
+		fill_target_and_times(start, peer, start_deadline_us, finish_deadline_us, now_us);
+		dispatched->incarnation = start->incarnation;
 		skh_peers_begin_request(peer, now_us);
-		remember(link, start, peer, inbox, now_us);
+		add_pending_attempt(link, start, peer, inbox, now_us);
 	}
 	g_mutex_unlock(&link->lock);
 	if (!peer)
 		return false;
 	frame.body_case = SKH__FRAME__BODY_START;
 	frame.start = start;
-	item = new_outgoing(link, placement->peer_id, &frame);
-	item->start_of = placement->attempt;
-	enqueue(link, item);
+	item = new_outgoing(link, dispatched->peer_id, &frame);
+	item->start_attempt = dispatched->attempt;
+	enqueue_frame(link, item);
 	skh_metrics_add(SKH_COUNT_ATTEMPTS, 1);
 	return true;
 }
@@ -506,67 +513,67 @@
 double skh_link_record_request(skh_link_t *link, const char *customer, uint64_t prefix_hash)
 {
 	int64_t now_us = skh_clock_now_us();
-	double heat = 0.0;
+	double prefix_share = 0.0;
 
 	g_mutex_lock(&link->lock);
-	skh_retry_budget_record_request(link->budget, customer, now_us);
+	skh_retry_budget_record_request(link->retry_budget, customer, now_us);
 	if (prefix_hash != 0)
-		heat = skh_prefix_share_record(link->heat, prefix_hash, now_us);
+		prefix_share = skh_prefix_share_record(link->prefix_share, prefix_hash, now_us);
 	g_mutex_unlock(&link->lock);
-	return heat;
+	return prefix_share;
 }
 
 void skh_link_record_end(skh_link_t *link, const char *customer)
 {
 	g_mutex_lock(&link->lock);
-	skh_retry_budget_record_end(link->budget, customer);
+	skh_retry_budget_record_end(link->retry_budget, customer);
 	g_mutex_unlock(&link->lock);
 }
 
 bool skh_link_acquire_retry(skh_link_t *link, const char *customer)
 {
-	bool may;
+	bool granted;
 
 	g_mutex_lock(&link->lock);
-	may = skh_retry_budget_acquire(link->budget, customer, skh_clock_now_us());
+	granted = skh_retry_budget_acquire(link->retry_budget, customer, skh_clock_now_us());
 	g_mutex_unlock(&link->lock);
-	return may;
+	return granted;
 }
 
-void skh_link_release(skh_link_t *link, const skh_dispatched_attempt_t *placement, bool succeeded,
+void skh_link_release(skh_link_t *link, const skh_dispatched_attempt_t *dispatched, bool succeeded,
 		      bool cancel)
 {
 	Skh__Frame frame = SKH__FRAME__INIT;
-	Skh__Cancel body = SKH__CANCEL__INIT;
-	waiting_t *waiting;
+	Skh__Cancel cancel_body = SKH__CANCEL__INIT;
+	pending_attempt_t *pending;
 
 	g_mutex_lock(&link->lock);
-	waiting = g_hash_table_lookup(link->waiting, &placement->attempt);
-	if (waiting) {
-		skh_peers_end_request(waiting->peer, succeeded, skh_clock_now_us());
-		g_hash_table_remove(link->waiting, &placement->attempt);
+	pending = g_hash_table_lookup(link->pending_attempts, &dispatched->attempt);
+	if (pending) {
+		skh_peers_end_request(pending->peer, succeeded, skh_clock_now_us());
+		g_hash_table_remove(link->pending_attempts, &dispatched->attempt);
 	}
 	g_mutex_unlock(&link->lock);
 	if (!cancel)
 		return;
-	body.attempt = placement->attempt;
+	cancel_body.attempt = dispatched->attempt;
 	frame.body_case = SKH__FRAME__BODY_CANCEL;
-	frame.cancel = &body;
-	send_frame(link, placement->peer_id, &frame);
+	frame.cancel = &cancel_body;
+	send_frame(link, dispatched->peer_id, &frame);
 	skh_metrics_add(SKH_COUNT_CANCELS, 1);
 }
 
-void skh_link_send_credit(skh_link_t *link, const skh_dispatched_attempt_t *placement,
+void skh_link_send_credit(skh_link_t *link, const skh_dispatched_attempt_t *dispatched,
 			  uint32_t bytes)
 {
 	Skh__Frame frame = SKH__FRAME__INIT;
 	Skh__Credit credit = SKH__CREDIT__INIT;
 
-	credit.attempt = placement->attempt;
+	credit.attempt = dispatched->attempt;
 	credit.bytes = bytes;
 	frame.body_case = SKH__FRAME__BODY_CREDIT;
 	frame.credit = &credit;
-	send_frame(link, placement->peer_id, &frame);
+	send_frame(link, dispatched->peer_id, &frame);
 }
 
 void skh_link_for_each_peer(skh_link_t *link, void (*fn)(const skh_peer_t *peer, void *context),
--- a/src/link.h
+++ b/src/link.h
@@ -4,9 +4,11 @@
 /**
  * DOC: Link
  *
- * An entry's side of the ZeroMQ connection to every sidecar. One thread owns
- * the socket; callers' threads hand it frames through a wait-free queue and
- * receive events in their inboxes.
+ * An entry's ZeroMQ connections to all sidecars, and the table of peers and
+ * pending attempts. One thread owns the socket; request threads enqueue frames
+ * for it on a wait-free queue and receive events in their inboxes. All functions
+ * but skh_link_start() and skh_link_stop() may be called from any thread. Times
+ * are in microseconds on the entry's monotonic clock.
  */
 
 #include "board.h"
@@ -20,17 +22,21 @@
 
 typedef struct skh_link skh_link_t;
 
-/** skh_link_start() - open the socket and run the thread; NULL with @err */
+/**
+ * skh_link_start() - open the socket and start the link thread
+ * @settings: borrowed until skh_link_stop(), as is @board
+ * Return: NULL with @err set when the socket could not be opened.
+ */
 skh_link_t *skh_link_start(const skh_settings_t *settings, skh_board_t *board, skh_error_t *err);
 
-/** skh_link_stop() - after every caller's thread has stopped */
+/** skh_link_stop() - stop the thread and free @link; every request thread must have stopped */
 void skh_link_stop(skh_link_t *link);
 
 /**
- * struct skh_dispatched_attempt - one attempt as it was handed to the link thread
- * @attempt: its number, unique among all entries
- * @incarnation: the sidecar process that it is meant for
- * @peer: id of the chosen sidecar
+ * struct skh_dispatched_attempt - one attempt that was queued for a sidecar
+ * @attempt: random id, unique among all entries
+ * @incarnation: sidecar process that the attempt is addressed to
+ * @peer_id: id of the selected sidecar
  */
 typedef struct skh_dispatched_attempt {
 	uint64_t attempt;
@@ -39,45 +45,53 @@
 } skh_dispatched_attempt_t;
 
 /**
- * skh_link_dispatch() - choose a sidecar and hand it an attempt
- * @start: the attempt; its number, incarnation and times are filled in here
- * @start_by_us: last moment to start, on this process's clock
- * @finish_by_us: when the answer must be whole, on this process's clock
- * @inbox: receives the attempt's events until skh_link_release()
+ * skh_link_dispatch() - select a sidecar and queue an attempt for it
+ * @query: requirements of the attempt
+ * @start: the Start frame; this function sets the attempt id, the incarnation and the times on the
+ *         sidecar's clock
+ * @start_deadline_us: latest time to start
+ * @finish_deadline_us: time by which the response must be complete
+ * @inbox: receives the attempt's events until skh_link_release(); borrowed
+ * @dispatched: set on success
+ * Return: false with @err set when no sidecar may take the attempt.
  */
 bool skh_link_dispatch(skh_link_t *link, const skh_peer_query_t *query, Skh__Start *start,
-		       int64_t start_by_us, int64_t finish_by_us, skh_inbox_t *inbox,
-		       skh_dispatched_attempt_t *placement, skh_error_t *err);
+		       int64_t start_deadline_us, int64_t finish_deadline_us, skh_inbox_t *inbox,
+		       skh_dispatched_attempt_t *dispatched, skh_error_t *err);
 
 /**
- * skh_link_record_request() - a new request of @customer is about to be placed
- * Return: the part of recent requests that share its prefix.
+ * skh_link_record_request() - count a new request of @customer
+ * @prefix_hash: hash of the prompt's start; 0 for none
+ * Return: the fraction of recent requests that have the same prefix; 0 without a prefix.
  */
 double skh_link_record_request(skh_link_t *link, const char *customer, uint64_t prefix_hash);
 
-/** skh_link_record_end() - a request that was noted has ended */
+/** skh_link_record_end() - a request counted by skh_link_record_request() has ended */
 void skh_link_record_end(skh_link_t *link, const char *customer);
 
-/** skh_link_acquire_retry() - whether lost work of @customer may be placed again now */
+/**
+ * skh_link_acquire_retry() - take one retry from the budget of @customer
+ * Return: false when the budget allows no retry now.
+ */
 bool skh_link_acquire_retry(skh_link_t *link, const char *customer);
 
 /**
- * skh_link_release() - no more events of @placement are wanted
- * @succeeded: whether the sidecar did its part
- * @cancel: tell the sidecar to stop working on it
+ * skh_link_release() - end the delivery of events of @dispatched
+ * @succeeded: false counts as a failure of the sidecar
+ * @cancel: send the sidecar a Cancel for the attempt
  */
-void skh_link_release(skh_link_t *link, const skh_dispatched_attempt_t *placement, bool succeeded,
+void skh_link_release(skh_link_t *link, const skh_dispatched_attempt_t *dispatched, bool succeeded,
 		      bool cancel);
 
-/** skh_link_send_credit() - the caller has taken @bytes of the answer */
-void skh_link_send_credit(skh_link_t *link, const skh_dispatched_attempt_t *placement,
+/** skh_link_send_credit() - allow the sidecar to send @bytes more of the response */
+void skh_link_send_credit(skh_link_t *link, const skh_dispatched_attempt_t *dispatched,
 			  uint32_t bytes);
 
-/** skh_link_for_each_peer() - call @fn for each peer under the table's lock */
+/** skh_link_for_each_peer() - call @fn for each peer; the link's lock is held meanwhile */
 void skh_link_for_each_peer(skh_link_t *link, void (*fn)(const skh_peer_t *peer, void *context),
 			    void *context);
 
-/** skh_link_newest_revision() - newest configuration revision that any peer has named */
+/** skh_link_newest_revision() - newest configuration revision reported by any peer */
 int64_t skh_link_newest_revision(skh_link_t *link);
 
 #ifdef __cplusplus
