--- a/src/gate.h
+++ b/src/gate.h
@@ -4,15 +4,18 @@
 /**
  * DOC: Gate
  *
- * What a sidecar lets through to its backend server, as pure state. The gate
- * keeps its word: an attempt that it refused is never started, though the
- * request arrives again or late, and an attempt is started at most once.
+ * Admission control and queue of a sidecar: decides which attempts start at
+ * its backend server, wait or are rejected. Pure state; the owner serialises
+ * calls and passes the time in microseconds on the sidecar's clock.
  *
- * Memory is bounded without trust in clocks: each attempt names the last
- * moment, on this sidecar's own clock, at which it may start. What became of it
- * is remembered for SKH_GATE_RETENTION_US longer. Until then a late copy that is
- * not known here never ran and is refused; of a later one nothing is known, and
- * nothing is said.
+ * Guarantees: an attempt starts at most once, and a rejected attempt never
+ * starts, also when a copy of its Start frame arrives again or late.
+ *
+ * Memory is bounded without synchronised clocks: each attempt names its latest
+ * start on this sidecar's clock, and its outcome is retained for
+ * SKH_GATE_RETENTION_US after that time. Within that period an attempt without
+ * a record never ran, and a copy of it is rejected. Later the record may have
+ * been evicted although the attempt ran, so a copy is ignored.
  */
 
 #include "error.h"
@@ -22,112 +25,124 @@
 extern "C" {
 #endif
 
+/** SKH_GATE_RETENTION_US - how long an outcome is retained after the attempt's latest start */
 #define SKH_GATE_RETENTION_US ((int64_t)60 * 1000000)
 
 typedef struct skh_gate skh_gate_t;
 
+/** enum skh_gate_decision - what the owner does with an attempt */
 typedef enum skh_gate_decision {
-	SKH_GATE_DECISION_START,	  /* hand it to the backend server now */
-	SKH_GATE_DECISION_QUEUE,	  /* kept; skh_gate_start_next() brings it up */
-	SKH_GATE_DECISION_REJECT,	  /* tell the entry why; it will not run */
-	SKH_GATE_DECISION_IGNORE,	  /* decided before, or too late to tell; say nothing */
-	SKH_GATE_DECISION_ALREADY_STARTED /* too late to take back: it was started */
+	SKH_GATE_DECISION_START,	  /* dispatch to the backend server now */
+	SKH_GATE_DECISION_QUEUE,	  /* queued; skh_gate_start_next() returns it */
+	SKH_GATE_DECISION_REJECT,	  /* send the entry a rejection; never starts */
+	SKH_GATE_DECISION_IGNORE,	  /* already decided or past retention; send nothing */
+	SKH_GATE_DECISION_ALREADY_STARTED /* started, can't be withdrawn */
 } skh_gate_decision_t;
 
-/** enum skh_attempt_status - what became of an attempt */
+/** enum skh_attempt_status - state of an attempt as reported to an entry */
 typedef enum skh_attempt_status {
 	SKH_ATTEMPT_STATUS_WAITING,
 	SKH_ATTEMPT_STATUS_RUNNING,
 	SKH_ATTEMPT_STATUS_ENDED,
-	SKH_ATTEMPT_STATUS_REJECTED, /* it did not start and never will */
-	SKH_ATTEMPT_STATUS_UNKNOWN   /* too long ago to tell */
+	SKH_ATTEMPT_STATUS_REJECTED, /* did not start and never will */
+	SKH_ATTEMPT_STATUS_UNKNOWN /* earlier process, or past its latest start without a record */
 } skh_attempt_status_t;
 
 /**
- * skh_gate_new() - an open gate
- * @capacity: attempts that run at once
- * @queue: attempts that wait at most
- * @incarnation: number of this sidecar process
+ * skh_gate_new() - new gate, which rejects attempts until skh_gate_open()
+ * @capacity: maximum number of running attempts
+ * @queue_limit: maximum number of queued attempts
+ * @incarnation: random id of this sidecar process
  */
-skh_gate_t *skh_gate_new(uint32_t capacity, uint32_t queue, uint64_t incarnation);
+skh_gate_t *skh_gate_new(uint32_t capacity, uint32_t queue_limit, uint64_t incarnation);
 void skh_gate_free(skh_gate_t *gate);
 
 /**
- * skh_gate_admit() - an attempt arrives
+ * skh_gate_admit() - decide about an attempt that has arrived
  *
- * One that asks not to queue is refused unless it can start at once, so that
- * its entry may try a server that has room.
- * Return: the verdict; @err is filled for SKH_GATE_DECISION_REJECT.
+ * An attempt with no_queue set is rejected unless it can start at once, so that
+ * its entry can try a server with free capacity.
+ * Return: the decision; @err is set for SKH_GATE_DECISION_REJECT.
  */
 skh_gate_decision_t skh_gate_admit(skh_gate_t *gate, const Skh__Start *start, int64_t now_us,
 				   skh_error_t *err);
 
 /**
- * skh_gate_pop_evicted() - a waiting attempt that had to make room; 0 for none
+ * skh_gate_pop_evicted() - next attempt evicted from the queue; 0 for none
  *
- * In a full queue an attempt of a customer over its share is refused when one
- * of a customer under its share arrives. Ask after each skh_gate_admit().
+ * An attempt that arrives at a full queue evicts the last queued one when it
+ * precedes that one by priority or by its customer's share. The owner rejects
+ * the evicted attempt. Call until 0 after each skh_gate_admit().
  */
 uint64_t skh_gate_pop_evicted(skh_gate_t *gate);
 
 /**
- * skh_gate_cancel() - the entry no longer wants @attempt
- * Return: SKH_GATE_DECISION_ALREADY_STARTED when it runs, SKH_GATE_DECISION_REJECT when it was
- * waiting and now never starts, else SKH_GATE_DECISION_IGNORE.
+ * skh_gate_cancel() - withdraw @attempt at its entry's request
+ * Return: SKH_GATE_DECISION_ALREADY_STARTED when @attempt runs, SKH_GATE_DECISION_REJECT when it
+ * was queued and now never starts, else SKH_GATE_DECISION_IGNORE.
  */
 skh_gate_decision_t skh_gate_cancel(skh_gate_t *gate, uint64_t attempt);
 
 /**
- * skh_gate_resolve() - what became of @attempt
- *
- * @incarnation: the sidecar process that it was meant for
+ * skh_gate_resolve() - state of @attempt, for an entry that asks
+ * @incarnation: sidecar process that the attempt was addressed to
+ * @start_before_us: latest start of the attempt
  *
- * One that never arrived is fenced: it will not start if it arrives later.
- * Of what an earlier process did, nothing is known.
- * Return: what the entry may be told.
+ * An attempt without a record is fenced when it may still arrive: its state
+ * becomes SKH_ATTEMPT_STATUS_REJECTED and it never starts. Attempts of an
+ * earlier process are unknown.
+ * Return: the state to report.
  */
 skh_attempt_status_t skh_gate_resolve(skh_gate_t *gate, uint64_t attempt, uint64_t incarnation,
 				      int64_t start_before_us, int64_t now_us);
 
 /**
- * skh_gate_finish() - @attempt no longer runs
- * @started: false when it was stopped before the backend server got it
+ * skh_gate_finish() - running @attempt has ended
+ * @started: false when it ended before it reached the backend server
  */
 void skh_gate_finish(skh_gate_t *gate, uint64_t attempt, bool started);
 
 /**
- * skh_gate_start_next() - waiting attempt to start now; 0 for none
+ * skh_gate_start_next() - take the next attempt to start now from the queue; 0 for none
  *
- * By priority, which rises with the time spent waiting; among equals by the
- * customers' weights (fair_queue.h); then by age.
+ * In order of priority, which rises with the time in the queue; within one
+ * priority by the customers' weights (fair_queue.h); then in order of arrival.
  */
 uint64_t skh_gate_start_next(skh_gate_t *gate, int64_t now_us);
 
 /**
- * skh_gate_expire_next() - one waiting attempt that may no longer start; 0 for none
- * Also forgets what no longer needs remembering.
+ * skh_gate_expire_next() - remove one queued attempt that can't start in time; 0 for none
+ *
+ * The owner rejects the returned attempt and calls again. Also evicts records
+ * past their retention.
  */
 uint64_t skh_gate_expire_next(skh_gate_t *gate, int64_t now_us);
 
 /**
- * skh_gate_clear_suspect() - the suspect @attempt has run past where it was suspected
+ * skh_gate_clear_suspect() - @attempt ran long enough not to be treated as a crash suspect
  *
- * A gate runs one suspect at a time; from now on another may start.
+ * A gate runs one crash suspect at a time; afterwards another may start.
  */
 void skh_gate_clear_suspect(skh_gate_t *gate, uint64_t attempt);
 
-/** skh_gate_set_leaving() - take no new work while @leaving */
+/** skh_gate_set_leaving() - reject new attempts while @leaving; then skh_gate_open() is needed */
 void skh_gate_set_leaving(skh_gate_t *gate, bool leaving);
 
-/** skh_gate_reject_next() - while leaving: one waiting attempt, refused; 0 for none */
+/** skh_gate_reject_next() - while leaving, remove one queued attempt to be rejected; 0 for none */
 uint64_t skh_gate_reject_next(skh_gate_t *gate);
 
-/** skh_gate_open() - let work through once the process is ready */
+/** skh_gate_open() - admit attempts, unless leaving */
 void skh_gate_open(skh_gate_t *gate);
 
 skh_phase_t skh_gate_phase(const skh_gate_t *gate);
+
+/** skh_gate_running() - number of attempts that run */
 uint32_t skh_gate_running(const skh_gate_t *gate);
+
+/** skh_gate_queued() - number of queued attempts */
 uint32_t skh_gate_queued(const skh_gate_t *gate);
+
+/** skh_gate_retained() - number of attempts with a record, also ended ones */
 size_t skh_gate_retained(const skh_gate_t *gate);
 
 #ifdef __cplusplus
--- a/src/link.c
+++ b/src/link.c
@@ -424,7 +424,7 @@
 {
 	skh_link_t *link = g_new0(skh_link_t, 1);
 
-	/* The suffix tells a restarted entry's connection apart from that of the earlier process. */
+	/* The suffix tells a restarted entry's connections from those of the earlier process. */
 	link->entry_id = g_strdup_printf("%s-%08x", settings->id, (uint32_t)skh_random_u64());
 	link->board = board;
 	link->settings = settings;
--- a/test/gate_test.cc
+++ b/test/gate_test.cc
@@ -1,4 +1,4 @@
-// The sidecar's word: refused work never starts, started work starts once.
+// Guards against a rejected attempt that starts and an attempt that starts twice.
 #include "gate.h"
 
 #include <gtest/gtest.h>
@@ -15,15 +15,15 @@
 
 using GatePtr = std::unique_ptr<skh_gate_t, decltype(&skh_gate_free)>;
 
-GatePtr open_gate(uint32_t capacity, uint32_t queue)
+GatePtr open_gate(uint32_t capacity, uint32_t queue_limit)
 {
-	GatePtr gate(skh_gate_new(capacity, queue, kIncarnation), skh_gate_free);
+	GatePtr gate(skh_gate_new(capacity, queue_limit, kIncarnation), skh_gate_free);
 
 	skh_gate_open(gate.get());
 	return gate;
 }
 
-Skh__Start start_of(uint64_t attempt, int64_t start_before_us, uint32_t priority = 0)
+Skh__Start make_start(uint64_t attempt, int64_t start_before_us, uint32_t priority = 0)
 {
 	Skh__Start start = SKH__START__INIT;
 
@@ -34,61 +34,61 @@
 	return start;
 }
 
-skh_gate_decision_t arrive(skh_gate_t *gate, const Skh__Start &start, int64_t now_us,
-			   skh_error_kind_t *kind = nullptr)
+skh_gate_decision_t admit(skh_gate_t *gate, const Skh__Start &start, int64_t now_us,
+			  skh_error_kind_t *kind = nullptr)
 {
 	skh_error_t err = {};
-	skh_gate_decision_t verdict = skh_gate_admit(gate, &start, now_us, &err);
+	skh_gate_decision_t decision = skh_gate_admit(gate, &start, now_us, &err);
 
 	if (kind)
 		*kind = err.kind;
-	return verdict;
+	return decision;
 }
 
-TEST(Gate, ALateRequestIsRefused)
+TEST(Gate, ALateAttemptIsRejected)
 {
 	GatePtr gate = open_gate(1, 1);
 	skh_error_kind_t kind;
 
-	EXPECT_EQ(arrive(gate.get(), start_of(1, 100), 100, &kind), SKH_GATE_DECISION_REJECT);
+	EXPECT_EQ(admit(gate.get(), make_start(1, 100), 100, &kind), SKH_GATE_DECISION_REJECT);
 	EXPECT_EQ(kind, SKH_STALE);
 }
 
-TEST(Gate, ARequestForAnEarlierProcessIsRefused)
+TEST(Gate, AnAttemptForAnEarlierProcessIsRejected)
 {
 	GatePtr gate = open_gate(1, 1);
-	Skh__Start start = start_of(1, 100);
+	Skh__Start start = make_start(1, 100);
 	skh_error_kind_t kind;
 
 	start.incarnation = kIncarnation - 1;
-	EXPECT_EQ(arrive(gate.get(), start, 0, &kind), SKH_GATE_DECISION_REJECT);
+	EXPECT_EQ(admit(gate.get(), start, 0, &kind), SKH_GATE_DECISION_REJECT);
 	EXPECT_EQ(kind, SKH_STALE);
 }
 
-TEST(Gate, ARefusedRequestThatComesAgainIsNotStarted)
+TEST(Gate, ACopyOfARejectedAttemptIsNotStarted)
 {
 	GatePtr gate = open_gate(1, 1);
 
-	EXPECT_EQ(arrive(gate.get(), start_of(1, 100), 0), SKH_GATE_DECISION_START);
-	EXPECT_EQ(arrive(gate.get(), start_of(2, 100), 0), SKH_GATE_DECISION_QUEUE);
-	EXPECT_EQ(arrive(gate.get(), start_of(3, 100), 0), SKH_GATE_DECISION_REJECT);
+	EXPECT_EQ(admit(gate.get(), make_start(1, 100), 0), SKH_GATE_DECISION_START);
+	EXPECT_EQ(admit(gate.get(), make_start(2, 100), 0), SKH_GATE_DECISION_QUEUE);
+	EXPECT_EQ(admit(gate.get(), make_start(3, 100), 0), SKH_GATE_DECISION_REJECT);
 	skh_gate_finish(gate.get(), 1, true);
 	EXPECT_EQ(skh_gate_start_next(gate.get(), 1), 2U);
-	EXPECT_EQ(arrive(gate.get(), start_of(3, 100), 1), SKH_GATE_DECISION_IGNORE);
+	EXPECT_EQ(admit(gate.get(), make_start(3, 100), 1), SKH_GATE_DECISION_IGNORE);
 	EXPECT_EQ(skh_gate_resolve(gate.get(), 3, kIncarnation, 100, 1),
 		  SKH_ATTEMPT_STATUS_REJECTED);
 }
 
-TEST(Gate, AFencedRequestThatArrivesLaterIsNotStarted)
+TEST(Gate, AFencedAttemptThatArrivesLaterIsNotStarted)
 {
 	GatePtr gate = open_gate(1, 1);
 
 	EXPECT_EQ(skh_gate_resolve(gate.get(), 1, kIncarnation, 100, 0),
 		  SKH_ATTEMPT_STATUS_REJECTED);
-	EXPECT_EQ(arrive(gate.get(), start_of(1, 100), 50), SKH_GATE_DECISION_IGNORE);
+	EXPECT_EQ(admit(gate.get(), make_start(1, 100), 50), SKH_GATE_DECISION_IGNORE);
 }
 
-TEST(Gate, WhatAnEarlierProcessDidIsUnknown)
+TEST(Gate, AnAttemptOfAnEarlierProcessIsUnknown)
 {
 	GatePtr gate = open_gate(1, 1);
 
@@ -96,11 +96,11 @@
 		  SKH_ATTEMPT_STATUS_UNKNOWN);
 }
 
-TEST(Gate, WhatMayHaveBeenForgottenIsUnknownNotRefused)
+TEST(Gate, AnEvictedAttemptIsUnknownNotRejected)
 {
 	GatePtr gate = open_gate(1, 1);
 
-	EXPECT_EQ(arrive(gate.get(), start_of(1, 100), 0), SKH_GATE_DECISION_START);
+	EXPECT_EQ(admit(gate.get(), make_start(1, 100), 0), SKH_GATE_DECISION_START);
 	skh_gate_finish(gate.get(), 1, true);
 	EXPECT_EQ(skh_gate_resolve(gate.get(), 1, kIncarnation, 100, 50), SKH_ATTEMPT_STATUS_ENDED);
 	EXPECT_EQ(skh_gate_expire_next(gate.get(), 100 + SKH_GATE_RETENTION_US - 1), 0U);
@@ -111,75 +111,75 @@
 		  SKH_ATTEMPT_STATUS_UNKNOWN);
 }
 
-// A copy that comes after its attempt ran, and after it was forgotten, must not
-// be told as "not run": found by make soak, seed 1925.
-TEST(Gate, ALateCopyOfWhatRanIsNeverRefused)
+// A copy of a Start frame that arrived after the attempt had ended and its record had been evicted
+// was rejected, which reports "not run". Found by make soak, seed 1925.
+TEST(Gate, ALateCopyOfAnEndedAttemptIsNeverRejected)
 {
 	GatePtr gate = open_gate(1, 1);
 
-	EXPECT_EQ(arrive(gate.get(), start_of(1, 100), 0), SKH_GATE_DECISION_START);
+	EXPECT_EQ(admit(gate.get(), make_start(1, 100), 0), SKH_GATE_DECISION_START);
 	skh_gate_finish(gate.get(), 1, true);
 	for (int64_t now_us = 100; now_us < 3 * SKH_GATE_RETENTION_US;
 	     now_us += SKH_GATE_RETENTION_US / 2) {
 		EXPECT_EQ(skh_gate_expire_next(gate.get(), now_us), 0U);
-		EXPECT_EQ(arrive(gate.get(), start_of(1, 100), now_us), SKH_GATE_DECISION_IGNORE);
+		EXPECT_EQ(admit(gate.get(), make_start(1, 100), now_us), SKH_GATE_DECISION_IGNORE);
 	}
-	/* One that never came before and is not too late to tell did not run. */
-	EXPECT_EQ(arrive(gate.get(), start_of(2, 100), 200), SKH_GATE_DECISION_REJECT);
+	/* Within the retention, an attempt without a record did not run. */
+	EXPECT_EQ(admit(gate.get(), make_start(2, 100), 200), SKH_GATE_DECISION_REJECT);
 }
 
-TEST(Gate, LeavingHandsBackTheQueueAndLetsWorkEnd)
+TEST(Gate, LeavingRejectsTheQueueAndLetsRunningAttemptsEnd)
 {
 	GatePtr gate = open_gate(1, 4);
 	skh_error_kind_t kind;
 
-	EXPECT_EQ(arrive(gate.get(), start_of(1, 100), 0), SKH_GATE_DECISION_START);
-	EXPECT_EQ(arrive(gate.get(), start_of(2, 100), 0), SKH_GATE_DECISION_QUEUE);
+	EXPECT_EQ(admit(gate.get(), make_start(1, 100), 0), SKH_GATE_DECISION_START);
+	EXPECT_EQ(admit(gate.get(), make_start(2, 100), 0), SKH_GATE_DECISION_QUEUE);
 	skh_gate_set_leaving(gate.get(), true);
-	EXPECT_EQ(arrive(gate.get(), start_of(3, 100), 0, &kind), SKH_GATE_DECISION_REJECT);
+	EXPECT_EQ(admit(gate.get(), make_start(3, 100), 0, &kind), SKH_GATE_DECISION_REJECT);
 	EXPECT_EQ(kind, SKH_LEAVING);
 	EXPECT_EQ(skh_gate_reject_next(gate.get()), 2U);
 	EXPECT_EQ(skh_gate_reject_next(gate.get()), 0U);
 	EXPECT_EQ(skh_gate_running(gate.get()), 1U);
 }
 
-TEST(Gate, StartsByPriorityThenAge)
+TEST(Gate, StartsByPriorityThenArrival)
 {
 	GatePtr gate = open_gate(1, 4);
 
-	EXPECT_EQ(arrive(gate.get(), start_of(1, 100), 0), SKH_GATE_DECISION_START);
-	EXPECT_EQ(arrive(gate.get(), start_of(2, 100, 5), 0), SKH_GATE_DECISION_QUEUE);
-	EXPECT_EQ(arrive(gate.get(), start_of(3, 100, 1), 0), SKH_GATE_DECISION_QUEUE);
-	EXPECT_EQ(arrive(gate.get(), start_of(4, 100, 1), 0), SKH_GATE_DECISION_QUEUE);
+	EXPECT_EQ(admit(gate.get(), make_start(1, 100), 0), SKH_GATE_DECISION_START);
+	EXPECT_EQ(admit(gate.get(), make_start(2, 100, 5), 0), SKH_GATE_DECISION_QUEUE);
+	EXPECT_EQ(admit(gate.get(), make_start(3, 100, 1), 0), SKH_GATE_DECISION_QUEUE);
+	EXPECT_EQ(admit(gate.get(), make_start(4, 100, 1), 0), SKH_GATE_DECISION_QUEUE);
 	for (uint64_t expected : { 3U, 4U, 2U }) {
-		uint64_t before = expected == 3U ? 1U : expected == 4U ? 3U : 4U;
+		uint64_t running_attempt = expected == 3U ? 1U : expected == 4U ? 3U : 4U;
 
-		skh_gate_finish(gate.get(), before, true);
+		skh_gate_finish(gate.get(), running_attempt, true);
 		EXPECT_EQ(skh_gate_start_next(gate.get(), 1), expected);
 	}
 }
 
-TEST(Gate, AWaitingRequestPastItsMomentIsRefusedNotStarted)
+TEST(Gate, AQueuedAttemptPastItsLatestStartIsExpired)
 {
 	GatePtr gate = open_gate(1, 4);
 
-	EXPECT_EQ(arrive(gate.get(), start_of(1, 100), 0), SKH_GATE_DECISION_START);
-	EXPECT_EQ(arrive(gate.get(), start_of(2, 50), 0), SKH_GATE_DECISION_QUEUE);
+	EXPECT_EQ(admit(gate.get(), make_start(1, 100), 0), SKH_GATE_DECISION_START);
+	EXPECT_EQ(admit(gate.get(), make_start(2, 50), 0), SKH_GATE_DECISION_QUEUE);
 	skh_gate_finish(gate.get(), 1, true);
 	EXPECT_EQ(skh_gate_start_next(gate.get(), 50), 0U);
 	EXPECT_EQ(skh_gate_expire_next(gate.get(), 50), 2U);
 }
 
-// The naive gate keeps everything for ever; both must tell the same story.
-struct NaiveGate {
+// Reference model: keeps all outcomes without eviction.
+struct ReferenceModel {
 	std::set<uint64_t> started;
-	std::set<uint64_t> refused;
+	std::set<uint64_t> rejected;
 };
 
-RC_GTEST_PROP(Gate, KeepsItsWordUnderAnyOrderOfEvents, ())
+RC_GTEST_PROP(Gate, RejectedNeverStartsAndStartsOnceUnderRandomEvents, ())
 {
 	GatePtr gate = open_gate(*rc::gen::inRange(1, 4), *rc::gen::inRange(1, 4));
-	NaiveGate naive;
+	ReferenceModel model;
 	std::set<uint64_t> running;
 	int64_t now_us = 0;
 
@@ -187,26 +187,26 @@
 		const uint64_t attempt = *rc::gen::inRange(1, 30);
 		const int64_t start_before_us = static_cast<int64_t>(attempt) * 10;
 		const int action = *rc::gen::inRange(0, 6);
-		uint64_t begun = 0;
+		uint64_t started_attempt = 0;
 
 		now_us += *rc::gen::inRange(0, 4);
 		if (action <= 1) {
-			skh_gate_decision_t verdict =
-				arrive(gate.get(), start_of(attempt, start_before_us), now_us);
-			if (verdict == SKH_GATE_DECISION_START)
-				begun = attempt;
-			if (verdict == SKH_GATE_DECISION_REJECT)
-				naive.refused.insert(attempt);
+			skh_gate_decision_t decision =
+				admit(gate.get(), make_start(attempt, start_before_us), now_us);
+			if (decision == SKH_GATE_DECISION_START)
+				started_attempt = attempt;
+			if (decision == SKH_GATE_DECISION_REJECT)
+				model.rejected.insert(attempt);
 		} else if (action == 2) {
 			switch (skh_gate_resolve(gate.get(), attempt, kIncarnation, start_before_us,
 						 now_us)) {
 			case SKH_ATTEMPT_STATUS_REJECTED:
-				RC_ASSERT(naive.started.count(attempt) == 0U);
-				naive.refused.insert(attempt);
+				RC_ASSERT(model.started.count(attempt) == 0U);
+				model.rejected.insert(attempt);
 				break;
 			case SKH_ATTEMPT_STATUS_RUNNING:
 			case SKH_ATTEMPT_STATUS_ENDED:
-				RC_ASSERT(naive.started.count(attempt) == 1U);
+				RC_ASSERT(model.started.count(attempt) == 1U);
 				break;
 			default:
 				break;
@@ -214,20 +214,20 @@
 		} else if (action == 3 && !running.empty()) {
 			skh_gate_finish(gate.get(), *running.begin(), true);
 			running.erase(running.begin());
-			begun = skh_gate_start_next(gate.get(), now_us);
+			started_attempt = skh_gate_start_next(gate.get(), now_us);
 		} else if (action == 4) {
 			if (skh_gate_cancel(gate.get(), attempt) == SKH_GATE_DECISION_REJECT)
-				naive.refused.insert(attempt);
+				model.rejected.insert(attempt);
 		} else {
 			uint64_t expired = skh_gate_expire_next(gate.get(), now_us);
 
 			if (expired != 0)
-				naive.refused.insert(expired);
+				model.rejected.insert(expired);
 		}
-		if (begun != 0) {
-			RC_ASSERT(naive.refused.count(begun) == 0U);
-			RC_ASSERT(naive.started.insert(begun).second);
-			running.insert(begun);
+		if (started_attempt != 0) {
+			RC_ASSERT(model.rejected.count(started_attempt) == 0U);
+			RC_ASSERT(model.started.insert(started_attempt).second);
+			running.insert(started_attempt);
 		}
 		RC_ASSERT(skh_gate_running(gate.get()) == running.size());
 	}
