--- a/src/attempt_runner.c
+++ b/src/attempt_runner.c
@@ -232,8 +232,8 @@
 
 	while ((id = skh_gate_pop_evicted(runner->gate)) != 0)
 		reject_waiting(runner, id, SKH_OVERLOADED,
-			       "evicted from the full queue by a request of higher priority or "
-			       "smaller share");
+			       "evicted from the full queue by a request of higher priority or of "
+			       "a customer below its share");
 }
 
 static void on_start(skh_attempt_runner_t *runner, const char *entry, Skh__Frame *frame)
@@ -707,7 +707,8 @@
 	gpointer value;
 	skh_error_t err;
 
-	(void)skh_error_set(&err, SKH_BACKEND_FAILED, "the sidecar stopped at its drain deadline");
+	(void)skh_error_set(&err, SKH_BACKEND_FAILED,
+			    "the sidecar of the backend server stopped at its drain deadline");
 	g_hash_table_iter_init(&iter, runner->attempts);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		send_end(runner, value, &err, false);
--- a/src/link.c
+++ b/src/link.c
@@ -346,8 +346,8 @@
 			send_hello(link, peer, now_us);
 		if (skh_peers_is_lost(peer, now_us)) {
 			skh_log(SKH_LOG_WARNING, PART,
-				"Sidecar with requests in flight timed out; its idempotent "
-				"requests are retried.",
+				"Sidecar with requests in flight is silent past its timeout; "
+				"idempotent ones are retried.",
 				"sidecar=%s", peer->id);
 			skh_peers_set_lost(peer, now_us);
 			push_lost_events(link, peer, SKH_SIDECAR_LOSS_SILENT);
