--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -1,8 +1,7 @@
-// Histories of whole runs in virtual time: callers who repeat themselves,
-// entries and sidecars made of the real decisions (relay, gate, claim, batch),
-// and a network, processes and a key-value service that fail together. A check
-// over what ran and what callers were told must find nothing, and must find
-// each planted fault.
+// Simulates callers, entries, sidecars, a network and a key-value service in virtual time, with
+// random faults. Entries and sidecars use the product's state machine, gate, claim and batch code.
+// Guards against a request that runs twice, a wrong report of whether it ran, and a response that
+// is incomplete or belongs to another request. The check must detect each injected fault.
 #include "batch.h"
 #include "claim.h"
 #include "clock.h"
@@ -27,51 +26,51 @@
 namespace
 {
 
-enum class Planted {
-	kNothing,
-	kNoClaims,	  // keyed work runs without a claim
-	kForgetful,	  // a sidecar starts what it refused before
-	kSilenceIsNotRun, // an entry repeats work because it heard nothing
-	kOldPieces,	  // an entry takes pieces of attempts that it gave up
+enum class InjectedFault {
+	kNone,
+	kNoClaims,		 // attempts with a key run without a claim
+	kStartsRejectedAttempts, // a sidecar starts an attempt that it rejected
+	kSilenceTakenAsNotRun,	 // an entry retries a request because its sidecar is silent
+	kAcceptsOldDataFrames,	 // an entry accepts data of abandoned attempts
 };
 
-constexpr int64_t kMs = SKH_US_PER_MS;
-constexpr int64_t kSecond = SKH_US_PER_S;
-constexpr int64_t kDeadlineUs = 20 * kSecond;
+constexpr int64_t kUsPerMs = SKH_US_PER_MS;
+constexpr int64_t kUsPerSecond = SKH_US_PER_S;
+constexpr int64_t kDeadlineUs = 20 * kUsPerSecond;
 constexpr size_t kSidecars = 3;
-constexpr int kTokens = 6;
+constexpr int kStreamTokens = 6;
 constexpr int kMaxEvents = 100000;
 
-// One message of a caller, and what it was told in the end.
-struct Send {
+// One message of a caller and its result. A caller retries with another request of the same key.
+struct Request {
 	int id = 0;
 	std::string key; // empty for none
-	int content = 0; // the same for all sends of a key
-	bool stream = false;
+	int content = 0; // the same for all requests with a key
+	bool is_streaming = false;
 	size_t entry = 0;
-	skh_request_fsm_t relay = {};
-	size_t sidecar = 0; // of the present attempt
+	skh_request_fsm_t fsm = {};
+	size_t sidecar = 0; // of the current attempt
 	std::set<uint64_t> attempts;
 	std::vector<int> tokens;
-	std::string kept;
-	bool told = false;
-	bool whole = false;
-	skh_run_state_t run = SKH_RUN_UNKNOWN;
+	std::string body;
+	bool has_ended = false;
+	bool is_complete = false;
+	skh_run_state_t run_state = SKH_RUN_UNKNOWN;
 };
 
 struct Attempt {
 	uint64_t id = 0;
-	int send = 0;
-	bool keyed = false;
-	bool stream = false;
+	int request_id = 0;
+	bool has_key = false;
+	bool is_streaming = false;
 	int content = 0;
 	int first_token = 0;
 	std::string key;
 	std::string owner;
-	uint64_t incarnation = 0; // of the sidecar that it is meant for
+	uint64_t incarnation = 0; // sidecar process that the attempt is addressed to
 	int64_t start_before_us = 0;
 	int64_t claim_revision = 0;
-	uint64_t pieces = 0;
+	uint64_t n_data_frames = 0;
 };
 
 struct Sidecar {
@@ -82,28 +81,31 @@
 	std::map<uint64_t, Attempt> attempts;
 };
 
-struct Ran {
+struct Run {
 	uint64_t attempt;
-	int send;
+	int request_id;
 	std::string key;
-	std::string answer;
+	std::string response;
 };
 
-class World
+class Simulation
 {
       public:
-	World(uint32_t seed, Planted planted) : random(seed), planted(planted)
+	Simulation(uint32_t seed, InjectedFault injected_fault)
+	    : random(seed), injected_fault(injected_fault)
 	{
 		for (auto &sidecar : sidecars)
-			boot(sidecar);
+			restart(sidecar);
 	}
 
 	std::string run()
 	{
 		for (int i = 0; i < 14; i++)
-			at(chance(10000) * kMs, [this, i] { new_request(i); });
+			schedule_at(random_below(10000) * kUsPerMs,
+				    [this, i] { schedule_requests(i); });
 		for (int i = 0; i < 10; i++)
-			at(chance(12000) * kMs, [this] { fail_something(); });
+			schedule_at(random_below(12000) * kUsPerMs,
+				    [this] { cause_random_fault(); });
 		while (!events.empty()) {
 			auto first = events.begin();
 			const auto action = first->second;
@@ -111,74 +113,76 @@
 			now_us = first->first;
 			events.erase(first);
 			action();
-			if (++handled > kMaxEvents)
-				return "the run does not end";
+			if (++n_handled > kMaxEvents)
+				return "the simulation does not end";
 		}
-		return judge();
+		return check_history();
 	}
 
-	int answers_whole = 0;
-	int told_not_run = 0;
-	int told_unknown = 0;
+	int n_complete = 0;
+	int n_not_run = 0;
+	int n_unknown = 0;
 
       private:
-	int chance(int n)
+	int random_below(int n)
 	{
 		return static_cast<int>(random() % static_cast<uint32_t>(n));
 	}
 
-	void at(int64_t when_us, std::function<void()> action)
+	void schedule_at(int64_t when_us, std::function<void()> action)
 	{
 		events.emplace(std::max(when_us, now_us), std::move(action));
 	}
 
-	void after(int64_t wait_us, std::function<void()> action)
+	void schedule_after(int64_t wait_us, std::function<void()> action)
 	{
-		at(now_us + wait_us, std::move(action));
+		schedule_at(now_us + wait_us, std::move(action));
 	}
 
-	// Most messages are quick, some are late by seconds, some are lost or come twice.
-	void carry(std::function<void()> action)
+	// Delivers a message: most arrive soon, some late by seconds, some never or twice.
+	void deliver(std::function<void()> action)
 	{
-		const int luck = chance(40);
+		const int outcome = random_below(40);
 
-		if (luck == 0)
+		if (outcome == 0)
 			return;
-		const int64_t delay_us = luck < 3 ? chance(9000) * kMs : chance(3000);
-		after(delay_us, action);
-		if (luck == 3)
-			after(chance(9000) * kMs, action);
+		const int64_t delay_us =
+			outcome < 3 ? random_below(9000) * kUsPerMs : random_below(3000);
+		schedule_after(delay_us, action);
+		if (outcome == 3)
+			schedule_after(random_below(9000) * kUsPerMs, action);
 	}
 
-	void boot(Sidecar &sidecar)
+	void restart(Sidecar &sidecar)
 	{
 		sidecar.incarnation = ++last_incarnation;
 		sidecar.gate.reset(skh_gate_new(2, 2, sidecar.incarnation));
-		sidecar.clock_offset_us = chance(1000000) * kMs;
+		sidecar.clock_offset_us = random_below(1000000) * kUsPerMs;
 		sidecar.attempts.clear();
 		skh_gate_open(sidecar.gate.get());
 	}
 
-	int64_t clock_of(const Sidecar &sidecar) const
+	int64_t clock_us(const Sidecar &sidecar) const
 	{
 		return now_us + sidecar.clock_offset_us;
 	}
 
-	void fail_something()
+	void cause_random_fault()
 	{
 		const size_t index = random() % kSidecars;
 		Sidecar &sidecar = sidecars[index];
 
-		switch (chance(6)) {
+		switch (random_below(6)) {
 		case 0:
-			kill(index);
+			crash(index);
 			break;
 		case 1:
-			sidecar.frozen_until_us = now_us + chance(8000) * kMs;
+			sidecar.frozen_until_us = now_us + random_below(8000) * kUsPerMs;
 			break;
 		case 2:
 			store.down = true;
-			after(chance(6000) * kMs, [this] { store.down = false; });
+			schedule_after(random_below(6000) * kUsPerMs,
+				       [this] { store.down = false; });
 			break;
 		case 3:
 			store.lose_answer_of_txn = store.n_txns + 1;
@@ -187,159 +191,165 @@
 			store.drop_txn = store.n_txns + 1;
 			break;
 		default:
-			hang_ups++;
+			n_hang_ups++;
 			break;
 		}
 	}
 
-	void kill(size_t index)
+	void crash(size_t index)
 	{
-		boot(sidecars[index]);
-		for (auto &send : sends) {
-			const uint64_t attempt = send.relay.attempt;
+		restart(sidecars[index]);
+		for (auto &request : requests) {
+			const uint64_t attempt = request.fsm.attempt;
 
-			if (attempt != 0 && send.sidecar == index)
-				after(chance(2000) * kMs,
-				      [this, id = send.id, attempt] { lost(id, attempt, true); });
+			if (attempt != 0 && request.sidecar == index)
+				schedule_after(random_below(2000) * kUsPerMs,
+					       [this, id = request.id, attempt] {
+						       report_loss(id, attempt, true);
+					       });
 		}
 	}
 
 	// Callers.
 
-	void new_request(int content)
+	void schedule_requests(int content)
 	{
-		const int kind = chance(3);
+		const int kind = random_below(3);
 		const std::string key = kind == 0 ? "key-" + std::to_string(content) : "";
-		const int n_sends = key.empty() ? 1 : 1 + chance(3);
-
-		for (int i = 0; i < n_sends; i++)
-			after(i * chance(6000) * kMs,
-			      [this, content, key, kind] { send(content, key, kind == 2); });
-	}
-
-	void send(int content, const std::string &key, bool stream)
-	{
-		Send fresh;
-
-		fresh.id = static_cast<int>(sends.size());
-		fresh.key = key;
-		fresh.content = content;
-		fresh.stream = stream;
-		skh_request_fsm_init(&fresh.relay, stream, stream, now_us + kDeadlineUs);
-		sends.push_back(fresh);
-		const int id = fresh.id;
-		after(kDeadlineUs, [this, id] {
-			act(id, skh_request_fsm_on_deadline(&sends[static_cast<size_t>(id)].relay));
+		const int n_requests = key.empty() ? 1 : 1 + random_below(3);
+
+		for (int i = 0; i < n_requests; i++)
+			schedule_after(i * random_below(6000) * kUsPerMs,
+				       [this, content, key, kind] {
+					       submit_request(content, key, kind == 2);
+				       });
+	}
+
+	void submit_request(int content, const std::string &key, bool is_streaming)
+	{
+		Request request;
+
+		request.id = static_cast<int>(requests.size());
+		request.key = key;
+		request.content = content;
+		request.is_streaming = is_streaming;
+		skh_request_fsm_init(&request.fsm, is_streaming, is_streaming,
+				     now_us + kDeadlineUs);
+		requests.push_back(request);
+		const int id = request.id;
+		schedule_after(kDeadlineUs, [this, id] {
+			apply_action(id, skh_request_fsm_on_deadline(
+						 &requests[static_cast<size_t>(id)].fsm));
 		});
-		act(id, SKH_REQUEST_ACTION_DISPATCH);
+		apply_action(id, SKH_REQUEST_ACTION_DISPATCH);
 	}
 
-	Send &send_of(int id)
+	Request &request_of(int id)
 	{
-		return sends[static_cast<size_t>(id)];
+		return requests[static_cast<size_t>(id)];
 	}
 
-	// Entries: the relay's actions.
+	// Entries: actions of the state machine.
 
-	void act(int id, skh_request_action_t action)
+	void apply_action(int id, skh_request_action_t action)
 	{
-		Send &send = send_of(id);
+		Request &request = request_of(id);
 
-		if (send.told)
+		if (request.has_ended)
 			return;
 		if (action == SKH_REQUEST_ACTION_DISPATCH)
-			place(id);
+			dispatch(id);
 		else if (action == SKH_REQUEST_ACTION_FINISH)
-			tell(send, true, SKH_RUN_RAN);
+			finish_request(request, true, SKH_RUN_RAN);
 		else if (action == SKH_REQUEST_ACTION_FAIL)
-			tell(send, false, send.relay.error.run_state);
+			finish_request(request, false, request.fsm.error.run_state);
 	}
 
-	void tell(Send &send, bool whole, skh_run_state_t run)
+	void finish_request(Request &request, bool is_complete, skh_run_state_t run_state)
 	{
-		send.told = true;
-		send.whole = whole;
-		send.run = run;
-		answers_whole += whole;
-		told_not_run += !whole && run == SKH_RUN_NOT_RUN;
-		told_unknown += !whole && run == SKH_RUN_UNKNOWN;
+		request.has_ended = true;
+		request.is_complete = is_complete;
+		request.run_state = run_state;
+		n_complete += is_complete;
+		n_not_run += !is_complete && run_state == SKH_RUN_NOT_RUN;
+		n_unknown += !is_complete && run_state == SKH_RUN_UNKNOWN;
 	}
 
-	void place(int id)
+	void dispatch(int id)
 	{
-		Send &send = send_of(id);
+		Request &request = request_of(id);
 		const size_t index = random() % kSidecars;
 		const Sidecar &sidecar = sidecars[index];
 		Attempt attempt;
 
-		if (now_us >= send.relay.deadline_us) {
-			act(id, skh_request_fsm_on_deadline(&send.relay));
+		if (now_us >= request.fsm.deadline_us) {
+			apply_action(id, skh_request_fsm_on_deadline(&request.fsm));
 			return;
 		}
 		attempt.id = ++last_attempt;
-		attempt.send = id;
-		attempt.keyed = !send.key.empty();
-		attempt.key = send.key;
-		attempt.stream = send.stream;
-		attempt.content = send.content;
-		attempt.first_token = static_cast<int>(send.tokens.size());
-		/* The estimate of the sidecar's clock is early by up to the time in transit. */
-		attempt.start_before_us = clock_of(sidecar) - chance(3000) + 3 * kSecond;
-		send.attempts.insert(attempt.id);
-		send.sidecar = index;
-		send.kept.clear();
-		skh_request_fsm_on_sent(&send.relay, attempt.id);
+		attempt.request_id = id;
+		attempt.has_key = !request.key.empty();
+		attempt.key = request.key;
+		attempt.is_streaming = request.is_streaming;
+		attempt.content = request.content;
+		attempt.first_token = static_cast<int>(request.tokens.size());
+		/* The estimate of the sidecar's clock is behind by up to the time in transit. */
+		attempt.start_before_us = clock_us(sidecar) - random_below(3000) + 3 * kUsPerSecond;
+		request.attempts.insert(attempt.id);
+		request.sidecar = index;
+		request.body.clear();
+		skh_request_fsm_on_sent(&request.fsm, attempt.id);
 		attempt.incarnation = sidecar.incarnation;
-		hand_over(index, attempt);
-		after(2500 * kMs, [this, id, attempt] { ask(id, attempt); });
+		send_start(index, attempt);
+		schedule_after(2500 * kUsPerMs, [this, id, attempt] { ask_status(id, attempt); });
 	}
 
-	// A connection's bytes reach one process: a second copy can't reach its successor.
-	void hand_over(size_t index, const Attempt &attempt)
+	// A connection leads to one process, so a second copy can't reach a restarted process.
+	void send_start(size_t index, const Attempt &attempt)
 	{
-		auto arrived = std::make_shared<bool>(false);
+		auto has_arrived = std::make_shared<bool>(false);
 
-		carry([this, index, attempt, arrived] {
-			if (*arrived && sidecars[index].incarnation != attempt.incarnation)
+		deliver([this, index, attempt, has_arrived] {
+			if (*has_arrived && sidecars[index].incarnation != attempt.incarnation)
 				return;
-			*arrived = true;
-			arrive(index, attempt);
+			*has_arrived = true;
+			receive_start(index, attempt);
 		});
 	}
 
-	// The entry has heard nothing for a while.
-	void ask(int id, const Attempt &attempt)
+	// The entry has received no frame of the attempt for a while.
+	void ask_status(int id, const Attempt &attempt)
 	{
-		Send &send = send_of(id);
-		const size_t index = send.sidecar;
+		Request &request = request_of(id);
+		const size_t index = request.sidecar;
 
-		if (send.told || send.relay.attempt != attempt.id)
+		if (request.has_ended || request.fsm.attempt != attempt.id)
 			return;
-		after(2500 * kMs, [this, id, attempt] { ask(id, attempt); });
+		schedule_after(2500 * kUsPerMs, [this, id, attempt] { ask_status(id, attempt); });
 		if (sidecars[index].frozen_until_us > now_us) {
-			lost(id, attempt.id, false);
+			report_loss(id, attempt.id, false);
 			return;
 		}
-		carry([this, index, attempt] { answer_ask(index, attempt); });
+		deliver([this, index, attempt] { resolve_ask(index, attempt); });
 	}
 
-	void lost(int id, uint64_t attempt, bool certain)
+	void report_loss(int id, uint64_t attempt, bool is_replaced)
 	{
-		Send &send = send_of(id);
+		Request &request = request_of(id);
 
-		if (planted == Planted::kSilenceIsNotRun && !send.stream &&
-		    send.relay.attempt == attempt && !send.told) {
-			const skh_error_t err = error_of(SKH_NO_BACKEND);
+		if (injected_fault == InjectedFault::kSilenceTakenAsNotRun &&
+		    !request.is_streaming && request.fsm.attempt == attempt && !request.has_ended) {
+			const skh_error_t err = make_error(SKH_NO_BACKEND);
 
-			act(id, skh_request_fsm_on_rejected(&send.relay, attempt, &err));
+			apply_action(id, skh_request_fsm_on_rejected(&request.fsm, attempt, &err));
 			return;
 		}
-		act(id, skh_request_fsm_on_lost(&send.relay, attempt,
-						certain ? SKH_SIDECAR_LOSS_REPLACED
-							: SKH_SIDECAR_LOSS_SILENT));
+		apply_action(id, skh_request_fsm_on_lost(&request.fsm, attempt,
+							 is_replaced ? SKH_SIDECAR_LOSS_REPLACED
+								     : SKH_SIDECAR_LOSS_SILENT));
 	}
 
-	static skh_error_t error_of(skh_error_kind_t kind)
+	static skh_error_t make_error(skh_error_kind_t kind)
 	{
 		skh_error_t err;
 
@@ -349,7 +359,7 @@
 
 	// Sidecars.
 
-	void when_awake(size_t index, uint64_t incarnation, std::function<void()> action)
+	void run_when_awake(size_t index, uint64_t incarnation, std::function<void()> action)
 	{
 		if (sidecars[index].incarnation != incarnation)
 			return;
@@ -357,17 +367,18 @@
 			action();
 			return;
 		}
-		at(sidecars[index].frozen_until_us,
-		   [this, index, incarnation, action] { when_awake(index, incarnation, action); });
+		schedule_at(sidecars[index].frozen_until_us, [this, index, incarnation, action] {
+			run_when_awake(index, incarnation, action);
+		});
 	}
 
-	void arrive(size_t index, const Attempt &attempt)
+	void receive_start(size_t index, const Attempt &attempt)
 	{
-		when_awake(index, sidecars[index].incarnation,
-			   [this, index, attempt] { start(index, attempt); });
+		run_when_awake(index, sidecars[index].incarnation,
+			       [this, index, attempt] { admit(index, attempt); });
 	}
 
-	void start(size_t index, const Attempt &attempt)
+	void admit(size_t index, const Attempt &attempt)
 	{
 		Sidecar &sidecar = sidecars[index];
 		Skh__Start frame = SKH__START__INIT;
@@ -376,55 +387,59 @@
 		frame.attempt = attempt.id;
 		frame.incarnation = attempt.incarnation;
 		frame.start_before_us = attempt.start_before_us;
-		skh_gate_decision_t verdict =
-			skh_gate_admit(sidecar.gate.get(), &frame, clock_of(sidecar), &err);
-		const bool again = sidecar.attempts.count(attempt.id) > 0;
-		if (planted == Planted::kForgetful && verdict != SKH_GATE_DECISION_START &&
-		    verdict != SKH_GATE_DECISION_QUEUE && !again && !attempt.stream) {
-			if (verdict == SKH_GATE_DECISION_REJECT)
-				tell_refused(attempt, err);
+		skh_gate_decision_t decision =
+			skh_gate_admit(sidecar.gate.get(), &frame, clock_us(sidecar), &err);
+		const bool is_known = sidecar.attempts.count(attempt.id) > 0;
+		if (injected_fault == InjectedFault::kStartsRejectedAttempts &&
+		    decision != SKH_GATE_DECISION_START && decision != SKH_GATE_DECISION_QUEUE &&
+		    !is_known && !attempt.is_streaming) {
+			if (decision == SKH_GATE_DECISION_REJECT)
+				send_rejected(attempt, err);
 			execute(index, attempt);
 			return;
 		}
-		if (verdict == SKH_GATE_DECISION_REJECT)
-			tell_refused(attempt, err);
-		if (verdict == SKH_GATE_DECISION_START || verdict == SKH_GATE_DECISION_QUEUE)
+		if (decision == SKH_GATE_DECISION_REJECT)
+			send_rejected(attempt, err);
+		if (decision == SKH_GATE_DECISION_START || decision == SKH_GATE_DECISION_QUEUE)
 			sidecar.attempts[attempt.id] = attempt;
-		if (verdict == SKH_GATE_DECISION_START)
-			begin(index, attempt.id);
-		if (verdict == SKH_GATE_DECISION_QUEUE)
-			at(now_us + 4 * kSecond, [this, index, meant_for = attempt.incarnation] {
-				when_awake(index, meant_for, [this, index] { expire(index); });
-			});
+		if (decision == SKH_GATE_DECISION_START)
+			start_attempt(index, attempt.id);
+		if (decision == SKH_GATE_DECISION_QUEUE)
+			schedule_at(now_us + 4 * kUsPerSecond,
+				    [this, index, incarnation = attempt.incarnation] {
+					    run_when_awake(index, incarnation, [this, index] {
+						    expire_waiting(index);
+					    });
+				    });
 	}
 
-	void expire(size_t index)
+	void expire_waiting(size_t index)
 	{
 		Sidecar &sidecar = sidecars[index];
 		uint64_t id;
 
-		while ((id = skh_gate_expire_next(sidecar.gate.get(), clock_of(sidecar))) != 0) {
-			tell_refused(sidecar.attempts.at(id), error_of(SKH_OVERLOADED));
+		while ((id = skh_gate_expire_next(sidecar.gate.get(), clock_us(sidecar))) != 0) {
+			send_rejected(sidecar.attempts.at(id), make_error(SKH_OVERLOADED));
 			sidecar.attempts.erase(id);
 		}
 	}
 
-	void begin(size_t index, uint64_t id)
+	void start_attempt(size_t index, uint64_t id)
 	{
 		Sidecar &sidecar = sidecars[index];
 		Attempt &attempt = sidecar.attempts.at(id);
 		const uint64_t incarnation = sidecar.incarnation;
 
-		if (!attempt.keyed || planted == Planted::kNoClaims) {
+		if (!attempt.has_key || injected_fault == InjectedFault::kNoClaims) {
 			execute(index, attempt);
 			return;
 		}
 		attempt.owner = std::to_string(incarnation) + "-" + std::to_string(id);
-		claim(index, id, 0);
+		write_claim(index, id, 0);
 	}
 
-	std::string record_text(const Attempt &attempt, skh_claim_state_t state,
-				const std::string &answer)
+	std::string encode_claim(const Attempt &attempt, skh_claim_state_t state,
+				 const std::string &response)
 	{
 		skh_claim_t claim = {};
 
@@ -433,7 +448,7 @@
 		claim.body_hash = static_cast<uint64_t>(attempt.content);
 		claim.content_type = g_strdup("");
 		claim.has_response = state == SKH_CLAIM_DONE;
-		skh_buffer_append_string(&claim.response, answer.c_str());
+		skh_buffer_append_string(&claim.response, response.c_str());
 		char *text = skh_claim_encode(&claim);
 		std::string copy = text;
 		g_free(text);
@@ -441,7 +456,8 @@
 		return copy;
 	}
 
-	skh_write_t write_record(const Attempt &attempt, const std::string &text, int64_t expected)
+	skh_write_t submit_claim_write(const Attempt &attempt, const std::string &text,
+				       int64_t expected)
 	{
 		skh_write_t write = {};
 
@@ -454,46 +470,48 @@
 		return write;
 	}
 
-	void claim(size_t index, uint64_t id, int64_t expected)
+	void write_claim(size_t index, uint64_t id, int64_t expected)
 	{
 		const uint64_t incarnation = sidecars[index].incarnation;
 		const Attempt attempt = sidecars[index].attempts.at(id);
-		const skh_write_t write = write_record(
-			attempt, record_text(attempt, SKH_CLAIM_CLAIMED, ""), expected);
+		const skh_write_t write = submit_claim_write(
+			attempt, encode_claim(attempt, SKH_CLAIM_CLAIMED, ""), expected);
 
-		/* The sidecar may die or freeze between the write and learning of it. */
-		after(chance(40) * kMs, [this, index, id, incarnation, write] {
-			when_awake(index, incarnation,
-				   [this, index, id, write] { claimed(index, id, write); });
+		/* The sidecar may crash or stall between the write and its result. */
+		schedule_after(random_below(40) * kUsPerMs, [this, index, id, incarnation, write] {
+			run_when_awake(index, incarnation, [this, index, id, write] {
+				on_claim_written(index, id, write);
+			});
 			if (sidecars[index].incarnation != incarnation)
 				g_free(write.found_value);
 		});
 	}
 
-	void claimed(size_t index, uint64_t id, const skh_write_t &write)
+	void on_claim_written(size_t index, uint64_t id, const skh_write_t &write)
 	{
 		Sidecar &sidecar = sidecars[index];
 		Attempt &attempt = sidecar.attempts.at(id);
 
 		if (write.state == SKH_WRITE_FAILED) {
-			refuse(index, id, SKH_STORE_UNAVAILABLE);
+			reject(index, id, SKH_STORE_UNAVAILABLE);
 		} else if (write.state == SKH_WRITE_CONFLICT) {
 			const std::string found = write.found_value ? write.found_value : "";
 
 			g_free(write.found_value);
-			conflict(index, id, found, write.mod_revision);
+			on_claim_conflict(index, id, found, write.mod_revision);
 		} else {
 			attempt.claim_revision = write.mod_revision;
-			if (clock_of(sidecar) >= attempt.start_before_us) {
-				release(attempt);
-				refuse(index, id, SKH_STALE);
+			if (clock_us(sidecar) >= attempt.start_before_us) {
+				release_claim(attempt);
+				reject(index, id, SKH_STALE);
 			} else {
 				execute(index, attempt);
 			}
 		}
 	}
 
-	void conflict(size_t index, uint64_t id, const std::string &text, int64_t mod_revision)
+	void on_claim_conflict(size_t index, uint64_t id, const std::string &text,
+			       int64_t mod_revision)
 	{
 		Attempt &attempt = sidecars[index].attempts.at(id);
 		skh_claim_t found = {};
@@ -503,125 +521,131 @@
 		switch (skh_claim_decide(&found, attempt.owner.c_str(),
 					 static_cast<uint64_t>(attempt.content))) {
 		case SKH_CLAIM_DECISION_REPLAY:
-			tell_piece(attempt, skh_buffer_text(&found.response), 0);
-			end(index, id, SKH_OK);
+			send_data(attempt, skh_buffer_text(&found.response), 0);
+			end_attempt(index, id, SKH_OK);
 			break;
 		case SKH_CLAIM_DECISION_REPLACE:
-			claim(index, id, mod_revision);
+			write_claim(index, id, mod_revision);
 			break;
 		default:
-			end(index, id, SKH_OUTCOME_UNKNOWN);
+			end_attempt(index, id, SKH_OUTCOME_UNKNOWN);
 			break;
 		}
 		skh_claim_clear(&found);
 	}
 
-	void release(const Attempt &attempt)
+	void release_claim(const Attempt &attempt)
 	{
 		const skh_write_t write =
-			write_record(attempt, record_text(attempt, SKH_CLAIM_NOT_RUN, ""),
-				     attempt.claim_revision);
+			submit_claim_write(attempt, encode_claim(attempt, SKH_CLAIM_NOT_RUN, ""),
+					   attempt.claim_revision);
 
 		g_free(write.found_value);
 	}
 
-	void refuse(size_t index, uint64_t id, skh_error_kind_t kind)
+	void reject(size_t index, uint64_t id, skh_error_kind_t kind)
 	{
 		Sidecar &sidecar = sidecars[index];
 
-		tell_refused(sidecar.attempts.at(id), error_of(kind));
-		leave(index, id, false);
+		send_rejected(sidecar.attempts.at(id), make_error(kind));
+		remove_attempt(index, id, false);
 	}
 
-	void leave(size_t index, uint64_t id, bool started)
+	void remove_attempt(size_t index, uint64_t id, bool started)
 	{
 		Sidecar &sidecar = sidecars[index];
 		uint64_t next;
 
 		skh_gate_finish(sidecar.gate.get(), id, started);
 		sidecar.attempts.erase(id);
-		while ((next = skh_gate_start_next(sidecar.gate.get(), clock_of(sidecar))) != 0)
-			begin(index, next);
+		while ((next = skh_gate_start_next(sidecar.gate.get(), clock_us(sidecar))) != 0)
+			start_attempt(index, next);
 	}
 
-	// The backend server: what it does happens, whoever still listens.
+	// The backend server: a request runs even when its sidecar or entry is lost.
 	void execute(size_t index, const Attempt &attempt)
 	{
 		const uint64_t incarnation = sidecars[index].incarnation;
-		const std::string answer = "sold-" + std::to_string(ledger.size());
-		const bool hang_up = hang_ups > 0 && chance(2) == 0;
+		const std::string response = "sold-" + std::to_string(runs.size());
+		const bool hang_up = n_hang_ups > 0 && random_below(2) == 0;
 
-		hang_ups -= hang_up;
-		tell_started(attempt);
-		if (attempt.stream) {
-			stream(index, attempt, attempt.first_token, incarnation, hang_up);
+		n_hang_ups -= hang_up;
+		send_started(attempt);
+		if (attempt.is_streaming) {
+			schedule_token(index, attempt, attempt.first_token, incarnation, hang_up);
 			return;
 		}
-		ledger.push_back({ attempt.id, attempt.send, attempt.key, answer });
-		after(chance(3000) * kMs, [this, index, attempt, incarnation, answer, hang_up] {
-			when_awake(index, incarnation, [this, index, attempt, answer, hang_up] {
-				executed(index, attempt, answer, hang_up);
-			});
+		runs.push_back({ attempt.id, attempt.request_id, attempt.key, response });
+		schedule_after(random_below(3000) * kUsPerMs, [this, index, attempt, incarnation,
+							       response, hang_up] {
+			run_when_awake(index, incarnation,
+				       [this, index, attempt, response, hang_up] {
+					       on_executed(index, attempt, response, hang_up);
+				       });
 		});
 	}
 
-	void executed(size_t index, const Attempt &attempt, const std::string &answer, bool hang_up)
+	void on_executed(size_t index, const Attempt &attempt, const std::string &response,
+			 bool hang_up)
 	{
 		if (sidecars[index].attempts.count(attempt.id) == 0)
 			return;
 		if (hang_up) {
-			end(index, attempt.id, SKH_BACKEND_FAILED);
+			end_attempt(index, attempt.id, SKH_BACKEND_FAILED);
 			return;
 		}
-		tell_piece(attempt, answer, 0);
-		if (attempt.keyed && planted != Planted::kNoClaims) {
-			const skh_write_t write =
-				write_record(attempt, record_text(attempt, SKH_CLAIM_DONE, answer),
-					     attempt.claim_revision);
+		send_data(attempt, response, 0);
+		if (attempt.has_key && injected_fault != InjectedFault::kNoClaims) {
+			const skh_write_t write = submit_claim_write(
+				attempt, encode_claim(attempt, SKH_CLAIM_DONE, response),
+				attempt.claim_revision);
 
 			g_free(write.found_value);
 		}
-		end(index, attempt.id, SKH_OK);
+		end_attempt(index, attempt.id, SKH_OK);
 	}
 
-	void stream(size_t index, const Attempt &attempt, int token, uint64_t incarnation,
-		    bool hang_up)
+	void schedule_token(size_t index, const Attempt &attempt, int token, uint64_t incarnation,
+			    bool hang_up)
 	{
-		after(chance(800) * kMs, [this, index, attempt, token, incarnation, hang_up] {
-			when_awake(index, incarnation,
-				   [this, index, attempt, token, incarnation, hang_up] {
-					   next_token(index, attempt, token, incarnation, hang_up);
-				   });
+		schedule_after(random_below(800) * kUsPerMs, [this, index, attempt, token,
+							      incarnation, hang_up] {
+			run_when_awake(index, incarnation,
+				       [this, index, attempt, token, incarnation, hang_up] {
+					       emit_token(index, attempt, token, incarnation,
+							  hang_up);
+				       });
 		});
 	}
 
-	void next_token(size_t index, const Attempt &attempt, int token, uint64_t incarnation,
+	void emit_token(size_t index, const Attempt &attempt, int token, uint64_t incarnation,
 			bool hang_up)
 	{
 		if (sidecars[index].attempts.count(attempt.id) == 0)
 			return;
-		if (token == kTokens || (hang_up && token == kTokens / 2)) {
-			end(index, attempt.id, token == kTokens ? SKH_OK : SKH_BACKEND_FAILED);
+		if (token == kStreamTokens || (hang_up && token == kStreamTokens / 2)) {
+			end_attempt(index, attempt.id,
+				    token == kStreamTokens ? SKH_OK : SKH_BACKEND_FAILED);
 			return;
 		}
-		tell_piece(attempt, std::to_string(token), 1);
-		stream(index, attempt, token + 1, incarnation, hang_up);
+		send_data(attempt, std::to_string(token), 1);
+		schedule_token(index, attempt, token + 1, incarnation, hang_up);
 	}
 
-	void answer_ask(size_t index, const Attempt &attempt)
+	void resolve_ask(size_t index, const Attempt &attempt)
 	{
-		when_awake(index, sidecars[index].incarnation, [this, index, attempt] {
+		run_when_awake(index, sidecars[index].incarnation, [this, index, attempt] {
 			Sidecar &sidecar = sidecars[index];
 
 			switch (skh_gate_resolve(sidecar.gate.get(), attempt.id,
 						 attempt.incarnation, attempt.start_before_us,
-						 clock_of(sidecar))) {
+						 clock_us(sidecar))) {
 			case SKH_ATTEMPT_STATUS_REJECTED:
-				tell_refused(attempt, error_of(SKH_STALE));
+				send_rejected(attempt, make_error(SKH_STALE));
 				break;
 			case SKH_ATTEMPT_STATUS_ENDED:
 			case SKH_ATTEMPT_STATUS_UNKNOWN:
-				tell_end(attempt, 0, SKH_OUTCOME_UNKNOWN);
+				send_end(attempt, 0, SKH_OUTCOME_UNKNOWN);
 				break;
 			default:
 				break;
@@ -631,166 +655,177 @@
 
 	// Frames to entries.
 
-	void tell_refused(const Attempt &attempt, const skh_error_t &err)
+	void send_rejected(const Attempt &attempt, const skh_error_t &err)
 	{
-		carry([this, attempt, err] {
-			act(attempt.send, skh_request_fsm_on_rejected(&send_of(attempt.send).relay,
-								      attempt.id, &err));
+		deliver([this, attempt, err] {
+			apply_action(
+				attempt.request_id,
+				skh_request_fsm_on_rejected(&request_of(attempt.request_id).fsm,
+							    attempt.id, &err));
 		});
 	}
 
-	void tell_started(const Attempt &attempt)
+	void send_started(const Attempt &attempt)
 	{
-		carry([this, attempt] {
-			(void)skh_request_fsm_on_started(&send_of(attempt.send).relay, attempt.id);
+		deliver([this, attempt] {
+			(void)skh_request_fsm_on_started(&request_of(attempt.request_id).fsm,
+							 attempt.id);
 		});
 	}
 
-	void tell_piece(const Attempt &attempt, const std::string &bytes, uint32_t events)
+	void send_data(const Attempt &attempt, const std::string &bytes, uint32_t events)
 	{
 		for (auto &sidecar : sidecars) {
 			auto found = sidecar.attempts.find(attempt.id);
 
 			if (found != sidecar.attempts.end())
-				piece(attempt, found->second.pieces++, bytes, events);
+				deliver_data(attempt, found->second.n_data_frames++, bytes, events);
 		}
 	}
 
-	void piece(const Attempt &attempt, uint64_t seq, const std::string &bytes, uint32_t events)
+	void deliver_data(const Attempt &attempt, uint64_t seq, const std::string &bytes,
+			  uint32_t events)
 	{
-		carry([this, attempt, seq, bytes, events] {
-			Send &send = send_of(attempt.send);
-			uint64_t id = attempt.id;
-			uint64_t number = seq;
+		deliver([this, attempt, seq, bytes, events] {
+			Request &request = request_of(attempt.request_id);
+			uint64_t attempt_id = attempt.id;
+			uint64_t frame_seq = seq;
 
-			if (send.told)
+			if (request.has_ended)
 				return;
-			if (planted == Planted::kOldPieces) {
-				id = send.relay.attempt;
-				number = send.relay.next_seq;
+			if (injected_fault == InjectedFault::kAcceptsOldDataFrames) {
+				attempt_id = request.fsm.attempt;
+				frame_seq = request.fsm.next_seq;
 			}
-			const skh_request_action_t action =
-				skh_request_fsm_on_data(&send.relay, id, number, events);
-			if (action == SKH_REQUEST_ACTION_FORWARD && send.stream)
-				send.tokens.push_back(std::stoi(bytes));
+			const skh_request_action_t action = skh_request_fsm_on_data(
+				&request.fsm, attempt_id, frame_seq, events);
+			if (action == SKH_REQUEST_ACTION_FORWARD && request.is_streaming)
+				request.tokens.push_back(std::stoi(bytes));
 			else if (action == SKH_REQUEST_ACTION_FORWARD)
-				send.kept += bytes;
-			act(attempt.send, action);
+				request.body += bytes;
+			apply_action(attempt.request_id, action);
 		});
 	}
 
-	void tell_end(const Attempt &attempt, uint64_t pieces, skh_error_kind_t kind)
+	void send_end(const Attempt &attempt, uint64_t n_data_frames, skh_error_kind_t kind)
 	{
-		carry([this, attempt, pieces, kind] {
-			const skh_error_t err = error_of(kind);
+		deliver([this, attempt, n_data_frames, kind] {
+			const skh_error_t err = make_error(kind);
 
-			act(attempt.send,
-			    skh_request_fsm_on_end(&send_of(attempt.send).relay, attempt.id, pieces,
-						   kind == SKH_OK ? nullptr : &err));
+			apply_action(attempt.request_id,
+				     skh_request_fsm_on_end(&request_of(attempt.request_id).fsm,
+							    attempt.id, n_data_frames,
+							    kind == SKH_OK ? nullptr : &err));
 		});
 	}
 
-	void end(size_t index, uint64_t id, skh_error_kind_t kind)
+	void end_attempt(size_t index, uint64_t id, skh_error_kind_t kind)
 	{
 		const Attempt attempt = sidecars[index].attempts.at(id);
 
-		tell_end(attempt, attempt.pieces, kind);
-		leave(index, id, true);
+		send_end(attempt, attempt.n_data_frames, kind);
+		remove_attempt(index, id, true);
 	}
 
 	// The check.
 
-	std::string judge()
+	std::string check_history()
 	{
 		std::map<std::string, int> runs_of_key;
-		std::map<int, int> runs_of_send;
-		std::map<std::string, std::string> answers;
-
-		for (const auto &ran : ledger) {
-			runs_of_send[ran.send]++;
-			if (!ran.key.empty() && ++runs_of_key[ran.key] > 1)
-				return "key " + ran.key + " ran twice";
-			if (runs_of_send[ran.send] > 1)
-				return "send " + std::to_string(ran.send) + " ran twice";
-			answers[ran.key.empty() ? std::to_string(ran.send) : ran.key] = ran.answer;
+		std::map<int, int> runs_of_request;
+		std::map<std::string, std::string> responses;
+
+		for (const auto &run : runs) {
+			runs_of_request[run.request_id]++;
+			if (!run.key.empty() && ++runs_of_key[run.key] > 1)
+				return "key " + run.key + " ran twice";
+			if (runs_of_request[run.request_id] > 1)
+				return "request " + std::to_string(run.request_id) + " ran twice";
+			responses[run.key.empty() ? std::to_string(run.request_id) : run.key] =
+				run.response;
 		}
-		for (const auto &send : sends) {
-			const std::string name = "send " + std::to_string(send.id);
-
-			if (!send.told)
-				return name + " was told nothing";
-			if (send.run == SKH_RUN_NOT_RUN && !send.whole && runs_of_send[send.id] > 0)
-				return name + " was told not run and ran";
-			if (send.whole && send.stream && !is_whole_stream(send))
-				return name + " got a stream that is not whole";
-			if (send.whole && !send.stream &&
-			    send.kept !=
-				    answers[send.key.empty() ? std::to_string(send.id) : send.key])
-				return name + " got an answer that is not its own";
+		for (const auto &request : requests) {
+			const std::string name = "request " + std::to_string(request.id);
+
+			if (!request.has_ended)
+				return name + " has no result";
+			if (request.run_state == SKH_RUN_NOT_RUN && !request.is_complete &&
+			    runs_of_request[request.id] > 0)
+				return name + " was reported as not run but ran";
+			if (request.is_complete && request.is_streaming &&
+			    !is_complete_stream(request))
+				return name + " got an incomplete stream";
+			if (request.is_complete && !request.is_streaming &&
+			    request.body !=
+				    responses[request.key.empty() ? std::to_string(request.id)
+								  : request.key])
+				return name + " got the response of another request";
 		}
 		return "";
 	}
 
-	static bool is_whole_stream(const Send &send)
+	static bool is_complete_stream(const Request &request)
 	{
-		for (size_t i = 0; i < send.tokens.size(); i++) {
-			if (send.tokens[i] != static_cast<int>(i))
+		for (size_t i = 0; i < request.tokens.size(); i++) {
+			if (request.tokens[i] != static_cast<int>(i))
 				return false;
 		}
-		return send.tokens.size() == kTokens;
+		return request.tokens.size() == kStreamTokens;
 	}
 
 	std::mt19937 random;
-	Planted planted;
+	InjectedFault injected_fault;
 	int64_t now_us = 0;
-	int handled = 0;
+	int n_handled = 0;
 	std::multimap<int64_t, std::function<void()>> events;
 	std::array<Sidecar, kSidecars> sidecars;
-	std::vector<Send> sends;
-	std::vector<Ran> ledger;
+	std::vector<Request> requests;
+	std::vector<Run> runs;
 	FakeStore store;
 	uint64_t last_incarnation = 0;
 	uint64_t last_attempt = 0;
-	int hang_ups = 0;
+	int n_hang_ups = 0;
 };
 
 const uint32_t kSeeds = seeds_or(600);
 
 TEST(History, NothingIsFoundInRunsWithEveryFault)
 {
-	int whole = 0;
-	int not_run = 0;
-	int unknown = 0;
+	int n_complete = 0;
+	int n_not_run = 0;
+	int n_unknown = 0;
 
 	for (uint32_t seed = 1; seed <= kSeeds; seed++) {
-		World world(seed, Planted::kNothing);
-
-		ASSERT_EQ(world.run(), "") << "seed " << seed;
-		whole += world.answers_whole;
-		not_run += world.told_not_run;
-		unknown += world.told_unknown;
-	}
-	/* All outcomes must have come up, or the check had nothing to check. */
-	EXPECT_GT(whole, 1000);
-	EXPECT_GT(not_run, 50);
-	EXPECT_GT(unknown, 50);
-	RecordProperty("whole", whole);
-	RecordProperty("not_run", not_run);
-	RecordProperty("unknown", unknown);
-	std::cout << whole << " whole, " << not_run << " not run, " << unknown << " unknown\n";
+		Simulation simulation(seed, InjectedFault::kNone);
+
+		ASSERT_EQ(simulation.run(), "") << "seed " << seed;
+		n_complete += simulation.n_complete;
+		n_not_run += simulation.n_not_run;
+		n_unknown += simulation.n_unknown;
+	}
+	/* Without enough of each outcome the check proves nothing. */
+	EXPECT_GT(n_complete, 1000);
+	EXPECT_GT(n_not_run, 50);
+	EXPECT_GT(n_unknown, 50);
+	RecordProperty("whole", n_complete);
+	RecordProperty("not_run", n_not_run);
+	RecordProperty("unknown", n_unknown);
+	std::cout << n_complete << " whole, " << n_not_run << " not run, " << n_unknown
+		  << " unknown\n";
 }
 
-TEST(History, EachPlantedFaultIsFound)
+TEST(History, EachInjectedFaultIsDetected)
 {
-	for (Planted planted : { Planted::kNoClaims, Planted::kForgetful, Planted::kSilenceIsNotRun,
-				 Planted::kOldPieces }) {
-		int found = 0;
+	for (InjectedFault injected_fault :
+	     { InjectedFault::kNoClaims, InjectedFault::kStartsRejectedAttempts,
+	       InjectedFault::kSilenceTakenAsNotRun, InjectedFault::kAcceptsOldDataFrames }) {
+		int n_detected = 0;
 
 		for (uint32_t seed = 1; seed <= kSeeds; seed++)
-			found += !World(seed, planted).run().empty();
-		EXPECT_GT(found, 0) << "planted fault " << static_cast<int>(planted);
-		std::cout << "planted fault " << static_cast<int>(planted) << ": found in " << found
-			  << " of " << kSeeds << " runs\n";
+			n_detected += !Simulation(seed, injected_fault).run().empty();
+		EXPECT_GT(n_detected, 0) << "injected fault " << static_cast<int>(injected_fault);
+		std::cout << "injected fault " << static_cast<int>(injected_fault) << ": found in "
+			  << n_detected << " of " << kSeeds << " runs\n";
 	}
 }
 
