--- a/src/gate.h
+++ b/src/gate.h
@@ -55,6 +55,8 @@
  * @incarnation: random id of this sidecar process
  */
 skh_gate_t *skh_gate_new(uint32_t capacity, uint32_t queue_limit, uint64_t incarnation);
+
+/** skh_gate_free() - free @gate with all records */
 void skh_gate_free(skh_gate_t *gate);
 
 /**
@@ -134,6 +136,7 @@
 /** skh_gate_open() - admit attempts, unless leaving */
 void skh_gate_open(skh_gate_t *gate);
 
+/** skh_gate_phase() - starting, ready or leaving; reported to entries */
 skh_phase_t skh_gate_phase(const skh_gate_t *gate);
 
 /** skh_gate_running() - number of attempts that run */
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -22,7 +22,7 @@
  * @body: receives the response body, appended; also that of an error response
  * @err: set on failure: SKH_NO_BACKEND when the transfer failed, SKH_BACKEND_FAILED when
  *       the status is not 200
- * Return: true when the whole response was received with status 200.
+ * Return: true when the complete response was received with status 200.
  */
 bool skh_http_client_get(const char *address, const char *path, skh_buffer_t *body,
 			 skh_error_t *err);
--- a/src/link.c
+++ b/src/link.c
@@ -203,7 +203,7 @@
 		record_peer_frame(link, peer, frame, skh_clock_now_us());
 	if (attempt != 0)
 		pending = g_hash_table_lookup(link->pending_attempts, &attempt);
-	/* Frames of an attempt are accepted from the sidecar that it was sent to only. */
+	/* Frames of an attempt are accepted only from the sidecar that it was sent to. */
 	if (pending && pending->peer == peer) {
 		skh_attempt_event_t *event =
 			skh_attempt_event_new(SKH_ATTEMPT_EVENT_FRAME, attempt);
--- a/src/serve.c
+++ b/src/serve.c
@@ -49,7 +49,7 @@
 {
 	int64_t remaining_us = request->deadline_us - now_us;
 
-	/* The sidecar rejects an attempt that is still queued by then, in time for another one. */
+	/* Half of the remaining time: a rejected attempt leaves time for a retry elsewhere. */
 	return MIN(now_us + MAX(remaining_us / 2, MIN_START_WINDOW_US), request->deadline_us);
 }
 
@@ -66,7 +66,7 @@
 	serving->query.n_tried++;
 }
 
-/* No server has free capacity: the ones that said so become eligible again and may queue. */
+/* No server has free capacity: those that rejected the request are eligible again to queue it. */
 static void allow_queueing(serving_t *serving)
 {
 	size_t n_kept = 0;
