--- a/src/leader.c
+++ b/src/leader.c
@@ -121,7 +121,7 @@
 {
 	g_mutex_lock(&leader->lock);
 	if (fence != 0 && leader->view.fence != fence)
-		skh_log(SKH_LOG_INFO, PART, "This sidecar became the leader of its group.",
+		skh_log(SKH_LOG_INFO, PART, "This sidecar leads its group.",
 			"group=%s fence=%" PRIu64, leader->settings->backend_group, fence);
 	leader->view.fence = fence;
 	leader->view.lease_deadline_us = lease_deadline_us;
