--- a/bench/naive_balance.c
+++ b/bench/naive_balance.c
@@ -3,39 +3,39 @@
 #include <glib.h>
 #include <string.h>
 
-typedef struct piece {
+typedef struct replica {
 	uint32_t expert;
 	double load;
-} piece_t;
+} replica_t;
 
-static int by_load(const void *a, const void *b)
+static int compare_load_descending(const void *a, const void *b)
 {
-	double left = ((const piece_t *)a)->load;
-	double right = ((const piece_t *)b)->load;
+	double left = ((const replica_t *)a)->load;
+	double right = ((const replica_t *)b)->load;
 
 	return (left < right) - (left > right);
 }
 
-/* Every further replica goes to the expert with the greatest load for each replica. */
-static void choose_replicas(const skh_rebalance_input_t *view, uint32_t *replicas)
+/* Gives each remaining slot to the expert with the highest load per replica. */
+static void compute_replica_counts(const skh_rebalance_input_t *input, uint32_t *replica_counts)
 {
-	uint32_t left = view->n_ranks * view->n_slots - view->n_experts;
+	uint32_t n_remaining = input->n_ranks * input->n_slots - input->n_experts;
 
-	for (uint32_t i = 0; i < view->n_experts; i++)
-		replicas[i] = 1;
-	while (left-- > 0) {
-		uint32_t best = 0;
+	for (uint32_t i = 0; i < input->n_experts; i++)
+		replica_counts[i] = 1;
+	while (n_remaining-- > 0) {
+		uint32_t busiest = 0;
 
-		for (uint32_t i = 1; i < view->n_experts; i++) {
-			if (view->forecast_shares[i] / replicas[i] >
-			    view->forecast_shares[best] / replicas[best])
-				best = i;
+		for (uint32_t i = 1; i < input->n_experts; i++) {
+			if (input->forecast_shares[i] / replica_counts[i] >
+			    input->forecast_shares[busiest] / replica_counts[busiest])
+				busiest = i;
 		}
-		replicas[best]++;
+		replica_counts[busiest]++;
 	}
 }
 
-static bool row_holds(const uint32_t *row, uint32_t n, uint32_t expert)
+static bool row_has_expert(const uint32_t *row, uint32_t n, uint32_t expert)
 {
 	for (uint32_t i = 0; i < n; i++) {
 		if (row[i] == expert)
@@ -44,63 +44,73 @@
 	return false;
 }
 
-/* The heaviest piece goes to the emptiest rank with room that does not hold it. */
-static void pack(const skh_rebalance_input_t *view, const piece_t *pieces, uint32_t n,
-		 uint32_t *rows)
+/*
+ * Places each replica, heaviest first, on the least loaded rank that has a free slot
+ * and no replica of the same expert; if all such ranks have one, on the least loaded rank.
+ */
+static void place_replicas(const skh_rebalance_input_t *input, const replica_t *replicas,
+			   uint32_t n_replicas, uint32_t *rows)
 {
-	g_autofree double *load = g_new0(double, view->n_ranks);
-	g_autofree uint32_t *used = g_new0(uint32_t, view->n_ranks);
+	g_autofree double *rank_loads = g_new0(double, input->n_ranks);
+	g_autofree uint32_t *used_slots = g_new0(uint32_t, input->n_ranks);
 
-	for (uint32_t i = 0; i < n; i++) {
+	for (uint32_t i = 0; i < n_replicas; i++) {
 		uint32_t best = UINT32_MAX;
 		uint32_t fallback = UINT32_MAX;
 
-		for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
-			if (used[rank] == view->n_slots)
+		for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
+			if (used_slots[rank] == input->n_slots)
 				continue;
-			if (fallback == UINT32_MAX || load[rank] < load[fallback])
+			if (fallback == UINT32_MAX || rank_loads[rank] < rank_loads[fallback])
 				fallback = rank;
-			if (row_holds(&rows[rank * view->n_slots], used[rank], pieces[i].expert))
+			if (row_has_expert(&rows[rank * input->n_slots], used_slots[rank],
+					   replicas[i].expert))
 				continue;
-			if (best == UINT32_MAX || load[rank] < load[best])
+			if (best == UINT32_MAX || rank_loads[rank] < rank_loads[best])
 				best = rank;
 		}
 		if (best == UINT32_MAX)
 			best = fallback;
-		rows[best * view->n_slots + used[best]++] = pieces[i].expert;
-		load[best] += pieces[i].load;
+		rows[best * input->n_slots + used_slots[best]++] = replicas[i].expert;
+		rank_loads[best] += replicas[i].load;
 	}
 }
 
-static uint32_t overlap(const skh_rebalance_input_t *view, const uint32_t *old, const uint32_t *row)
+static uint32_t count_shared_experts(const skh_rebalance_input_t *input, const uint32_t *old_row,
+				     const uint32_t *row)
 {
-	uint32_t n = 0;
+	uint32_t n_shared = 0;
 
-	for (uint32_t i = 0; i < view->n_slots; i++)
-		n += row_holds(old, view->n_slots, row[i]);
-	return n;
+	for (uint32_t i = 0; i < input->n_slots; i++)
+		n_shared += row_has_expert(old_row, input->n_slots, row[i]);
+	return n_shared;
 }
 
-/* Gives each old rank the new row that shares most with it, best pairs first. */
-static void relabel(const skh_rebalance_input_t *view, const uint32_t *rows, uint32_t *placement)
+/*
+ * Assigns each row to the rank that shares the most experts with it, best pairs first,
+ * so that few experts are copied.
+ */
+static void match_rows_to_ranks(const skh_rebalance_input_t *input, const uint32_t *rows,
+				uint32_t *placement)
 {
-	g_autofree bool *row_used = g_new0(bool, view->n_ranks);
-	g_autofree bool *rank_used = g_new0(bool, view->n_ranks);
-	size_t row_bytes = view->n_slots * sizeof(uint32_t);
+	g_autofree bool *is_row_used = g_new0(bool, input->n_ranks);
+	g_autofree bool *is_rank_used = g_new0(bool, input->n_ranks);
+	size_t row_bytes = input->n_slots * sizeof(uint32_t);
 
-	for (uint32_t n = 0; n < view->n_ranks; n++) {
+	for (uint32_t n = 0; n < input->n_ranks; n++) {
 		uint32_t best_rank = 0;
 		uint32_t best_row = 0;
 		int64_t best = -1;
 
-		for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
-			for (uint32_t row = 0; !rank_used[rank] && row < view->n_ranks; row++) {
+		for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
+			for (uint32_t row = 0; !is_rank_used[rank] && row < input->n_ranks; row++) {
 				int64_t shared;
 
-				if (row_used[row])
+				if (is_row_used[row])
 					continue;
-				shared = overlap(view, &view->placement[rank * view->n_slots],
-						 &rows[row * view->n_slots]);
+				shared = count_shared_experts(
+					input, &input->placement[rank * input->n_slots],
+					&rows[row * input->n_slots]);
 				if (shared > best) {
 					best = shared;
 					best_rank = rank;
@@ -108,39 +118,41 @@
 				}
 			}
 		}
-		rank_used[best_rank] = true;
-		row_used[best_row] = true;
-		memcpy(&placement[best_rank * view->n_slots], &rows[best_row * view->n_slots],
+		is_rank_used[best_rank] = true;
+		is_row_used[best_row] = true;
+		memcpy(&placement[best_rank * input->n_slots], &rows[best_row * input->n_slots],
 		       row_bytes);
 	}
 }
 
-uint32_t naive_count_loads(const skh_rebalance_input_t *view, const uint32_t *before,
+uint32_t naive_count_loads(const skh_rebalance_input_t *input, const uint32_t *before,
 			   const uint32_t *after)
 {
-	uint32_t loads = 0;
+	uint32_t n_copies = 0;
 
-	for (uint32_t rank = 0; rank < view->n_ranks; rank++)
-		loads += view->n_slots -
-			 overlap(view, &before[rank * view->n_slots], &after[rank * view->n_slots]);
-	return loads;
+	for (uint32_t rank = 0; rank < input->n_ranks; rank++)
+		n_copies +=
+			input->n_slots - count_shared_experts(input, &before[rank * input->n_slots],
+							      &after[rank * input->n_slots]);
+	return n_copies;
 }
 
-uint32_t naive_balance(const skh_rebalance_input_t *view, uint32_t *placement)
+uint32_t naive_balance(const skh_rebalance_input_t *input, uint32_t *placement)
 {
-	uint32_t n_slots = view->n_ranks * view->n_slots;
-	g_autofree uint32_t *replicas = g_new(uint32_t, view->n_experts);
-	g_autofree piece_t *pieces = g_new(piece_t, n_slots);
-	g_autofree uint32_t *rows = g_new0(uint32_t, n_slots);
-	uint32_t n = 0;
-
-	choose_replicas(view, replicas);
-	for (uint32_t i = 0; i < view->n_experts; i++) {
-		for (uint32_t k = 0; k < replicas[i]; k++)
-			pieces[n++] = (piece_t){ i, view->forecast_shares[i] / replicas[i] };
+	uint32_t n_total_slots = input->n_ranks * input->n_slots;
+	g_autofree uint32_t *replica_counts = g_new(uint32_t, input->n_experts);
+	g_autofree replica_t *replicas = g_new(replica_t, n_total_slots);
+	g_autofree uint32_t *rows = g_new0(uint32_t, n_total_slots);
+	uint32_t n_replicas = 0;
+
+	compute_replica_counts(input, replica_counts);
+	for (uint32_t i = 0; i < input->n_experts; i++) {
+		for (uint32_t k = 0; k < replica_counts[i]; k++)
+			replicas[n_replicas++] =
+				(replica_t){ i, input->forecast_shares[i] / replica_counts[i] };
 	}
-	qsort(pieces, n, sizeof(*pieces), by_load);
-	pack(view, pieces, n, rows);
-	relabel(view, rows, placement);
-	return naive_count_loads(view, view->placement, placement);
+	qsort(replicas, n_replicas, sizeof(*replicas), compare_load_descending);
+	place_replicas(input, replicas, n_replicas, rows);
+	match_rows_to_ranks(input, rows, placement);
+	return naive_count_loads(input, input->placement, placement);
 }
--- a/bench/naive_balance.h
+++ b/bench/naive_balance.h
@@ -1,18 +1,34 @@
 #ifndef NAIVE_BALANCE_H
 #define NAIVE_BALANCE_H
 
-/*
- * The naive rival of src/rebalance.h: places every expert anew, greedily, and
- * relabels the ranks so that fewer weights are loaded.
+/**
+ * DOC: Baseline rebalancing
+ *
+ * The baseline that the balance bench compares with src/rebalance.h: places every expert
+ * anew with a greedy algorithm, then assigns the rows to ranks so that fewer experts are
+ * copied. Ignores rank speeds, failure domains and the cost of a copy.
  */
 
 #include "rebalance.h"
 
-/* Fills @placement, [n_ranks][n_slots]; returns the weights that have to be loaded. */
-uint32_t naive_balance(const skh_rebalance_input_t *view, uint32_t *placement);
+/**
+ * naive_balance() - compute a placement from scratch
+ * @input: forecast shares, current placement and dimensions
+ * @placement: receives the new placement, [n_ranks][n_slots]
+ *
+ * Return: number of copies needed to get from @input->placement to @placement.
+ */
+uint32_t naive_balance(const skh_rebalance_input_t *input, uint32_t *placement);
 
-/* Slots of @after whose expert did not stand on the same rank in @before. */
-uint32_t naive_count_loads(const skh_rebalance_input_t *view, const uint32_t *before,
+/**
+ * naive_count_loads() - count the copies needed to get from one placement to another
+ * @input: dimensions of both placements
+ * @before: old placement, [n_ranks][n_slots]
+ * @after: new placement, [n_ranks][n_slots]
+ *
+ * Return: number of slots of @after whose expert was not on the same rank in @before.
+ */
+uint32_t naive_count_loads(const skh_rebalance_input_t *input, const uint32_t *before,
 			   const uint32_t *after);
 
 #endif
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -5,7 +5,7 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define LEAST_UNIFORM 1e-12
+#define MIN_UNIFORM 1e-12 /* keeps the logarithms finite */
 
 void replay_open(replay_clock_t *clock)
 {
@@ -19,7 +19,7 @@
 	g_sequence_free(clock->events);
 }
 
-static int by_time(const void *a, const void *b, void *context)
+static int compare_events(const void *a, const void *b, void *context)
 {
 	const replay_event_t *left = a;
 	const replay_event_t *right = b;
@@ -38,17 +38,17 @@
 	event->order = clock->n_events++;
 	event->type = type;
 	event->data = data;
-	g_sequence_insert_sorted(clock->events, event, by_time, NULL);
+	g_sequence_insert_sorted(clock->events, event, compare_events, NULL);
 }
 
-bool replay_next(replay_clock_t *clock, int64_t until_us, replay_event_t *event)
+bool replay_next(replay_clock_t *clock, int64_t end_us, replay_event_t *event)
 {
 	GSequenceIter *first = g_sequence_get_begin_iter(clock->events);
 
 	if (g_sequence_iter_is_end(first))
 		return false;
 	*event = *(replay_event_t *)g_sequence_get(first);
-	if (event->at_us > until_us)
+	if (event->at_us > end_us)
 		return false;
 	g_sequence_remove(first);
 	clock->now_us = event->at_us;
@@ -57,14 +57,14 @@
 
 double replay_normal(GRand *random)
 {
-	double u = g_rand_double_range(random, LEAST_UNIFORM, 1.0);
+	double uniform = g_rand_double_range(random, MIN_UNIFORM, 1.0);
 
-	return sqrt(-2.0 * log(u)) * cos(2.0 * G_PI * g_rand_double(random));
+	return sqrt(-2.0 * log(uniform)) * cos(2.0 * G_PI * g_rand_double(random));
 }
 
 double replay_exponential(GRand *random, double rate)
 {
-	return -log(g_rand_double_range(random, LEAST_UNIFORM, 1.0)) / rate;
+	return -log(g_rand_double_range(random, MIN_UNIFORM, 1.0)) / rate;
 }
 
 double replay_lognormal(GRand *random, double mean, double sigma)
@@ -72,7 +72,7 @@
 	return mean * exp(sigma * replay_normal(random) - sigma * sigma / 2.0);
 }
 
-static int by_value(const void *a, const void *b)
+static int compare_int64(const void *a, const void *b)
 {
 	int64_t left = *(const int64_t *)a;
 	int64_t right = *(const int64_t *)b;
@@ -84,7 +84,7 @@
 {
 	if (values_us->len == 0)
 		return 0.0;
-	qsort(values_us->data, values_us->len, sizeof(int64_t), by_value);
+	qsort(values_us->data, values_us->len, sizeof(int64_t), compare_int64);
 	return (double)g_array_index(values_us, int64_t, (size_t)values_us->len * percent / 100) /
 	       SKH_US_PER_MS;
 }
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -1,15 +1,20 @@
 #ifndef REPLAY_H
 #define REPLAY_H
 
-/* What the replays in virtual time share: events in their order, draws, percentiles. */
-
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
+/**
+ * DOC: Discrete-event simulation
+ *
+ * Shared by the replay benches: an event queue with a virtual clock, random distributions
+ * and percentiles. Not safe for concurrent use.
+ */
+
 typedef struct replay_event {
 	int64_t at_us;
-	uint64_t order; /* of scheduling, for events at the same moment */
+	uint64_t order; /* order of scheduling; breaks ties at the same @at_us */
 	int32_t type;
 	void *data;
 } replay_event_t;
@@ -20,19 +25,52 @@
 	int64_t now_us;
 } replay_clock_t;
 
+/** replay_open() - initialize @clock at time 0 with no events */
 void replay_open(replay_clock_t *clock);
+
+/** replay_close() - free all pending events, but not their data */
 void replay_close(replay_clock_t *clock);
+
+/**
+ * replay_schedule() - add an event
+ * @clock: the event queue
+ * @at_us: virtual time of the event
+ * @type: type of the event, defined by the caller
+ * @data: data of the event, not owned by @clock; may be NULL
+ */
 void replay_schedule(replay_clock_t *clock, int64_t at_us, int32_t type, void *data);
 
-/* Moves the clock to the next event; false when none is left up to @until_us. */
-bool replay_next(replay_clock_t *clock, int64_t until_us, replay_event_t *event);
+/**
+ * replay_next() - remove the next event and advance the clock to its time
+ * @clock: the event queue
+ * @end_us: virtual time after which events stay in the queue
+ * @event: receives the event
+ *
+ * Return: false if no event is due by @end_us.
+ */
+bool replay_next(replay_clock_t *clock, int64_t end_us, replay_event_t *event);
 
+/** replay_normal() - random value of the standard normal distribution */
 double replay_normal(GRand *random);
+
+/** replay_exponential() - random value of the exponential distribution with mean 1 / @rate */
 double replay_exponential(GRand *random, double rate);
-/* Log-normal with this mean. */
+
+/**
+ * replay_lognormal() - random value of a log-normal distribution
+ * @random: random number generator
+ * @mean: mean of the distribution
+ * @sigma: standard deviation of the logarithm
+ */
 double replay_lognormal(GRand *random, double mean, double sigma);
 
-/* Sorts @values_us; 0 when there are none. */
+/**
+ * replay_percentile_ms() - percentile of a list of times
+ * @values_us: int64_t values in microseconds, sorted by the call
+ * @percent: percentile, less than 100
+ *
+ * Return: the percentile in milliseconds, 0 for an empty list.
+ */
 double replay_percentile_ms(GArray *values_us, uint32_t percent);
 
 #endif
