--- a/bench/bench_claims.sh
+++ b/bench/bench_claims.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Claims: keyed posts through entry, sidecar and plain service, and the
-# transactions that carry their claims and records.
+# POSTs with an idempotency key through entry, sidecar and a plain service, and the store
+# transactions that write their claims and results.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -10,7 +10,7 @@
 . scripts/world.sh
 trap stop_all EXIT
 field() { sed -nE "s/.*\b$2=([0-9.]+).*/\1/p" <<<"$1"; }
-txns() { curl -s "$KV/counts" | sed -nE 's/.*"txn":([0-9]+).*/\1/p'; }
+get_txn_count() { curl -s "$KV/counts" | sed -nE 's/.*"txn":([0-9]+).*/\1/p'; }
 
 start_kv
 start_plain 1
@@ -25,14 +25,14 @@
 
 echo "keyed posts at one sidecar, by posts under way at once"
 printf '%10s %8s %8s %10s %10s %10s %14s %10s\n' "under way" posts good posts/s "p50 us" "p99 us" "transactions/s" "a post"
-for c in 1 16 64 256; do
-	n=$((c * 40))
-	before=$(txns)
-	line=$("$BUILD/bench/load" keyed "http://127.0.0.1:$(entry_port 1)/services/ledger/$c" "$n" "$c") || exit 1
-	used=$(($(txns) - before))
+for concurrency in 1 16 64 256; do
+	n=$((concurrency * 40))
+	txns_before=$(get_txn_count)
+	line=$("$BUILD/bench/load" keyed "http://127.0.0.1:$(entry_port 1)/services/ledger/$concurrency" "$n" "$concurrency") || exit 1
+	n_txns=$(($(get_txn_count) - txns_before))
 	rate=$(field "$line" per_s)
-	printf '%10s %8s %8s %10s %10s %10s %14s %10s\n' "$c" "$n" "$(field "$line" good)" "$rate" \
+	printf '%10s %8s %8s %10s %10s %10s %14s %10s\n' "$concurrency" "$n" "$(field "$line" good)" "$rate" \
 		"$(field "$line" p50)" "$(field "$line" p99)" \
-		"$(awk -v u="$used" -v n="$n" -v r="$rate" 'BEGIN {printf "%.0f", u * r / n}')" \
-		"$(awk -v u="$used" -v n="$n" 'BEGIN {printf "%.2f", u / n}')"
+		"$(awk -v u="$n_txns" -v n="$n" -v r="$rate" 'BEGIN {printf "%.0f", u * r / n}')" \
+		"$(awk -v u="$n_txns" -v n="$n" 'BEGIN {printf "%.2f", u / n}')"
 done
--- a/bench/run.sh
+++ b/bench/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# make bench: every table, each figure measured in this run.
+# make bench: runs every bench and prints its tables.
 set -u
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
