--- a/fuzz/fuzz_fleet.c
+++ b/fuzz/fuzz_fleet.c
@@ -1,10 +1,10 @@
-/* What comes from the users' platform: configuration, servers, engines' answers. */
+/* Input from the fleet dialect: configuration, servers, engine responses. */
 #include "dialect.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-#define SETS   2
-#define PLACES 4
+#define N_SETS	2
+#define N_SLOTS 4
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
@@ -14,7 +14,7 @@
 	skh_routing_t *routing;
 	skh_engine_report_t report;
 	skh_engine_counts_t counts;
-	uint32_t map[SETS * PLACES];
+	uint32_t map[N_SETS * N_SLOTS];
 	int64_t version;
 
 	routing = dialect->read_config(text, &err);
@@ -27,6 +27,6 @@
 	(void)dialect->read_report(text, &report, &err);
 	if (dialect->read_counts(text, &counts, &err))
 		g_free(counts.counts);
-	(void)dialect->read_map(text, SETS, PLACES, map, &version, &err);
+	(void)dialect->read_map(text, N_SETS, N_SLOTS, map, &version, &err);
 	return 0;
 }
--- a/fuzz/fuzz_json.c
+++ b/fuzz/fuzz_json.c
@@ -1,4 +1,4 @@
-/* JSON from outside: heads, claims, instances and load reports. */
+/* JSON from the store: configuration heads, claims and instances. */
 #include "claim.h"
 #include "instances.h"
 #include "config_parts.h"
--- a/fuzz/run.sh
+++ b/fuzz/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the fuzz targets with clang and runs each over its corpus: FUZZ_RUNS
-# inputs from a fixed seed, or for FUZZ_SECONDS. Findings stay in BUILD/findings.
+# Builds the fuzz targets with clang and runs each on its corpus: FUZZ_RUNS inputs with a
+# fixed seed if set, else for FUZZ_SECONDS. Failing inputs are written to BUILD/findings.
 set -eu
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build-fuzz}
@@ -17,12 +17,12 @@
 fi
 status=0
 for name in frame manifest settings json fleet http; do
-	work="$BUILD/corpus-$name"
-	rm -rf "$work"
-	mkdir -p "$work"
+	work_corpus="$BUILD/corpus-$name"
+	rm -rf "$work_corpus"
+	mkdir -p "$work_corpus"
 	echo "fuzz $name"
 	"$BUILD/fuzz/fuzz-$name" "${limit[@]}" -rss_limit_mb=2048 -timeout=10 -max_len=4096 \
-		-artifact_prefix="$BUILD/findings/$name-" "$work" "fuzz/corpus/$name" \
+		-artifact_prefix="$BUILD/findings/$name-" "$work_corpus" "fuzz/corpus/$name" \
 		>"$BUILD/fuzz-$name.log" 2>&1 || status=1
 	grep -E 'DONE|ERROR|SUMMARY|Done' "$BUILD/fuzz-$name.log" | tail -n 3
 done
