--- a/test/claim_test.cc
+++ b/test/claim_test.cc
@@ -150,7 +150,7 @@
 	FakeStore store;
 	Writes writes(4, "a");
 
-	store.lose_answer_of_txn = 1;
+	store.lose_response_of_txn = 1;
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
 	for (const auto &write : writes.list)
 		EXPECT_EQ(write.state, SKH_WRITE_DONE);
@@ -173,7 +173,7 @@
 	FakeStore store;
 	Writes writes(2, "a");
 
-	store.lose_answer_of_txn = 1;
+	store.lose_response_of_txn = 1;
 	store.down_after_loss = true;
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
 	for (const auto &write : writes.list) {
@@ -205,7 +205,7 @@
 		const size_t n = *rc::gen::inRange(1, 6);
 		Writes writes(n, "r" + std::to_string(round) + "-");
 
-		store.lose_answer_of_txn = *rc::gen::inRange(0, 3) == 0 ? store.n_txns + 1 : 0;
+		store.lose_response_of_txn = *rc::gen::inRange(0, 3) == 0 ? store.n_txns + 1 : 0;
 		store.drop_txn = *rc::gen::inRange(0, 3) == 0 ? store.n_txns + 1 : 0;
 		skh_batch_run(&store.base, writes.list.data(), n);
 		for (size_t i = 0; i < n; i++) {
--- a/test/config_test.cc
+++ b/test/config_test.cc
@@ -175,7 +175,7 @@
 TEST_F(Apply, AnAnswerLostAfterTheWriteIsSettledByReadingBack)
 {
 	ASSERT_TRUE(apply(good_text()));
-	store.lose_answer_of_txn = store.n_txns + 2; /* the swap of the head */
+	store.lose_response_of_txn = store.n_txns + 2; /* the swap of the head */
 	ASSERT_TRUE(apply(with_rate(60))) << err.text;
 	EXPECT_EQ(result.revision, 2);
 }
@@ -192,7 +192,7 @@
 TEST_F(Apply, ALostAnswerDuringAnOutageIsUnknown)
 {
 	ASSERT_TRUE(apply(good_text()));
-	store.lose_answer_of_txn = store.n_txns + 2;
+	store.lose_response_of_txn = store.n_txns + 2;
 	store.down_after_loss = true;
 	EXPECT_FALSE(apply(with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_OUTCOME_UNKNOWN);
@@ -202,8 +202,8 @@
 TEST_F(Apply, OfTwoRacingOperatorsOneIsToldWhatChanged)
 {
 	ASSERT_TRUE(apply(good_text()));
-	store.before_txn = store.n_txns + 2;
-	store.intrude = [this] {
+	store.hooked_txn = store.n_txns + 2;
+	store.before_txn_hook = [this] {
 		skh_manifest_t *rival = manifest_of(with_rate(70));
 		skh_apply_result_t rival_result = {};
 		skh_error_t rival_err = {};
--- a/test/fake_store.h
+++ b/test/fake_store.h
@@ -1,8 +1,8 @@
 #ifndef SKH_FAKE_STORE_H
 #define SKH_FAKE_STORE_H
 
-// A key-value service in memory behind the product's vtable, with faults that
-// strike the Nth transaction. One thread.
+// In-memory implementation of skh_store_t for unit tests. Faults can be injected into the
+// Nth transaction. Not thread-safe.
 
 #include "store.h"
 
@@ -26,20 +26,21 @@
 	std::map<std::string, FakeValue> values;
 	int64_t revision = 1;
 	int64_t next_lease = 1;
+	// Transactions are numbered from 1; 0 disables a fault.
 	int n_txns = 0;
 	int n_ranges = 0;
 	bool down = false;
-	int lose_answer_of_txn = 0; /* the work is done, the answer lost */
-	int drop_txn = 0;	    /* neither */
-	bool down_after_loss = false;
-	int before_txn = 0; /* run @intrude just before this transaction */
-	std::function<void()> intrude;
+	int lose_response_of_txn = 0; /* applied, but the caller gets SKH_STORE_UNKNOWN */
+	int drop_txn = 0;	      /* not applied, the caller gets SKH_STORE_UNKNOWN */
+	bool down_after_loss = false; /* down from a lost response on */
+	int hooked_txn = 0;	      /* @before_txn_hook runs before this transaction */
+	std::function<void()> before_txn_hook;
 };
 
 namespace fake_store
 {
 
-inline FakeStore *of(skh_store_t *store)
+inline FakeStore *from_base(skh_store_t *store)
 {
 	return reinterpret_cast<FakeStore *>(store);
 }
@@ -47,7 +48,7 @@
 inline bool range(skh_store_t *store, const char *key, bool prefix, skh_kv_pairs_t *pairs,
 		  skh_error_t *err)
 {
-	FakeStore *fake = of(store);
+	FakeStore *fake = from_base(store);
 
 	*pairs = {};
 	fake->n_ranges++;
@@ -56,9 +57,9 @@
 	pairs->list = g_new0(skh_kv_pair_t, fake->values.size());
 	pairs->store_revision = fake->revision;
 	for (const auto &[name, value] : fake->values) {
-		const bool wanted = prefix ? name.rfind(key, 0) == 0 : name == key;
+		const bool matches = prefix ? name.rfind(key, 0) == 0 : name == key;
 
-		if (!wanted)
+		if (!matches)
 			continue;
 		skh_kv_pair_t *pair = &pairs->list[pairs->count++];
 		*pair = { g_strdup(name.c_str()), g_strdup(value.value.c_str()),
@@ -67,7 +68,7 @@
 	return true;
 }
 
-inline bool holds(FakeStore *fake, const skh_txn_t *txn)
+inline bool has_expected_revisions(FakeStore *fake, const skh_txn_t *txn)
 {
 	for (size_t i = 0; i < txn->n_compares; i++) {
 		auto found = fake->values.find(txn->compares[i].key);
@@ -92,13 +93,13 @@
 					found->second.lease };
 }
 
-inline void run(FakeStore *fake, const skh_txn_op_t *ops, size_t n_ops, skh_kv_pairs_t *pairs)
+inline void run_ops(FakeStore *fake, const skh_txn_op_t *ops, size_t n_ops, skh_kv_pairs_t *pairs)
 {
-	bool written = false;
+	bool is_write = false;
 
 	for (size_t i = 0; i < n_ops; i++)
-		written = written || ops[i].type != SKH_TXN_OP_READ;
-	fake->revision += written;
+		is_write = is_write || ops[i].type != SKH_TXN_OP_READ;
+	fake->revision += is_write;
 	for (size_t i = 0; i < n_ops; i++) {
 		const skh_txn_op_t &op = ops[i];
 
@@ -122,33 +123,33 @@
 inline bool txn(skh_store_t *store, const skh_txn_t *txn, skh_txn_result_t *result,
 		skh_error_t *err)
 {
-	FakeStore *fake = of(store);
-	const int number = ++fake->n_txns;
+	FakeStore *fake = from_base(store);
+	const int txn_number = ++fake->n_txns;
 
 	*result = {};
 	if (fake->down)
 		return skh_error_set(err, SKH_STORE_UNAVAILABLE, "the fake is down");
-	if (number == fake->before_txn && fake->intrude)
-		fake->intrude();
-	if (number == fake->drop_txn)
-		return skh_error_set(err, SKH_STORE_UNKNOWN, "the fake dropped it");
-	result->succeeded = holds(fake, txn);
+	if (txn_number == fake->hooked_txn && fake->before_txn_hook)
+		fake->before_txn_hook();
+	if (txn_number == fake->drop_txn)
+		return skh_error_set(err, SKH_STORE_UNKNOWN, "the fake dropped the transaction");
+	result->succeeded = has_expected_revisions(fake, txn);
 	if (result->succeeded)
-		run(fake, txn->ops, txn->n_ops, &result->pairs);
+		run_ops(fake, txn->ops, txn->n_ops, &result->pairs);
 	else
-		run(fake, txn->else_ops, txn->n_else_ops, &result->pairs);
+		run_ops(fake, txn->else_ops, txn->n_else_ops, &result->pairs);
 	result->pairs.store_revision = fake->revision;
-	if (number == fake->lose_answer_of_txn) {
+	if (txn_number == fake->lose_response_of_txn) {
 		fake->down = fake->down_after_loss;
 		skh_kv_pairs_clear(&result->pairs);
-		return skh_error_set(err, SKH_STORE_UNKNOWN, "the fake lost the answer");
+		return skh_error_set(err, SKH_STORE_UNKNOWN, "the fake lost the response");
 	}
 	return true;
 }
 
 inline bool lease_grant(skh_store_t *store, int64_t ttl_s, int64_t *lease, skh_error_t *err)
 {
-	FakeStore *fake = of(store);
+	FakeStore *fake = from_base(store);
 
 	(void)ttl_s;
 	if (fake->down)
@@ -160,8 +161,8 @@
 inline bool lease_keep(skh_store_t *store, int64_t lease, int64_t *ttl_s, skh_error_t *err)
 {
 	(void)lease;
-	*ttl_s = of(store)->down ? 0 : 1;
-	if (of(store)->down)
+	*ttl_s = from_base(store)->down ? 0 : 1;
+	if (from_base(store)->down)
 		return skh_error_set(err, SKH_STORE_UNAVAILABLE, "the fake is down");
 	return true;
 }
--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -181,7 +181,7 @@
 			after(chance(6000) * kMs, [this] { store.down = false; });
 			break;
 		case 3:
-			store.lose_answer_of_txn = store.n_txns + 1;
+			store.lose_response_of_txn = store.n_txns + 1;
 			break;
 		case 4:
 			store.drop_txn = store.n_txns + 1;
--- a/test/seeds.h
+++ b/test/seeds.h
@@ -1,16 +1,17 @@
 #ifndef SKH_SEEDS_H
 #define SKH_SEEDS_H
 
-// How many seeded runs a sweep makes: few in CI, more in "make soak".
+// Number of seeds for randomized tests: SKH_SEEDS if set, else a default that is low enough
+// for CI. "make soak" sets SKH_SEEDS higher.
 
 #include <cstdint>
 #include <cstdlib>
 
-inline uint32_t seeds_or(uint32_t usual)
+inline uint32_t seeds_or(uint32_t default_count)
 {
 	const char *text = std::getenv("SKH_SEEDS");
 
-	return text ? static_cast<uint32_t>(std::strtoul(text, nullptr, 10)) : usual;
+	return text ? static_cast<uint32_t>(std::strtoul(text, nullptr, 10)) : default_count;
 }
 
 #endif
