--- a/test/standin/engine.c
+++ b/test/standin/engine.c
@@ -1,10 +1,17 @@
 /*
- * Stand-in for a model engine: the OpenAI shape with resume and cancel. Token
- * i of an answer depends only on the request's body, so any engine continues
- * any answer. GET /runs tells what was run. POST /fault {"cut_after":N} makes
- * the next answer end after N tokens without its end mark; {"exit_after":N}
- * ends the process there; {"stall_after":N,"ms":M} pauses it there. Orders of a map switch are obeyed whoever gives them
- * and are listed by GET /orders; {"order_ms":N} makes each take that long.
+ * Stand-in for a model engine with the OpenAI completion API plus resume and cancel. Token i
+ * of a response depends only on the request body, so any engine can resume any response.
+ * Orders of a map switch are accepted from any sender.
+ *
+ *   GET /runs                                   list all runs
+ *   GET /orders                                 list the orders received
+ *   POST /fault {"cut_after":N}                 close the next response after N tokens
+ *                                               without its end mark
+ *   POST /fault {"exit_after":N}                exit after N tokens
+ *   POST /fault {"stall_after":N,"ms":M}        pause the next response after N tokens for M ms
+ *   POST /fault {"order_ms":N}                  delay each order by N ms
+ *
+ * Each POST /fault replaces all faults.
  */
 #define _GNU_SOURCE
 #include "standin.h"
@@ -21,11 +28,11 @@
 typedef struct run {
 	char *attempt;
 	char *body;
-	int64_t first;
-	int64_t sent;
-	bool whole;
-	bool cancelled;
-	bool ended; /* whole or not */
+	int64_t first_token;
+	int64_t n_sent;
+	bool is_complete;
+	bool is_cancelled;
+	bool has_ended; /* complete or aborted */
 } run_t;
 
 static GMutex lock;
@@ -36,131 +43,133 @@
 static int64_t stall_after = NO_FAULT;
 static int64_t stall_ms;
 static int64_t order_ms;
-static json_t *orders;
+static json_t *received_orders;
 
-static run_t *add_run(const char *attempt, const char *body, int64_t first)
+static run_t *add_run(const char *attempt, const char *body, int64_t first_token)
 {
 	run_t *run = g_new0(run_t, 1);
 
 	run->attempt = g_strdup(attempt ? attempt : "");
 	run->body = g_strdup(body);
-	run->first = first;
+	run->first_token = first_token;
 	g_mutex_lock(&lock);
 	g_ptr_array_add(runs, run);
 	g_mutex_unlock(&lock);
 	return run;
 }
 
-static char *token(const char *body, int64_t index)
+static char *make_token(const char *body, int64_t index)
 {
 	return g_strdup_printf("w%" PRIx32 "-%" PRId64, (uint32_t)(g_str_hash(body) + index * 7919),
 			       index);
 }
 
-static bool is_cancelled(const run_t *run)
+static bool is_run_cancelled(const run_t *run)
 {
-	bool cancelled;
+	bool result;
 
 	g_mutex_lock(&lock);
-	cancelled = run->cancelled;
+	result = run->is_cancelled;
 	g_mutex_unlock(&lock);
-	return cancelled;
+	return result;
 }
 
-/* Returns false when the answer ends here because of a fault. */
-static bool meet_fault(int64_t index)
+/* Applies faults set for token @index. Returns false if the connection must be closed. */
+static bool apply_fault(int64_t index)
 {
-	bool cut;
-	bool stall;
+	bool should_close;
+	bool should_stall;
 
 	g_mutex_lock(&lock);
 	if (index == exit_after)
 		_exit(1);
-	cut = index == cut_after;
-	if (cut)
+	should_close = index == cut_after;
+	if (should_close)
 		cut_after = NO_FAULT;
-	stall = index == stall_after;
-	if (stall)
+	should_stall = index == stall_after;
+	if (should_stall)
 		stall_after = NO_FAULT;
 	g_mutex_unlock(&lock);
-	if (stall)
+	if (should_stall)
 		(void)usleep((useconds_t)(stall_ms * 1000));
-	return !cut;
+	return !should_close;
 }
 
 static bool send_token(struct mg_connection *connection, const char *body, int64_t index)
 {
-	g_autofree char *text = token(body, index);
-	/* The benches ask for a time stamp; it is no part of the answer proper. */
-	g_autofree char *stamp =
+	g_autofree char *text = make_token(body, index);
+	/* Only on request, for the benches: a token depends on the body alone. */
+	g_autofree char *timestamp =
 		strstr(body, "\"stamp\":true")
 			? g_strdup_printf(",\"sent_us\":%" PRId64, g_get_monotonic_time())
 			: g_strdup("");
 	g_autofree char *event = g_strdup_printf("data: {\"choices\":[{\"index\":0,\"delta\":"
 						 "{\"content\":\"%s \"}}]%s}\n\n",
-						 text, stamp);
+						 text, timestamp);
 
 	return mg_send_chunk(connection, event, (unsigned)strlen(event)) > 0;
 }
 
-static int stream(struct mg_connection *connection, run_t *run, int64_t n)
+static int send_stream(struct mg_connection *connection, run_t *run, int64_t n_tokens)
 {
-	static const char done[] = "data: [DONE]\n\n";
+	static const char end_mark[] = "data: [DONE]\n\n";
 
 	(void)mg_printf(connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
 				    "Transfer-Encoding: chunked\r\n\r\n");
-	for (int64_t i = run->first; i < n; i++) {
-		if (!meet_fault(i) || is_cancelled(run) || !send_token(connection, run->body, i))
+	for (int64_t i = run->first_token; i < n_tokens; i++) {
+		if (!apply_fault(i) || is_run_cancelled(run) ||
+		    !send_token(connection, run->body, i))
 			return standin_hang_up(connection);
-		run->sent++;
-		if (token_us > 0 && i + 1 < n)
+		run->n_sent++;
+		if (token_us > 0 && i + 1 < n_tokens)
 			(void)usleep((useconds_t)token_us);
 	}
-	(void)mg_send_chunk(connection, done, sizeof(done) - 1);
+	(void)mg_send_chunk(connection, end_mark, sizeof(end_mark) - 1);
 	(void)mg_send_chunk(connection, "", 0);
-	run->whole = true;
+	run->is_complete = true;
 	return 200;
 }
 
-static int whole(struct mg_connection *connection, run_t *run, int64_t n)
+static int send_complete(struct mg_connection *connection, run_t *run, int64_t n_tokens)
 {
 	GString *text = g_string_new(NULL);
-	json_t *answer;
+	json_t *response;
 
-	for (int64_t i = 0; i < n; i++) {
-		g_autofree char *word = token(run->body, i);
+	for (int64_t i = 0; i < n_tokens; i++) {
+		g_autofree char *token = make_token(run->body, i);
 
-		if (!meet_fault(i))
+		if (!apply_fault(i))
 			return standin_hang_up(connection);
-		g_string_append_printf(text, "%s ", word);
-		if (token_us > 0 && i + 1 < n)
+		g_string_append_printf(text, "%s ", token);
+		if (token_us > 0 && i + 1 < n_tokens)
 			(void)usleep((useconds_t)token_us);
 	}
-	answer = json_pack("{s:s, s:[{s:i, s:{s:s, s:s}, s:s}]}", "object", "chat.completion",
-			   "choices", "index", 0, "message", "role", "assistant", "content",
-			   text->str, "finish_reason", "stop");
+	response = json_pack("{s:s, s:[{s:i, s:{s:s, s:s}, s:s}]}", "object", "chat.completion",
+			     "choices", "index", 0, "message", "role", "assistant", "content",
+			     text->str, "finish_reason", "stop");
 	g_string_free(text, TRUE);
-	run->sent = n;
-	run->whole = true;
-	return standin_answer(connection, 200, answer);
+	run->n_sent = n_tokens;
+	run->is_complete = true;
+	return standin_answer(connection, 200, response);
 }
 
 static int handle_completion(struct mg_connection *connection)
 {
 	g_autofree char *body = standin_read(connection);
 	json_t *json = json_loads(body, 0, NULL);
-	const json_t *max = json_object_get(json, "max_tokens");
-	int64_t n = max ? json_integer_value(max) : DEFAULT_TOKENS;
-	bool streamed = json_is_true(json_object_get(json, "stream"));
-	const char *from = mg_get_header(connection, "X-Resume-From");
+	const json_t *max_tokens = json_object_get(json, "max_tokens");
+	int64_t n_tokens = max_tokens ? json_integer_value(max_tokens) : DEFAULT_TOKENS;
+	bool is_stream = json_is_true(json_object_get(json, "stream"));
+	const char *resume_from = mg_get_header(connection, "X-Resume-From");
 	run_t *run;
 	int status;
 
 	json_decref(json);
 	run = add_run(mg_get_header(connection, "X-Request-Id"), body,
-		      from ? g_ascii_strtoll(from, NULL, 10) : 0);
-	status = streamed ? stream(connection, run, n) : whole(connection, run, n);
-	run->ended = true;
+		      resume_from ? g_ascii_strtoll(resume_from, NULL, 10) : 0);
+	status = is_stream ? send_stream(connection, run, n_tokens)
+			   : send_complete(connection, run, n_tokens);
+	run->has_ended = true;
 	return status;
 }
 
@@ -173,7 +182,7 @@
 		run_t *run = runs->pdata[i];
 
 		if (strcmp(run->attempt, attempt) == 0)
-			run->cancelled = true;
+			run->is_cancelled = true;
 	}
 	g_mutex_unlock(&lock);
 	return standin_answer(connection, 200, json_object());
@@ -190,7 +199,7 @@
 	if (ms > 0)
 		(void)usleep((useconds_t)(ms * 1000));
 	g_mutex_lock(&lock);
-	json_array_append_new(orders, order);
+	json_array_append_new(received_orders, order);
 	g_mutex_unlock(&lock);
 	return standin_answer(connection, 200, json_object());
 }
@@ -200,7 +209,7 @@
 	json_t *copy;
 
 	g_mutex_lock(&lock);
-	copy = json_deep_copy(orders);
+	copy = json_deep_copy(received_orders);
 	g_mutex_unlock(&lock);
 	return standin_answer(connection, 200, copy);
 }
@@ -213,11 +222,11 @@
 	for (guint i = 0; i < runs->len; i++) {
 		const run_t *run = runs->pdata[i];
 
-		json_array_append_new(list, json_pack("{s:s, s:s, s:I, s:I, s:b, s:b}", "attempt",
-						      run->attempt, "body", run->body, "first",
-						      (json_int_t)run->first, "sent",
-						      (json_int_t)run->sent, "whole", run->whole,
-						      "cancelled", run->cancelled));
+		json_array_append_new(
+			list, json_pack("{s:s, s:s, s:I, s:I, s:b, s:b}", "attempt", run->attempt,
+					"body", run->body, "first", (json_int_t)run->first_token,
+					"sent", (json_int_t)run->n_sent, "whole", run->is_complete,
+					"cancelled", run->is_cancelled));
 	}
 	g_mutex_unlock(&lock);
 	return standin_answer(connection, 200, list);
@@ -231,23 +240,23 @@
 	for (guint i = 0; i < runs->len; i++) {
 		const run_t *run = runs->pdata[i];
 
-		running += !run->whole && !run->cancelled && !run->ended;
+		running += !run->is_complete && !run->is_cancelled && !run->has_ended;
 	}
 	g_mutex_unlock(&lock);
 	return standin_answer(connection, 200,
 			      json_pack("{s:I, s:i}", "running", running, "queued", 0));
 }
 
-/* Every run stores its prefix; each fifth event is lost, as real ones are. */
+/* Every run stores its prefix. Each fifth event is missing, since engines lose events too. */
 static int handle_events(struct mg_connection *connection)
 {
 	const char *query = mg_get_request_info(connection)->query_string;
-	int64_t from = query ? g_ascii_strtoll(query + strlen("from="), NULL, 10) : 1;
+	int64_t from_seq = query ? g_ascii_strtoll(query + strlen("from="), NULL, 10) : 1;
 	json_t *list = json_array();
 
 	g_mutex_lock(&lock);
 	for (guint i = 0; i < runs->len; i++) {
-		if ((int64_t)i + 1 >= from && (i + 1) % 5 != 0)
+		if ((int64_t)i + 1 >= from_seq && (i + 1) % 5 != 0)
 			json_array_append_new(list, json_pack("{s:i, s:s}", "seq", (int)i + 1,
 							      "event", "stored"));
 	}
@@ -255,7 +264,7 @@
 	return standin_answer(connection, 200, list);
 }
 
-static int64_t fault_of(const json_t *request, const char *key)
+static int64_t get_fault(const json_t *request, const char *key)
 {
 	const json_t *value = json_object_get(request, key);
 
@@ -267,17 +276,17 @@
 	json_t *request = standin_read_json(connection);
 
 	g_mutex_lock(&lock);
-	cut_after = fault_of(request, "cut_after");
-	exit_after = fault_of(request, "exit_after");
-	stall_after = fault_of(request, "stall_after");
-	stall_ms = fault_of(request, "ms");
-	order_ms = fault_of(request, "order_ms");
+	cut_after = get_fault(request, "cut_after");
+	exit_after = get_fault(request, "exit_after");
+	stall_after = get_fault(request, "stall_after");
+	stall_ms = get_fault(request, "ms");
+	order_ms = get_fault(request, "order_ms");
 	g_mutex_unlock(&lock);
 	json_decref(request);
 	return standin_answer(connection, 200, json_object());
 }
 
-static int handle(struct mg_connection *connection, void *context)
+static int handle_request(struct mg_connection *connection, void *context)
 {
 	const char *path = mg_get_request_info(connection)->local_uri;
 
@@ -309,6 +318,6 @@
 	}
 	token_us = argc > 2 ? g_ascii_strtoll(argv[2], NULL, 10) : 0;
 	runs = g_ptr_array_new();
-	orders = json_array();
-	return standin_serve(argv[1], handle);
+	received_orders = json_array();
+	return standin_serve(argv[1], handle_request);
 }
--- a/test/standin/fleet_servers.c
+++ b/test/standin/fleet_servers.c
@@ -1,15 +1,23 @@
 /*
- * Stand-in for the users' servers, all in one process: N ranks of one lock-step
- * group on the ports from BASE, and two plain servers from BASE + 80. They list
- * themselves in the store. What they see is checked here: no request runs twice
- * that must not, none without its customer or with the key, none at a server
- * that left long ago, and no pass begins while ranks have different maps.
+ * Stand-in for the users' servers, all in one process: RANKS ranks of one lock-step group on
+ * the ports from BASE, and two plain servers from BASE + 80. Each server registers in the
+ * store, with its port plus OFFSET, where a proxy may listen.
  *
- * POST /control on a server's port: {"draining":true}, {"gone":true},
- * {"back":true}, {"fault":F,"count":N} with F of not_run, error, reset, garble,
- * extra, unframed, cut, mute; on a rank also {"order":"lose"|"late"|"drop"}.
- * GET /seen tells what was seen by all, GET /ran which attempts ran. With OFFSET
- * the list names each port as that much higher, where a proxy listens.
+ * The servers count violations: requests under /once/ that ran twice, requests without a
+ * customer or deadline or with the caller's key, requests to a server that left more than
+ * LEAVE_GRACE_US ago, and passes in which ranks have different expert maps.
+ *
+ *   GET /seen                    counters of all servers
+ *   GET /ran                     ids of all attempts that ran
+ *   POST /control                change the server that listens on the port:
+ *     {"draining":true}          announce that the server drains
+ *     {"gone":true}              remove the server from the store
+ *     {"back":true}              register the server again
+ *     {"fault":F,"count":N}      apply a fault to the next N requests: not_run, error, reset,
+ *                                garble, half, extra, unframed, cut or mute
+ *     {"order":F,"count":N}      on a rank, apply a fault to the next N orders and close the
+ *                                connection: lose (execute), late (execute after a delay) or
+ *                                drop (ignore)
  */
 #define _GNU_SOURCE
 #include "standin.h"
@@ -22,44 +30,44 @@
 #include <string.h>
 #include <unistd.h>
 
-#define MAX_SERVERS   32
-#define PLAIN_OFFSET  80
-#define N_PLAIN	      2
-#define SETS	      2
-#define PLACES	      4
-#define PASS_US	      (20 * 1000)
-#define COPY_US	      (50 * 1000)
-#define HEARTBEAT_US  (300 * 1000)
-#define US_PER_MS     1000
-#define EVENTS	      5
-#define EVENT_US      (20 * 1000)
-#define LEFT_BOUND_US (2 * 1000 * 1000)
-#define LATE_US	      (700 * 1000)
-#define MUTE_US	      (3 * 1000 * 1000)
-#define MAX_COUNTS    (SETS * MAX_SERVERS * PLACES)
+#define MAX_SERVERS	      32
+#define PLAIN_PORT_OFFSET     80
+#define N_PLAIN		      2
+#define N_SETS		      2
+#define N_SLOTS		      4
+#define PASS_INTERVAL_US      (20 * 1000)
+#define COPY_TIME_US	      (50 * 1000)
+#define HEARTBEAT_INTERVAL_US (300 * 1000)
+#define US_PER_MS	      1000
+#define EVENTS_PER_STREAM     5
+#define EVENT_INTERVAL_US     (20 * 1000)
+#define LEAVE_GRACE_US	      (2 * 1000 * 1000)
+#define LATE_ORDER_DELAY_US   (700 * 1000)
+#define MUTE_DELAY_US	      (3 * 1000 * 1000)
+#define MAX_EXPERT_COUNTS     (N_SETS * MAX_SERVERS * N_SLOTS)
 
 typedef struct server {
 	int port;
-	bool engine;
+	bool is_engine;
 	int rank;
 	char id[32];
-	bool draining;
-	bool gone;
-	int64_t left_at; /* told the store that it leaves, or was removed */
+	bool is_draining;
+	bool is_gone;
+	int64_t left_us; /* time of draining or removal; 0 if neither */
 	char fault[16];
-	int64_t fault_count;
+	int64_t n_faults;
 	char order_fault[16];
-	int64_t order_fault_count;
-	/* Of a rank: */
-	int64_t fence;
-	int64_t most_version;
-	int64_t prepared;
-	int64_t ready_at;
-	int64_t armed;
+	int64_t n_order_faults;
+	/* Used by ranks only: */
+	int64_t fencing_token;
+	int64_t max_version;
+	int64_t prepared_version;
+	int64_t ready_us; /* time when the copies of @prepared_map are done */
+	int64_t armed_version;
 	int64_t armed_pass;
-	int64_t held;
+	int64_t held_pass;
 	int64_t map_version;
-	json_t *prepared_map; /* of all ranks */
+	json_t *prepared_map; /* of all ranks, like @map */
 	json_t *map;
 } server_t;
 
@@ -69,18 +77,18 @@
 static int n_ranks;
 static char *store;
 static int64_t pass;
-static int64_t runs;
-static int64_t twice;
-static int64_t unasked;
-static int64_t after_leaving;
-static int64_t mixed;
-static int64_t map_changes;
-static double counts[MAX_COUNTS];
-static GHashTable *ran; /* attempt ids of requests that must run once */
-static GHashTable *all; /* attempt ids of all requests that ran */
-static int offset;
-
-static server_t *server_at(struct mg_connection *connection)
+static int64_t n_runs;
+static int64_t n_repeated_runs;
+static int64_t n_bad_headers;
+static int64_t n_runs_after_leaving;
+static int64_t n_mixed_maps;
+static int64_t n_map_changes;
+static double expert_counts[MAX_EXPERT_COUNTS];
+static GHashTable *once_attempts; /* attempt ids of requests under /once/ */
+static GHashTable *all_attempts;  /* attempt ids of all requests that ran */
+static int listed_port_offset;
+
+static server_t *find_server(struct mg_connection *connection)
 {
 	int port = mg_get_request_info(connection)->server_port;
 
@@ -91,9 +99,9 @@
 	return &servers[0];
 }
 
-/* --- The list in the store --- */
+/* --- Registration in the store --- */
 
-static size_t ignore(char *data, size_t size, size_t n, void *unused)
+static size_t discard_body(char *data, size_t size, size_t n, void *unused)
 {
 	(void)data;
 	(void)unused;
@@ -108,7 +116,7 @@
 	curl_easy_setopt(curl, CURLOPT_URL, url);
 	curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method);
 	curl_easy_setopt(curl, CURLOPT_POSTFIELDS, body);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, ignore);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, discard_body);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, 1000L);
 	(void)curl_easy_perform(curl);
 }
@@ -116,13 +124,14 @@
 static void list_server(CURL *curl, const server_t *server)
 {
 	g_autofree char *key = g_strdup_printf("servers/%s", server->id);
-	g_autofree char *address = g_strdup_printf("127.0.0.1:%d", server->port + offset);
-	json_t *entry = json_pack("{s:s, s:s, s:s, s:s, s:i, s:s, s:i, s:i}", "service",
-				  server->engine ? "model" : "ledger", "address", address, "zone",
-				  "a", "version", "v1", "slots", 8, "state",
-				  server->draining ? "draining" : "ready", "cold-remaining-ms", 0,
-				  "sequence", 1);
-	char *value = json_dumps(entry, JSON_COMPACT);
+	g_autofree char *address =
+		g_strdup_printf("127.0.0.1:%d", server->port + listed_port_offset);
+	json_t *record = json_pack("{s:s, s:s, s:s, s:s, s:i, s:s, s:i, s:i}", "service",
+				   server->is_engine ? "model" : "ledger", "address", address,
+				   "zone", "a", "version", "v1", "slots", 8, "state",
+				   server->is_draining ? "draining" : "ready", "cold-remaining-ms",
+				   0, "sequence", 1);
+	char *value = json_dumps(record, JSON_COMPACT);
 	json_t *request = json_pack("{s:s, s:s}", "key", key, "value", value);
 	char *body = json_dumps(request, JSON_COMPACT);
 
@@ -130,10 +139,10 @@
 	free(body);
 	free(value);
 	json_decref(request);
-	json_decref(entry);
+	json_decref(record);
 }
 
-static void *heartbeat(void *unused)
+static void *run_heartbeat(void *unused)
 {
 	CURL *curl = curl_easy_init();
 
@@ -143,84 +152,85 @@
 			g_autofree char *path =
 				g_strdup_printf("/put?key=servers/%s", servers[i].id);
 
-			if (servers[i].gone)
+			if (servers[i].is_gone)
 				call_store(curl, "DELETE", path, "");
 			else
 				list_server(curl, &servers[i]);
 		}
-		(void)usleep(HEARTBEAT_US);
+		(void)usleep(HEARTBEAT_INTERVAL_US);
 	}
 	return NULL;
 }
 
-/* --- The group --- */
+/* --- Lock-step group --- */
 
 static void switch_maps(void)
 {
 	for (int i = 0; i < n_ranks; i++) {
 		server_t *rank = &servers[i];
 
-		if (rank->armed == 0 || rank->armed_pass != pass)
+		if (rank->armed_version == 0 || rank->armed_pass != pass)
 			continue;
-		rank->map_version = rank->armed;
+		rank->map_version = rank->armed_version;
 		json_decref(rank->map);
 		rank->map = json_incref(rank->prepared_map);
-		rank->armed = 0;
-		rank->prepared = 0;
+		rank->armed_version = 0;
+		rank->prepared_version = 0;
 	}
 	for (int i = 1; i < n_ranks; i++) {
 		if (servers[i].map_version != servers[0].map_version ||
 		    !json_equal(servers[i].map, servers[0].map))
-			mixed++;
+			n_mixed_maps++;
 	}
 }
 
-static bool is_held(void)
+static bool is_next_pass_held(void)
 {
 	for (int i = 0; i < n_ranks; i++) {
-		if (servers[i].held == pass + 1)
+		if (servers[i].held_pass == pass + 1)
 			return true;
 	}
 	return false;
 }
 
-/* Demand turns to another expert each few hundred passes. */
-static void count_tokens(void)
+/* The most popular experts change every 150 passes. */
+static void add_expert_counts(void)
 {
-	int experts = n_ranks * PLACES / 2;
-	int hot = (int)(pass / 150) * 5;
+	int experts = n_ranks * N_SLOTS / 2;
+	int hot_offset = (int)(pass / 150) * 5;
 
-	for (int set = 0; set < SETS; set++) {
+	for (int set = 0; set < N_SETS; set++) {
 		for (int i = 0; i < experts; i++)
-			counts[set * experts + (i + hot) % experts] += 3000.0 / (1 + i * i);
+			expert_counts[set * experts + (i + hot_offset) % experts] +=
+				3000.0 / (1 + i * i);
 	}
 }
 
-static void *make_passes(void *unused)
+static void *run_passes(void *unused)
 {
 	(void)unused;
 	for (;;) {
-		(void)usleep(PASS_US);
+		(void)usleep(PASS_INTERVAL_US);
 		g_mutex_lock(&lock);
-		if (!is_held()) {
-			int64_t before = servers[0].map_version;
+		if (!is_next_pass_held()) {
+			int64_t old_version = servers[0].map_version;
 
 			pass++;
 			switch_maps();
-			map_changes += servers[0].map_version != before;
-			count_tokens();
+			n_map_changes += servers[0].map_version != old_version;
+			add_expert_counts();
 		}
 		g_mutex_unlock(&lock);
 	}
 	return NULL;
 }
 
-static json_t *first_map(void)
+static json_t *make_initial_map(void)
 {
 	json_t *sets = json_array();
-	int experts = n_ranks * PLACES / 2;
+	int experts = n_ranks * N_SLOTS / 2;
 
-	for (int set = 0; set < SETS; set++) {
+	for (int set = 0; set < N_SETS; set++) {
 		json_t *ranks = json_array();
 
 		for (int rank = 0; rank < n_ranks; rank++) {
@@ -235,18 +245,18 @@
 	return sets;
 }
 
-static int64_t integer_of(const json_t *json, const char *name)
+static int64_t get_integer(const json_t *json, const char *name)
 {
 	return json_integer_value(json_object_get(json, name));
 }
 
 static int prepare(server_t *rank, const json_t *order)
 {
-	if (rank->armed != 0 || integer_of(order, "version") <= rank->most_version)
+	if (rank->armed_version != 0 || get_integer(order, "version") <= rank->max_version)
 		return 409;
-	rank->most_version = integer_of(order, "version");
-	rank->prepared = rank->most_version;
-	rank->ready_at = g_get_monotonic_time() + COPY_US;
+	rank->max_version = get_integer(order, "version");
+	rank->prepared_version = rank->max_version;
+	rank->ready_us = g_get_monotonic_time() + COPY_TIME_US;
 	json_decref(rank->prepared_map);
 	rank->prepared_map = json_incref(json_object_get(order, "mapping"));
 	return 202;
@@ -254,94 +264,96 @@
 
 static int arm(server_t *rank, const json_t *order)
 {
-	int64_t version = integer_of(order, "version");
+	int64_t version = get_integer(order, "version");
 
-	if (rank->armed == version && rank->armed_pass == integer_of(order, "step"))
+	if (rank->armed_version == version && rank->armed_pass == get_integer(order, "step"))
 		return 200;
-	if (rank->prepared != version || integer_of(order, "step") <= pass || rank->armed != 0)
+	if (rank->prepared_version != version || get_integer(order, "step") <= pass ||
+	    rank->armed_version != 0)
 		return 409;
-	rank->armed = version;
-	rank->armed_pass = integer_of(order, "step");
+	rank->armed_version = version;
+	rank->armed_pass = get_integer(order, "step");
 	return 202;
 }
 
-static int carry_out(server_t *rank, const json_t *order)
+static int apply_order(server_t *rank, const json_t *order)
 {
 	const char *op = json_string_value(json_object_get(order, "op"));
-	int64_t fence = integer_of(order, "fencing-token");
+	int64_t fencing_token = get_integer(order, "fencing-token");
 
-	if (!op || integer_of(order, "epoch") != 1)
+	if (!op || get_integer(order, "epoch") != 1)
 		return 409;
-	if (fence < rank->fence)
+	if (fencing_token < rank->fencing_token)
 		return 412;
-	rank->fence = fence;
+	rank->fencing_token = fencing_token;
 	if (strcmp(op, "prepare") == 0)
 		return prepare(rank, order);
 	if (strcmp(op, "arm") == 0)
 		return arm(rank, order);
 	if (strcmp(op, "disarm") == 0) {
-		if (rank->map_version == integer_of(order, "version"))
+		if (rank->map_version == get_integer(order, "version"))
 			return 409;
-		if (rank->armed == integer_of(order, "version"))
-			rank->armed = 0;
+		if (rank->armed_version == get_integer(order, "version"))
+			rank->armed_version = 0;
 		return 202;
 	}
 	if (strcmp(op, "hold") == 0) {
-		if (integer_of(order, "step") <= pass || rank->held != 0)
-			return rank->held == integer_of(order, "step") ? 200 : 409;
-		rank->held = integer_of(order, "step");
+		if (get_integer(order, "step") <= pass || rank->held_pass != 0)
+			return rank->held_pass == get_integer(order, "step") ? 200 : 409;
+		rank->held_pass = get_integer(order, "step");
 		return 202;
 	}
 	if (strcmp(op, "go") != 0)
 		return 400;
-	if (rank->held == integer_of(order, "step"))
-		rank->held = 0;
+	if (rank->held_pass == get_integer(order, "step"))
+		rank->held_pass = 0;
 	return 202;
 }
 
-static int order(struct mg_connection *connection, server_t *rank)
+static int handle_order(struct mg_connection *connection, server_t *rank)
 {
 	json_t *request = standin_read_json(connection);
 	char fault[sizeof(rank->order_fault)] = "";
 	int status = 0;
 
 	g_mutex_lock(&lock);
-	if (rank->order_fault_count > 0) {
-		rank->order_fault_count--;
+	if (rank->n_order_faults > 0) {
+		rank->n_order_faults--;
 		(void)g_strlcpy(fault, rank->order_fault, sizeof(fault));
 	}
 	if (strcmp(fault, "late") == 0) {
 		g_mutex_unlock(&lock);
-		(void)usleep(LATE_US);
+		(void)usleep(LATE_ORDER_DELAY_US);
 		g_mutex_lock(&lock);
 	}
 	if (strcmp(fault, "drop") != 0)
-		status = carry_out(rank, request);
+		status = apply_order(rank, request);
 	g_mutex_unlock(&lock);
 	json_decref(request);
 	return *fault ? standin_hang_up(connection)
 		      : standin_answer(connection, status, json_object());
 }
 
-static json_t *report(const server_t *rank)
+static json_t *report_to_json(const server_t *rank)
 {
-	bool ready = g_get_monotonic_time() >= rank->ready_at;
+	bool is_prepared = g_get_monotonic_time() >= rank->ready_us;
 
 	return json_pack("{s:s, s:{s:s, s:i, s:i, s:s}, s:i, s:I, s:I, s:I, s:I, s:I, s:i}",
 			 "phase", "unified", "group", "name", "g0", "epoch", 1, "rank", rank->rank,
 			 "state", "open", "size", n_ranks, "step", (json_int_t)pass, "mapping",
 			 (json_int_t)rank->map_version, "prepared",
-			 (json_int_t)(ready ? rank->prepared : 0), "armed", (json_int_t)rank->armed,
-			 "held", (json_int_t)rank->held, "sequence", 1);
+			 (json_int_t)(is_prepared ? rank->prepared_version : 0), "armed",
+			 (json_int_t)rank->armed_version, "held", (json_int_t)rank->held_pass,
+			 "sequence", 1);
 }
 
-static json_t *picked(struct mg_connection *connection, const server_t *rank)
+static json_t *expert_demand_to_json(struct mg_connection *connection, const server_t *rank)
 {
 	const char *query = mg_get_request_info(connection)->query_string;
 	json_t *list = json_array();
 
 	if (query && strstr(query, "lists")) {
-		for (int set = 0; set < SETS; set++)
+		for (int set = 0; set < N_SETS; set++)
 			json_array_append(list,
 					  json_array_get(json_array_get(rank->map, (size_t)set),
 							 (size_t)rank->rank));
@@ -349,19 +361,19 @@
 				 "mapping", "version", (json_int_t)rank->map_version, "experts",
 				 list);
 	}
-	for (int i = 0; i < SETS * n_ranks * PLACES / 2; i++)
-		json_array_append_new(list, json_integer((json_int_t)counts[i]));
+	for (int i = 0; i < N_SETS * n_ranks * N_SLOTS / 2; i++)
+		json_array_append_new(list, json_integer((json_int_t)expert_counts[i]));
 	return json_pack("{s:I, s:i, s:o}", "step", (json_int_t)pass, "epoch", 1, "counts", list);
 }
 
 /* --- Requests --- */
 
-static void say(struct mg_connection *connection, const char *text)
+static void write_text(struct mg_connection *connection, const char *text)
 {
 	(void)mg_write(connection, text, strlen(text));
 }
 
-static char *head_of(const server_t *server, const char *attempt, int status)
+static char *make_head(const server_t *server, const char *attempt, int status)
 {
 	return g_strdup_printf("HTTP/1.1 %d X\r\nSkylarkhead-Attempt-Id: %s\r\n"
 			       "Skylarkhead-Response-Signature: sig-%s\r\n"
@@ -369,87 +381,88 @@
 			       status, attempt, server->id);
 }
 
-static void answer_whole(struct mg_connection *connection, const server_t *server,
-			 const char *attempt, int status, const char *body)
+static void send_response(struct mg_connection *connection, const server_t *server,
+			  const char *attempt, int status, const char *body)
 {
-	g_autofree char *head = head_of(server, attempt, status);
+	g_autofree char *head = make_head(server, attempt, status);
 	g_autofree char *text =
 		g_strdup_printf("%sContent-Length: %zu\r\n\r\n%s", head, strlen(body), body);
 
-	say(connection, text);
+	write_text(connection, text);
 }
 
-static int stream(struct mg_connection *connection, const server_t *server, const char *attempt,
-		  bool cut)
+static int send_stream(struct mg_connection *connection, const server_t *server,
+		       const char *attempt, bool should_close)
 {
-	g_autofree char *head = head_of(server, attempt, 200);
-	const char *last = mg_get_header(connection, "Last-Event-Id");
-	int first = last ? atoi(last) + 1 : 0;
-
-	say(connection, head);
-	say(connection, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
-	for (int i = first; i < EVENTS; i++) {
+	g_autofree char *head = make_head(server, attempt, 200);
+	const char *last_event_id = mg_get_header(connection, "Last-Event-Id");
+	int first_event = last_event_id ? atoi(last_event_id) + 1 : 0;
+
+	write_text(connection, head);
+	write_text(connection,
+		   "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
+	for (int i = first_event; i < EVENTS_PER_STREAM; i++) {
 		g_autofree char *event = g_strdup_printf("id: %d\ndata: e%d\n\n", i, i);
 		g_autofree char *text = g_strdup_printf("%zx\r\n%s\r\n", strlen(event), event);
 
-		(void)usleep(EVENT_US);
-		say(connection, text);
-		if (cut && i == first + 1) {
-			say(connection, "10\r\nid: 9\nda");
+		(void)usleep(EVENT_INTERVAL_US);
+		write_text(connection, text);
+		if (should_close && i == first_event + 1) {
+			write_text(connection, "10\r\nid: 9\nda");
 			return standin_hang_up(connection);
 		}
 	}
-	say(connection, "0\r\n\r\n");
+	write_text(connection, "0\r\n\r\n");
 	return 200;
 }
 
-static int misbehave(struct mg_connection *connection, const server_t *server, const char *attempt,
-		     const char *fault)
+static int apply_fault(struct mg_connection *connection, const server_t *server,
+		       const char *attempt, const char *fault)
 {
-	g_autofree char *head = head_of(server, attempt, 200);
+	g_autofree char *head = make_head(server, attempt, 200);
 
 	if (strcmp(fault, "not_run") == 0) {
-		say(connection, "HTTP/1.1 503 X\r\nSkylarkhead-Not-Executed: 1\r\n"
-				"Content-Length: 0\r\n\r\n");
+		write_text(connection, "HTTP/1.1 503 X\r\nSkylarkhead-Not-Executed: 1\r\n"
+				       "Content-Length: 0\r\n\r\n");
 		return 503;
 	}
 	if (strcmp(fault, "error") == 0) {
-		answer_whole(connection, server, attempt, 500, "failed");
+		send_response(connection, server, attempt, 500, "failed");
 		return 500;
 	}
 	if (strcmp(fault, "garble") == 0)
-		say(connection, "HTP/1.1 two hundred\r\n\r\n");
+		write_text(connection, "HTP/1.1 two hundred\r\n\r\n");
 	else if (strcmp(fault, "half") == 0) {
-		say(connection, head);
-		say(connection, "Content-Length: 100\r\n\r\nonly a part");
+		write_text(connection, head);
+		write_text(connection, "Content-Length: 100\r\n\r\nonly a part");
 	} else if (strcmp(fault, "unframed") == 0) {
-		say(connection, head);
-		say(connection, "Connection: close\r\n\r\nwithout a length");
+		write_text(connection, head);
+		write_text(connection, "Connection: close\r\n\r\nwithout a length");
 		mg_close_connection(connection);
 		return 200;
 	} else if (strcmp(fault, "mute") == 0) {
-		(void)usleep(MUTE_US);
+		(void)usleep(MUTE_DELAY_US);
 	}
 	return standin_hang_up(connection);
 }
 
-static void check_request(struct mg_connection *connection, server_t *server, const char *attempt)
+static void record_request(struct mg_connection *connection, server_t *server, const char *attempt)
 {
 	const char *path = mg_get_request_info(connection)->local_uri;
 
-	runs++;
-	(void)g_hash_table_add(all, g_strdup(attempt));
+	n_runs++;
+	(void)g_hash_table_add(all_attempts, g_strdup(attempt));
 	if (!mg_get_header(connection, "Skylarkhead-Tenant") ||
 	    mg_get_header(connection, "Authorization") ||
 	    !mg_get_header(connection, "Skylarkhead-Deadline-Ms"))
-		unasked++;
-	if (server->left_at != 0 && g_get_monotonic_time() - server->left_at > LEFT_BOUND_US)
-		after_leaving++;
-	if (strstr(path, "/once/") && !g_hash_table_add(ran, g_strdup(attempt)))
-		twice++;
+		n_bad_headers++;
+	if (server->left_us != 0 && g_get_monotonic_time() - server->left_us > LEAVE_GRACE_US)
+		n_runs_after_leaving++;
+	if (strstr(path, "/once/") && !g_hash_table_add(once_attempts, g_strdup(attempt)))
+		n_repeated_runs++;
 }
 
-static int request(struct mg_connection *connection, server_t *server)
+static int handle_request(struct mg_connection *connection, server_t *server)
 {
 	const char *path = mg_get_request_info(connection)->local_uri;
 	const char *expected = mg_get_header(connection, "Skylarkhead-Expect-Instance");
@@ -459,115 +472,116 @@
 	char fault[sizeof(server->fault)] = "";
 
 	if (expected && strcmp(expected, server->id) != 0) {
-		say(connection, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n");
+		write_text(connection, "HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n");
 		return 421;
 	}
 	attempt = attempt ? attempt : "-";
 	g_mutex_lock(&lock);
-	if (server->fault_count > 0) {
-		server->fault_count--;
+	if (server->n_faults > 0) {
+		server->n_faults--;
 		(void)g_strlcpy(fault, server->fault, sizeof(fault));
 	}
 	if (strcmp(fault, "not_run") != 0)
-		check_request(connection, server, attempt);
+		record_request(connection, server, attempt);
 	g_mutex_unlock(&lock);
 	if (slow)
 		(void)usleep((useconds_t)atoi(slow + strlen("/slow")) * US_PER_MS);
 	if (*fault && strcmp(fault, "cut") != 0 && strcmp(fault, "extra") != 0)
-		return misbehave(connection, server, attempt, fault);
+		return apply_fault(connection, server, attempt, fault);
 	if (strstr(path, "/stream/"))
-		return stream(connection, server, attempt, strcmp(fault, "cut") == 0);
-	answer_whole(connection, server, attempt, 200, *body ? body : "ok");
+		return send_stream(connection, server, attempt, strcmp(fault, "cut") == 0);
+	send_response(connection, server, attempt, 200, *body ? body : "ok");
 	if (strcmp(fault, "extra") == 0)
-		answer_whole(connection, server, attempt, 200, "again");
+		send_response(connection, server, attempt, 200, "again");
 	return 200;
 }
 
 /* --- Control --- */
 
-static json_t *control(struct mg_connection *connection, server_t *server)
+static json_t *apply_control(struct mg_connection *connection, server_t *server)
 {
 	json_t *json = standin_read_json(connection);
 	const char *fault = json_string_value(json_object_get(json, "fault"));
 	const char *order_fault = json_string_value(json_object_get(json, "order"));
 
 	if (json_is_true(json_object_get(json, "draining")))
-		server->draining = true;
+		server->is_draining = true;
 	if (json_is_true(json_object_get(json, "gone")))
-		server->gone = true;
-	if (server->draining || server->gone)
-		server->left_at = server->left_at ? server->left_at : g_get_monotonic_time();
+		server->is_gone = true;
+	if (server->is_draining || server->is_gone)
+		server->left_us = server->left_us ? server->left_us : g_get_monotonic_time();
 	if (json_is_true(json_object_get(json, "back"))) {
-		server->draining = false;
-		server->gone = false;
-		server->left_at = 0;
+		server->is_draining = false;
+		server->is_gone = false;
+		server->left_us = 0;
 	}
 	if (fault) {
 		(void)g_strlcpy(server->fault, fault, sizeof(server->fault));
-		server->fault_count = integer_of(json, "count");
+		server->n_faults = get_integer(json, "count");
 	}
 	if (order_fault) {
 		(void)g_strlcpy(server->order_fault, order_fault, sizeof(server->order_fault));
-		server->order_fault_count = integer_of(json, "count");
+		server->n_order_faults = get_integer(json, "count");
 	}
 	json_decref(json);
 	return json_object();
 }
 
-static json_t *seen(void)
+static json_t *counters_to_json(void)
 {
-	return json_pack("{s:I, s:I, s:I, s:I, s:I, s:I, s:I}", "runs", (json_int_t)runs, "twice",
-			 (json_int_t)twice, "unasked", (json_int_t)unasked, "after_leaving",
-			 (json_int_t)after_leaving, "mixed_maps", (json_int_t)mixed, "passes",
-			 (json_int_t)pass, "map_changes", (json_int_t)map_changes);
+	return json_pack("{s:I, s:I, s:I, s:I, s:I, s:I, s:I}", "runs", (json_int_t)n_runs, "twice",
+			 (json_int_t)n_repeated_runs, "unasked", (json_int_t)n_bad_headers,
+			 "after_leaving", (json_int_t)n_runs_after_leaving, "mixed_maps",
+			 (json_int_t)n_mixed_maps, "passes", (json_int_t)pass, "map_changes",
+			 (json_int_t)n_map_changes);
 }
 
-static json_t *all_ran(void)
+static json_t *attempts_to_json(void)
 {
 	json_t *list = json_array();
 	GHashTableIter iter;
 	gpointer id;
 
-	g_hash_table_iter_init(&iter, all);
+	g_hash_table_iter_init(&iter, all_attempts);
 	while (g_hash_table_iter_next(&iter, &id, NULL))
 		json_array_append_new(list, json_string(id));
 	return list;
 }
 
-static int handle(struct mg_connection *connection, void *unused)
+static int dispatch_call(struct mg_connection *connection, void *unused)
 {
 	const char *path = mg_get_request_info(connection)->local_uri;
-	server_t *server = server_at(connection);
+	server_t *server = find_server(connection);
 	json_t *json = NULL;
 
 	(void)unused;
 	if (strcmp(path, "/v1/order") == 0)
-		return order(connection, server);
+		return handle_order(connection, server);
 	g_mutex_lock(&lock);
 	if (strcmp(path, "/control") == 0)
-		json = control(connection, server);
+		json = apply_control(connection, server);
 	else if (strcmp(path, "/seen") == 0)
-		json = seen();
+		json = counters_to_json();
 	else if (strcmp(path, "/ran") == 0)
-		json = all_ran();
+		json = attempts_to_json();
 	else if (strcmp(path, "/v1/report") == 0)
-		json = report(server);
+		json = report_to_json(server);
 	else if (strcmp(path, "/v1/picked") == 0)
-		json = picked(connection, server);
+		json = expert_demand_to_json(connection, server);
 	g_mutex_unlock(&lock);
-	return json ? standin_answer(connection, 200, json) : request(connection, server);
+	return json ? standin_answer(connection, 200, json) : handle_request(connection, server);
 }
 
-static void add_server(GString *ports, int port, bool engine)
+static void add_server(GString *ports, int port, bool is_engine)
 {
 	server_t *server = &servers[n_servers];
 
 	server->port = port;
-	server->engine = engine;
+	server->is_engine = is_engine;
 	server->rank = n_servers;
-	(void)g_snprintf(server->id, sizeof(server->id), "%s%d", engine ? "m" : "p", n_servers);
-	if (engine)
-		server->map = first_map();
+	(void)g_snprintf(server->id, sizeof(server->id), "%s%d", is_engine ? "m" : "p", n_servers);
+	if (is_engine)
+		server->map = make_initial_map();
 	g_string_append_printf(ports, "%s127.0.0.1:%d", n_servers ? "," : "", port);
 	n_servers++;
 }
@@ -584,16 +598,16 @@
 	}
 	store = argv[1];
 	base = atoi(argv[2]);
-	offset = argc == 5 ? atoi(argv[4]) : 0;
-	all = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	listed_port_offset = argc == 5 ? atoi(argv[4]) : 0;
+	all_attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	n_ranks = MIN(atoi(argv[3]), MAX_SERVERS - N_PLAIN);
-	ran = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	once_attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	for (int i = 0; i < n_ranks; i++)
 		add_server(ports, base + i, true);
 	for (int i = 0; i < N_PLAIN; i++)
-		add_server(ports, base + PLAIN_OFFSET + i, false);
+		add_server(ports, base + PLAIN_PORT_OFFSET + i, false);
 	(void)curl_global_init(CURL_GLOBAL_DEFAULT);
-	(void)pthread_create(&thread, NULL, heartbeat, NULL);
-	(void)pthread_create(&thread, NULL, make_passes, NULL);
-	return standin_serve(ports->str, handle);
+	(void)pthread_create(&thread, NULL, run_heartbeat, NULL);
+	(void)pthread_create(&thread, NULL, run_passes, NULL);
+	return standin_serve(ports->str, dispatch_call);
 }
--- a/test/standin/fleet_store.c
+++ b/test/standin/fleet_store.c
@@ -1,10 +1,19 @@
 /*
- * Stand-in for the users' metadata store: items with revisions, ranges, long
- * polls, transactions, leases. POST /put {"key","value"} writes as the operator
- * does; DELETE /put?key=K removes. POST /fault {"mode":M,"count":N,"ms":T,
- * "only":PART}: "down" answers 503, "slow" waits, "lose" does the work and hangs
- * up, "drop" hangs up without it, "silent" waits and hangs up, "forget" drops
- * the history. GET /counts tells the calls.
+ * Stand-in for the users' metadata store: items with revisions, ranges, long polls,
+ * transactions and leases.
+ *
+ *   POST /put {"key":K,"value":V}           write an item, as an operator does
+ *   DELETE /put?key=K                       delete an item
+ *   GET /counts                             number of calls and current revision
+ *   POST /fault {"mode":M,"count":N,"ms":T,"only":PART}
+ *                                           apply a fault to the next N calls whose path
+ *                                           contains PART:
+ *     "down"      respond with status 503
+ *     "slow"      wait T ms before executing the call
+ *     "lose"      execute the call, then close the connection without a response
+ *     "drop"      close the connection without executing the call
+ *     "silent"    wait SILENT_DELAY_US, then close the connection without executing the call
+ *     "forget"    discard the history at once, so that a watch from an older revision fails
  */
 #define _GNU_SOURCE
 #include "standin.h"
@@ -14,18 +23,18 @@
 #include <string.h>
 #include <unistd.h>
 
-#define POLL_US	      (10 * 1000)
-#define US_PER_MS     1000
-#define SILENT_US     (3 * 1000 * 1000)
-#define MAX_HISTORY   20000
-#define MAX_EVENTS    200
-#define STATUS_GONE   410
-#define STATUS_FAILED 412
+#define POLL_INTERVAL_US	   (10 * 1000)
+#define US_PER_MS		   1000
+#define SILENT_DELAY_US		   (3 * 1000 * 1000)
+#define MAX_HISTORY		   20000
+#define MAX_EVENTS		   200
+#define STATUS_GONE		   410
+#define STATUS_PRECONDITION_FAILED 412
 
 typedef struct item {
 	char *value; /* base64 */
 	int64_t revision;
-	int64_t created;
+	int64_t create_revision;
 	int64_t lease;
 } item_t;
 
@@ -36,17 +45,17 @@
 } event_t;
 
 static GMutex lock;
-static GTree *items;	   /* key -> item_t */
-static GArray *history;	   /* event_t */
-static GHashTable *leases; /* id -> deadline, both int64_t */
-static GHashTable *ttls;   /* id -> ttl in ms */
+static GTree *items;	       /* key -> item_t */
+static GArray *history;	       /* event_t */
+static GHashTable *leases;     /* id -> deadline_us, both int64_t */
+static GHashTable *lease_ttls; /* id -> TTL in ms, both int64_t */
 static int64_t revision = 5;
 static int64_t next_lease = 100;
-static int64_t forgotten; /* history up to here is gone */
-static int64_t calls;
+static int64_t compacted_revision; /* history up to this revision is discarded */
+static int64_t n_calls;
 static char fault_mode[16];
 static char fault_only[32];
-static int64_t fault_count;
+static int64_t n_faults;
 static int64_t fault_ms;
 
 static void free_item(gpointer data)
@@ -63,11 +72,11 @@
 	return strcmp(a, b);
 }
 
-static json_t *item_json(const char *key, const item_t *item)
+static json_t *item_to_json(const char *key, const item_t *item)
 {
 	return json_pack("{s:s, s:s, s:I, s:I, s:I}", "key", key, "value", item->value, "revision",
-			 (json_int_t)item->revision, "create-rev", (json_int_t)item->created,
-			 "lease", (json_int_t)item->lease);
+			 (json_int_t)item->revision, "create-rev",
+			 (json_int_t)item->create_revision, "lease", (json_int_t)item->lease);
 }
 
 static void add_event(const char *key, json_t *json)
@@ -76,39 +85,39 @@
 
 	g_array_append_val(history, event);
 	if (history->len > MAX_HISTORY) {
-		event_t *old = &g_array_index(history, event_t, 0);
+		event_t *oldest = &g_array_index(history, event_t, 0);
 
-		forgotten = old->revision;
-		g_free(old->key);
-		json_decref(old->json);
+		compacted_revision = oldest->revision;
+		g_free(oldest->key);
+		json_decref(oldest->json);
 		g_array_remove_index(history, 0);
 	}
 }
 
-/* @value in base64. */
-static void put(const char *key, const char *value, int64_t lease)
+/* @value is base64. */
+static void put_key(const char *key, const char *value, int64_t lease)
 {
-	item_t *old = g_tree_lookup(items, key);
+	item_t *old_item = g_tree_lookup(items, key);
 	item_t *item = g_new0(item_t, 1);
 
 	item->value = g_strdup(value);
 	item->revision = ++revision;
-	item->created = old ? old->created : revision;
+	item->create_revision = old_item ? old_item->create_revision : revision;
 	item->lease = lease;
 	g_tree_replace(items, g_strdup(key), item);
-	add_event(key, item_json(key, item));
+	add_event(key, item_to_json(key, item));
 }
 
-static void drop(const char *key)
+static void delete_key(const char *key)
 {
-	g_autofree char *copy = g_strdup(key);
+	g_autofree char *owned_key = g_strdup(key);
 
-	if (!g_tree_lookup(items, copy))
+	if (!g_tree_lookup(items, owned_key))
 		return;
-	g_tree_remove(items, copy);
+	g_tree_remove(items, owned_key);
 	revision++;
-	add_event(copy, json_pack("{s:s, s:I, s:b}", "key", copy, "revision", (json_int_t)revision,
-				  "tombstone", 1));
+	add_event(owned_key, json_pack("{s:s, s:I, s:b}", "key", owned_key, "revision",
+				       (json_int_t)revision, "tombstone", 1));
 }
 
 typedef struct search {
@@ -125,7 +134,7 @@
 
 	if (g_str_has_prefix(key, search->prefix) &&
 	    (!search->after || strcmp(key, search->after) > 0))
-		json_array_append_new(search->found, item_json(key, value));
+		json_array_append_new(search->found, item_to_json(key, value));
 	return FALSE;
 }
 
@@ -138,13 +147,13 @@
 	return FALSE;
 }
 
-static void end_lease(int64_t id)
+static void delete_lease(int64_t id)
 {
 	search_t search = { .lease = id, .keys = g_ptr_array_new_with_free_func(g_free) };
 
 	g_tree_foreach(items, match_lease, &search);
 	for (guint i = 0; i < search.keys->len; i++)
-		drop(search.keys->pdata[i]);
+		delete_key(search.keys->pdata[i]);
 	g_ptr_array_unref(search.keys);
 	(void)g_hash_table_remove(leases, &id);
 }
@@ -154,24 +163,24 @@
 	g_autoptr(GList) ids = g_hash_table_get_keys(leases);
 
 	for (GList *id = ids; id; id = id->next) {
-		const int64_t *deadline = g_hash_table_lookup(leases, id->data);
+		const int64_t *deadline_us = g_hash_table_lookup(leases, id->data);
 
-		if (g_get_monotonic_time() > *deadline)
-			end_lease(*(int64_t *)id->data);
+		if (g_get_monotonic_time() > *deadline_us)
+			delete_lease(*(int64_t *)id->data);
 	}
 }
 
-static void keep_lease(int64_t id, int64_t ttl_ms)
+static void set_lease_deadline(int64_t id, int64_t ttl_ms)
 {
-	int64_t deadline = g_get_monotonic_time() + ttl_ms * US_PER_MS;
+	int64_t deadline_us = g_get_monotonic_time() + ttl_ms * US_PER_MS;
 
 	(void)g_hash_table_replace(leases, g_memdup2(&id, sizeof(id)),
-				   g_memdup2(&deadline, sizeof(deadline)));
-	(void)g_hash_table_replace(ttls, g_memdup2(&id, sizeof(id)),
+				   g_memdup2(&deadline_us, sizeof(deadline_us)));
+	(void)g_hash_table_replace(lease_ttls, g_memdup2(&id, sizeof(id)),
 				   g_memdup2(&ttl_ms, sizeof(ttl_ms)));
 }
 
-static char *query_of(struct mg_connection *connection, const char *name)
+static char *get_query_text(struct mg_connection *connection, const char *name)
 {
 	const char *query = mg_get_request_info(connection)->query_string;
 	char value[1024];
@@ -181,18 +190,18 @@
 	return g_strdup(value);
 }
 
-static int64_t number_of(struct mg_connection *connection, const char *name)
+static int64_t get_query_number(struct mg_connection *connection, const char *name)
 {
-	g_autofree char *text = query_of(connection, name);
+	g_autofree char *text = get_query_text(connection, name);
 
 	return text ? g_ascii_strtoll(text, NULL, 10) : 0;
 }
 
 static json_t *get_key(struct mg_connection *connection, int *status)
 {
-	g_autofree char *key = query_of(connection, "key");
+	g_autofree char *key = get_query_text(connection, "key");
 	item_t *item = key ? g_tree_lookup(items, key) : NULL;
-	json_t *json = item ? item_json(key, item) : json_object();
+	json_t *json = item ? item_to_json(key, item) : json_object();
 
 	json_object_set_new(json, "current-rev", json_integer(revision));
 	*status = item ? 200 : 404;
@@ -201,8 +210,8 @@
 
 static json_t *get_range(struct mg_connection *connection)
 {
-	g_autofree char *prefix = query_of(connection, "prefix");
-	g_autofree char *after = query_of(connection, "after");
+	g_autofree char *prefix = get_query_text(connection, "prefix");
+	g_autofree char *after = get_query_text(connection, "after");
 	search_t search = { .prefix = prefix ? prefix : "", .after = after, .found = json_array() };
 
 	g_tree_foreach(items, match_prefix, &search);
@@ -210,7 +219,7 @@
 			 (json_int_t)revision);
 }
 
-static json_t *events_after(const char *prefix, int64_t after)
+static json_t *get_events_after(const char *prefix, int64_t after)
 {
 	json_t *list = json_array();
 
@@ -223,32 +232,33 @@
 	return list;
 }
 
-/* Called with the lock held, which it gives up while it waits. */
-static json_t *watch(struct mg_connection *connection, int *status)
+/* The caller holds the lock, which is released while the call waits for events. */
+static json_t *handle_watch(struct mg_connection *connection, int *status)
 {
-	g_autofree char *prefix = query_of(connection, "prefix");
-	int64_t after = number_of(connection, "after");
-	int64_t until = g_get_monotonic_time() + number_of(connection, "wait-ms") * US_PER_MS;
+	g_autofree char *prefix = get_query_text(connection, "prefix");
+	int64_t after = get_query_number(connection, "after");
+	int64_t deadline_us =
+		g_get_monotonic_time() + get_query_number(connection, "wait-ms") * US_PER_MS;
 	json_t *list = NULL;
 
 	for (;;) {
-		if (after < forgotten) {
+		if (after < compacted_revision) {
 			*status = STATUS_GONE;
 			return json_object();
 		}
-		list = events_after(prefix ? prefix : "", after);
-		if (json_array_size(list) > 0 || g_get_monotonic_time() >= until)
+		list = get_events_after(prefix ? prefix : "", after);
+		if (json_array_size(list) > 0 || g_get_monotonic_time() >= deadline_us)
 			break;
 		json_decref(list);
 		g_mutex_unlock(&lock);
-		(void)usleep(POLL_US);
+		(void)usleep(POLL_INTERVAL_US);
 		g_mutex_lock(&lock);
 		expire_leases();
 	}
 	return json_pack("{s:o, s:I}", "events", list, "current-rev", (json_int_t)revision);
 }
 
-static bool fits(const json_t *expected)
+static bool has_expected_revisions(const json_t *expected)
 {
 	json_t *row;
 	size_t index;
@@ -265,13 +275,13 @@
 	return true;
 }
 
-static json_t *transact(const json_t *request, int *status)
+static json_t *run_transaction(const json_t *request, int *status)
 {
 	json_t *row;
 	size_t index;
 
-	if (!fits(json_object_get(request, "expected"))) {
-		*status = STATUS_FAILED;
+	if (!has_expected_revisions(json_object_get(request, "expected"))) {
+		*status = STATUS_PRECONDITION_FAILED;
 		return json_pack("{s:[]}", "items");
 	}
 	json_array_foreach(json_object_get(request, "puts"), index, row)
@@ -282,34 +292,34 @@
 			*status = 404;
 			return json_object();
 		}
-		put(json_string_value(json_object_get(row, "key")),
-		    json_string_value(json_object_get(row, "value")), lease);
+		put_key(json_string_value(json_object_get(row, "key")),
+			json_string_value(json_object_get(row, "value")), lease);
 	}
 	json_array_foreach(json_object_get(request, "remove"), index, row)
-		drop(json_string_value(row));
+		delete_key(json_string_value(row));
 	return json_pack("{s:I}", "revision", (json_int_t)revision);
 }
 
-static json_t *grant(const json_t *request)
+static json_t *grant_lease(const json_t *request)
 {
 	int64_t ttl_ms = json_integer_value(json_object_get(request, "ttl-ms"));
 
-	keep_lease(++next_lease, ttl_ms);
+	set_lease_deadline(++next_lease, ttl_ms);
 	return json_pack("{s:I, s:I}", "lease", (json_int_t)next_lease, "ttl-ms",
 			 (json_int_t)ttl_ms);
 }
 
-static json_t *renew(const char *path, int *status)
+static json_t *renew_lease(const char *path, int *status)
 {
 	int64_t id = g_ascii_strtoll(strrchr(path, '/') + 1, NULL, 10);
-	const int64_t *known = g_hash_table_lookup(ttls, &id);
-	int64_t ttl_ms = known ? *known : 0;
+	const int64_t *stored_ttl_ms = g_hash_table_lookup(lease_ttls, &id);
+	int64_t ttl_ms = stored_ttl_ms ? *stored_ttl_ms : 0;
 
-	if (!g_hash_table_contains(leases, &id) || !known) {
+	if (!g_hash_table_contains(leases, &id) || !stored_ttl_ms) {
 		*status = 404;
 		return json_object();
 	}
-	keep_lease(id, ttl_ms);
+	set_lease_deadline(id, ttl_ms);
 	return json_pack("{s:I}", "ttl-ms", (json_int_t)ttl_ms);
 }
 
@@ -317,13 +327,13 @@
 {
 	const char *value = json_string_value(json_object_get(request, "value"));
 	g_autofree char *encoded = NULL;
-	g_autofree char *removed = query_of(connection, "key");
+	g_autofree char *removed = get_query_text(connection, "key");
 
 	if (removed) {
-		drop(removed);
+		delete_key(removed);
 	} else if (value) {
 		encoded = g_base64_encode((const guchar *)value, strlen(value));
-		put(json_string_value(json_object_get(request, "key")), encoded, 0);
+		put_key(json_string_value(json_object_get(request, "key")), encoded, 0);
 	}
 	return json_pack("{s:I}", "revision", (json_int_t)revision);
 }
@@ -335,16 +345,16 @@
 
 	(void)g_strlcpy(fault_mode, mode ? mode : "", sizeof(fault_mode));
 	(void)g_strlcpy(fault_only, only ? only : "", sizeof(fault_only));
-	fault_count = json_integer_value(json_object_get(request, "count"));
+	n_faults = json_integer_value(json_object_get(request, "count"));
 	fault_ms = json_integer_value(json_object_get(request, "ms"));
 	if (strcmp(fault_mode, "forget") == 0) {
-		forgotten = revision;
-		fault_count = 0;
+		compacted_revision = revision;
+		n_faults = 0;
 	}
 	return json_object();
 }
 
-static json_t *serve(struct mg_connection *connection, const json_t *request, int *status)
+static json_t *handle_call(struct mg_connection *connection, const json_t *request, int *status)
 {
 	const char *path = mg_get_request_info(connection)->local_uri;
 
@@ -353,55 +363,55 @@
 	if (strcmp(path, "/fault") == 0)
 		return set_fault(request);
 	if (strcmp(path, "/counts") == 0)
-		return json_pack("{s:I, s:I}", "calls", (json_int_t)calls, "revision",
+		return json_pack("{s:I, s:I}", "calls", (json_int_t)n_calls, "revision",
 				 (json_int_t)revision);
-	calls++;
+	n_calls++;
 	if (strcmp(path, "/v1/kv-key") == 0)
 		return get_key(connection, status);
 	if (strcmp(path, "/v1/kv-range") == 0)
 		return get_range(connection);
 	if (strcmp(path, "/v1/kv-watch") == 0)
-		return watch(connection, status);
+		return handle_watch(connection, status);
 	if (strcmp(path, "/v1/kv-txn") == 0)
-		return transact(request, status);
+		return run_transaction(request, status);
 	if (strcmp(path, "/v1/kv-lease") == 0)
-		return grant(request);
+		return grant_lease(request);
 	if (g_str_has_prefix(path, "/v1/kv-keep/"))
-		return renew(path, status);
+		return renew_lease(path, status);
 	*status = 404;
 	return json_object();
 }
 
-/* Whether the fault strikes this call; "lose" strikes after the work. */
-static bool strikes(const char *path, char *mode, int64_t *ms)
+/* Returns whether a fault applies to this call, with its mode and delay. */
+static bool consume_fault(const char *path, char *mode, int64_t *ms)
 {
-	if (fault_count <= 0 || !g_str_has_prefix(path, "/v1/") ||
+	if (n_faults <= 0 || !g_str_has_prefix(path, "/v1/") ||
 	    (*fault_only && !strstr(path, fault_only)))
 		return false;
-	fault_count--;
+	n_faults--;
 	(void)g_strlcpy(mode, fault_mode, sizeof(fault_mode));
 	*ms = fault_ms;
 	return true;
 }
 
-static int handle(struct mg_connection *connection, void *unused)
+static int handle_request(struct mg_connection *connection, void *unused)
 {
 	const char *path = mg_get_request_info(connection)->local_uri;
 	json_t *request = standin_read_json(connection);
 	char mode[sizeof(fault_mode)] = "";
 	int64_t ms = 0;
 	int status = 200;
-	json_t *answer;
+	json_t *response;
 
 	(void)unused;
 	g_mutex_lock(&lock);
 	expire_leases();
-	(void)strikes(path, mode, &ms);
+	(void)consume_fault(path, mode, &ms);
 	g_mutex_unlock(&lock);
 	if (strcmp(mode, "slow") == 0)
 		(void)usleep((useconds_t)(ms * US_PER_MS));
 	if (strcmp(mode, "silent") == 0)
-		(void)usleep(SILENT_US);
+		(void)usleep(SILENT_DELAY_US);
 	if (strcmp(mode, "drop") == 0 || strcmp(mode, "silent") == 0) {
 		json_decref(request);
 		return standin_hang_up(connection);
@@ -411,14 +421,14 @@
 		return standin_answer(connection, 503, json_object());
 	}
 	g_mutex_lock(&lock);
-	answer = serve(connection, request, &status);
+	response = handle_call(connection, request, &status);
 	g_mutex_unlock(&lock);
 	json_decref(request);
 	if (strcmp(mode, "lose") == 0) {
-		json_decref(answer);
+		json_decref(response);
 		return standin_hang_up(connection);
 	}
-	return standin_answer(connection, status, answer);
+	return standin_answer(connection, status, response);
 }
 
 int main(int argc, char **argv)
@@ -430,6 +440,6 @@
 	items = g_tree_new_full(compare_keys, NULL, g_free, free_item);
 	history = g_array_new(FALSE, FALSE, sizeof(event_t));
 	leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	ttls = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	return standin_serve(argv[1], handle);
+	lease_ttls = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	return standin_serve(argv[1], handle_request);
 }
--- a/test/standin/kv.c
+++ b/test/standin/kv.c
@@ -1,9 +1,14 @@
 /*
- * Stand-in for the platform's key-value service: the part of the etcd v3 JSON
- * gateway that the product uses. POST /fault {"mode":M,"count":N} makes the
- * next N calls fail: "lose" does the work and hangs up, "drop" hangs up
- * without doing it, "stall" answers late by "ms"; "only" names a part of the
- * path of the calls that it strikes, "skip" lets so many of them pass. GET /counts tells the calls.
+ * Stand-in for the platform's key-value service: the part of the etcd v3 JSON gateway that
+ * the product uses.
+ *
+ *   GET /counts                             number of calls by kind
+ *   POST /fault {"mode":M,"count":N}        apply a fault to the next N calls:
+ *     "lose"     execute the call, then close the connection without a response
+ *     "drop"     close the connection without executing the call
+ *     "stall"    execute the call, but respond "ms" milliseconds later
+ *   With "only", a fault applies only to calls whose path contains that text; with "skip",
+ *   the first calls of that number are exempt.
  */
 #define _GNU_SOURCE
 #include "standin.h"
@@ -41,14 +46,14 @@
 static GMutex lock;
 static int64_t revision = 1;
 static int64_t next_lease = 1000;
-static GTree *entries;	   /* key -> entry_t */
-static GHashTable *leases; /* lease -> expiry, int64_t; TTL beside it */
-static GHashTable *ttls;
+static GTree *entries;	       /* key -> entry_t */
+static GHashTable *leases;     /* lease -> expiry time, int64_t */
+static GHashTable *lease_ttls; /* lease -> TTL in seconds, int64_t */
 static GPtrArray *events;
 static fault_t fault;
 static int64_t n_range, n_txn, n_lease, n_watch;
 
-static char *decode(const json_t *object, const char *key)
+static char *decode_field(const json_t *object, const char *key)
 {
 	const char *text = json_string_value(json_object_get(object, key));
 	gsize len = 0;
@@ -63,21 +68,21 @@
 	return copy;
 }
 
-static json_t *encode(const char *text)
+static json_t *encode_base64(const char *text)
 {
 	g_autofree char *encoded = g_base64_encode((const guchar *)text, strlen(text));
 
 	return json_string(encoded);
 }
 
-static json_t *number(int64_t value)
+static json_t *int64_to_json(int64_t value)
 {
 	g_autofree char *text = g_strdup_printf("%" PRId64, value);
 
 	return json_string(text);
 }
 
-static int64_t integer_of(const json_t *object, const char *key)
+static int64_t get_integer(const json_t *object, const char *key)
 {
 	const json_t *value = json_object_get(object, key);
 
@@ -100,7 +105,7 @@
 	g_free(entry);
 }
 
-static void note_event(const char *key, const char *value)
+static void record_event(const char *key, const char *value)
 {
 	event_t *event = g_new0(event_t, 1);
 
@@ -110,72 +115,72 @@
 	g_ptr_array_add(events, event);
 }
 
-static void put(const char *key, const char *value, int64_t lease)
+static void put_key(const char *key, const char *value, int64_t lease)
 {
-	entry_t *old = g_tree_lookup(entries, key);
-	entry_t *fresh = g_new0(entry_t, 1);
+	entry_t *old_entry = g_tree_lookup(entries, key);
+	entry_t *new_entry = g_new0(entry_t, 1);
 
-	fresh->value = g_strdup(value);
-	fresh->create_revision = old ? old->create_revision : revision;
-	fresh->mod_revision = revision;
-	fresh->lease = lease;
-	g_tree_replace(entries, g_strdup(key), fresh);
-	note_event(key, value);
+	new_entry->value = g_strdup(value);
+	new_entry->create_revision = old_entry ? old_entry->create_revision : revision;
+	new_entry->mod_revision = revision;
+	new_entry->lease = lease;
+	g_tree_replace(entries, g_strdup(key), new_entry);
+	record_event(key, value);
 }
 
-static void delete (const char *key)
+static void delete_key(const char *key)
 {
 	if (g_tree_remove(entries, key))
-		note_event(key, NULL);
+		record_event(key, NULL);
 }
 
-static gboolean collect_leased(gpointer key, gpointer value, gpointer context)
+static gboolean collect_leased(gpointer key, gpointer value, gpointer data)
 {
-	gpointer *pair = context;
+	gpointer *context = data;
 
-	if (((entry_t *)value)->lease == *(int64_t *)pair[0])
-		g_ptr_array_add(pair[1], g_strdup(key));
+	if (((entry_t *)value)->lease == *(int64_t *)context[0])
+		g_ptr_array_add(context[1], g_strdup(key));
 	return FALSE;
 }
 
-static void drop_lease(int64_t lease)
+static void revoke_lease(int64_t lease)
 {
 	g_autoptr(GPtrArray) keys = g_ptr_array_new_with_free_func(g_free);
-	gpointer pair[] = { &lease, keys };
+	gpointer context[] = { &lease, keys };
 
-	g_tree_foreach(entries, collect_leased, pair);
+	g_tree_foreach(entries, collect_leased, context);
 	if (keys->len > 0)
 		revision++;
 	for (guint i = 0; i < keys->len; i++)
-		delete (keys->pdata[i]);
+		delete_key(keys->pdata[i]);
 	g_hash_table_remove(leases, &lease);
 }
 
 static void expire_leases(void)
 {
-	int64_t now = g_get_monotonic_time();
+	int64_t now_us = g_get_monotonic_time();
 	GHashTableIter iter;
 	gpointer id;
-	gpointer expiry;
-	int64_t due = 0;
+	gpointer expires_us;
+	int64_t expired_lease = 0;
 
 	do {
-		due = 0;
+		expired_lease = 0;
 		g_hash_table_iter_init(&iter, leases);
-		while (g_hash_table_iter_next(&iter, &id, &expiry)) {
-			if (*(int64_t *)expiry <= now)
-				due = *(int64_t *)id;
+		while (g_hash_table_iter_next(&iter, &id, &expires_us)) {
+			if (*(int64_t *)expires_us <= now_us)
+				expired_lease = *(int64_t *)id;
 		}
-		if (due != 0)
-			drop_lease(due);
-	} while (due != 0);
+		if (expired_lease != 0)
+			revoke_lease(expired_lease);
+	} while (expired_lease != 0);
 }
 
-static json_t *header(void)
+static json_t *make_header(void)
 {
 	json_t *json = json_object();
 
-	json_object_set_new(json, "revision", number(revision));
+	json_object_set_new(json, "revision", int64_to_json(revision));
 	return json;
 }
 
@@ -183,17 +188,17 @@
 {
 	json_t *json = json_object();
 
-	json_object_set_new(json, "key", encode(key));
-	json_object_set_new(json, "value", encode(entry->value));
-	json_object_set_new(json, "create_revision", number(entry->create_revision));
-	json_object_set_new(json, "mod_revision", number(entry->mod_revision));
-	json_object_set_new(json, "lease", number(entry->lease));
+	json_object_set_new(json, "key", encode_base64(key));
+	json_object_set_new(json, "value", encode_base64(entry->value));
+	json_object_set_new(json, "create_revision", int64_to_json(entry->create_revision));
+	json_object_set_new(json, "mod_revision", int64_to_json(entry->mod_revision));
+	json_object_set_new(json, "lease", int64_to_json(entry->lease));
 	return json;
 }
 
 typedef struct range {
 	const char *from;
-	const char *end; /* "" for the one key */
+	const char *end; /* exclusive; "" for the single key @from */
 	json_t *kvs;
 } range_t;
 
@@ -215,28 +220,28 @@
 
 static json_t *do_range(const json_t *request)
 {
-	g_autofree char *from = decode(request, "key");
-	g_autofree char *end = decode(request, "range_end");
+	g_autofree char *from = decode_field(request, "key");
+	g_autofree char *end = decode_field(request, "range_end");
 	range_t range = { from, end, json_array() };
-	json_t *answer = json_object();
-	const entry_t *one = *end ? NULL : g_tree_lookup(entries, from);
+	json_t *response = json_object();
+	const entry_t *entry = *end ? NULL : g_tree_lookup(entries, from);
 
-	if (one)
-		json_array_append_new(range.kvs, pair_to_json(from, one));
+	if (entry)
+		json_array_append_new(range.kvs, pair_to_json(from, entry));
 	else if (*end)
 		g_tree_foreach(entries, collect_range, &range);
-	json_object_set_new(answer, "header", header());
-	json_object_set_new(answer, "count", number((int64_t)json_array_size(range.kvs)));
-	json_object_set_new(answer, "kvs", range.kvs);
-	return answer;
+	json_object_set_new(response, "header", make_header());
+	json_object_set_new(response, "count", int64_to_json((int64_t)json_array_size(range.kvs)));
+	json_object_set_new(response, "kvs", range.kvs);
+	return response;
 }
 
-static bool compare_holds(const json_t *compare)
+static bool is_compare_true(const json_t *compare)
 {
-	g_autofree char *key = decode(compare, "key");
+	g_autofree char *key = decode_field(compare, "key");
 	const entry_t *entry = g_tree_lookup(entries, key);
 
-	return (entry ? entry->mod_revision : 0) == integer_of(compare, "mod_revision");
+	return (entry ? entry->mod_revision : 0) == get_integer(compare, "mod_revision");
 }
 
 static void do_write(const json_t *op)
@@ -246,25 +251,25 @@
 	g_autofree char *value = NULL;
 
 	if (request) {
-		key = decode(request, "key");
-		value = decode(request, "value");
-		put(key, value, integer_of(request, "lease"));
+		key = decode_field(request, "key");
+		value = decode_field(request, "value");
+		put_key(key, value, get_integer(request, "lease"));
 		return;
 	}
 	request = json_object_get(op, "request_delete_range");
-	key = decode(request, "key");
-	delete (key);
+	key = decode_field(request, "key");
+	delete_key(key);
 }
 
 static json_t *do_ops(const json_t *ops)
 {
 	json_t *responses = json_array();
-	bool written = false;
+	bool is_write = false;
 	json_t *op;
 	size_t i;
 
-	json_array_foreach(ops, i, op) written = written || !json_object_get(op, "request_range");
-	revision += written;
+	json_array_foreach(ops, i, op) is_write = is_write || !json_object_get(op, "request_range");
+	revision += is_write;
 	json_array_foreach(ops, i, op)
 	{
 		const json_t *range = json_object_get(op, "request_range");
@@ -281,73 +286,73 @@
 
 static json_t *do_txn(const json_t *request)
 {
-	json_t *answer = json_object();
-	bool holds = true;
+	json_t *response = json_object();
+	bool is_success = true;
 	json_t *item;
 	size_t i;
 
-	json_array_foreach(json_object_get(request, "compare"), i, item) holds =
-		holds && compare_holds(item);
-	json_object_set_new(answer, "responses",
-			    do_ops(json_object_get(request, holds ? "success" : "failure")));
-	json_object_set_new(answer, "header", header());
-	json_object_set_new(answer, "succeeded", json_boolean(holds));
-	return answer;
+	json_array_foreach(json_object_get(request, "compare"), i, item) is_success =
+		is_success && is_compare_true(item);
+	json_object_set_new(response, "responses",
+			    do_ops(json_object_get(request, is_success ? "success" : "failure")));
+	json_object_set_new(response, "header", make_header());
+	json_object_set_new(response, "succeeded", json_boolean(is_success));
+	return response;
 }
 
 static json_t *do_put(const json_t *request)
 {
-	g_autofree char *key = decode(request, "key");
-	g_autofree char *value = decode(request, "value");
-	json_t *answer = json_object();
+	g_autofree char *key = decode_field(request, "key");
+	g_autofree char *value = decode_field(request, "value");
+	json_t *response = json_object();
 
 	revision++;
-	put(key, value, integer_of(request, "lease"));
-	json_object_set_new(answer, "header", header());
-	return answer;
+	put_key(key, value, get_integer(request, "lease"));
+	json_object_set_new(response, "header", make_header());
+	return response;
 }
 
 static void set_expiry(int64_t lease, int64_t ttl_s)
 {
 	int64_t *id = g_memdup2(&lease, sizeof(lease));
-	int64_t *expiry = g_new(int64_t, 1);
+	int64_t *expires_us = g_new(int64_t, 1);
 
-	*expiry = g_get_monotonic_time() + ttl_s * US_PER_S;
-	g_hash_table_replace(leases, id, expiry);
+	*expires_us = g_get_monotonic_time() + ttl_s * US_PER_S;
+	g_hash_table_replace(leases, id, expires_us);
 }
 
 static json_t *do_grant(const json_t *request)
 {
-	int64_t ttl_s = integer_of(request, "TTL");
-	json_t *answer = json_object();
+	int64_t ttl_s = get_integer(request, "TTL");
+	json_t *response = json_object();
 
 	next_lease++;
 	set_expiry(next_lease, ttl_s);
-	g_hash_table_replace(ttls, g_memdup2(&next_lease, sizeof(next_lease)),
+	g_hash_table_replace(lease_ttls, g_memdup2(&next_lease, sizeof(next_lease)),
 			     g_memdup2(&ttl_s, sizeof(ttl_s)));
-	json_object_set_new(answer, "ID", number(next_lease));
-	json_object_set_new(answer, "TTL", number(ttl_s));
-	return answer;
+	json_object_set_new(response, "ID", int64_to_json(next_lease));
+	json_object_set_new(response, "TTL", int64_to_json(ttl_s));
+	return response;
 }
 
 static json_t *do_keep(const json_t *request)
 {
-	int64_t lease = integer_of(request, "ID");
-	const int64_t *ttl_s = g_hash_table_lookup(ttls, &lease);
-	json_t *answer = json_object();
+	int64_t lease = get_integer(request, "ID");
+	const int64_t *ttl_s = g_hash_table_lookup(lease_ttls, &lease);
+	json_t *response = json_object();
 	json_t *result = json_object();
 
 	if (ttl_s && g_hash_table_lookup(leases, &lease)) {
 		set_expiry(lease, *ttl_s);
-		json_object_set_new(result, "TTL", number(*ttl_s));
+		json_object_set_new(result, "TTL", int64_to_json(*ttl_s));
 	}
-	json_object_set_new(answer, "result", result);
-	return answer;
+	json_object_set_new(response, "result", result);
+	return response;
 }
 
 static json_t *do_revoke(const json_t *request)
 {
-	drop_lease(integer_of(request, "ID"));
+	revoke_lease(get_integer(request, "ID"));
 	return json_object();
 }
 
@@ -366,8 +371,8 @@
 	{ "/v3/lease/revoke", do_revoke, &n_lease },
 };
 
-/* Returns the mode of the fault that this call meets, "" for none. */
-static const char *take_fault(const char *path)
+/* Returns the mode of the fault that applies to this call, "" for none. */
+static const char *consume_fault(const char *path)
 {
 	if (fault.count <= 0 || !strstr(path, fault.only))
 		return "";
@@ -380,24 +385,24 @@
 static int handle_call(struct mg_connection *connection, const call_t *call)
 {
 	json_t *request = standin_read_json(connection);
-	json_t *answer = NULL;
+	json_t *response = NULL;
 	const char *mode;
 	int64_t ms;
 
 	g_mutex_lock(&lock);
 	expire_leases();
 	(*call->counter)++;
-	mode = take_fault(call->path);
+	mode = consume_fault(call->path);
 	ms = fault.ms;
 	if (strcmp(mode, "drop") != 0)
-		answer = call->run(request);
+		response = call->run(request);
 	g_mutex_unlock(&lock);
 	json_decref(request);
 	if (strcmp(mode, "stall") == 0)
 		(void)usleep((useconds_t)(ms * 1000));
-	if (answer && strcmp(mode, "lose") != 0)
-		return standin_answer(connection, 200, answer);
-	json_decref(answer);
+	if (response && strcmp(mode, "lose") != 0)
+		return standin_answer(connection, 200, response);
+	json_decref(response);
 	return standin_hang_up(connection);
 }
 
@@ -405,15 +410,15 @@
 {
 	json_t *line = json_object();
 	char *text;
-	bool sent;
+	bool is_sent;
 
 	json_object_set_new(line, "result", result);
 	text = json_dumps(line, JSON_COMPACT);
-	g_autofree char *with_end = g_strconcat(text, "\n", NULL);
-	sent = mg_send_chunk(connection, with_end, (unsigned)strlen(with_end)) > 0;
+	g_autofree char *text_line = g_strconcat(text, "\n", NULL);
+	is_sent = mg_send_chunk(connection, text_line, (unsigned)strlen(text_line)) > 0;
 	free(text);
 	json_decref(line);
-	return sent;
+	return is_sent;
 }
 
 static json_t *event_to_json(const event_t *event)
@@ -421,39 +426,40 @@
 	json_t *json = json_object();
 	json_t *kv = json_object();
 
-	json_object_set_new(kv, "key", encode(event->key));
-	json_object_set_new(kv, "mod_revision", number(event->revision));
+	json_object_set_new(kv, "key", encode_base64(event->key));
+	json_object_set_new(kv, "mod_revision", int64_to_json(event->revision));
 	if (event->value)
-		json_object_set_new(kv, "value", encode(event->value));
+		json_object_set_new(kv, "value", encode_base64(event->value));
 	else
 		json_object_set_new(json, "type", json_string("DELETE"));
 	json_object_set_new(json, "kv", kv);
 	return json;
 }
 
-/* Events are in order of revision, so the newer ones stand at the end. */
-static guint first_event_since(int64_t from)
+/* Events are sorted by revision, so the search starts at the end. */
+static guint find_first_event_since(int64_t from_revision)
 {
-	guint at = events->len;
+	guint index = events->len;
 
-	while (at > 0 && ((event_t *)events->pdata[at - 1])->revision >= from)
-		at--;
-	return at;
+	while (index > 0 && ((event_t *)events->pdata[index - 1])->revision >= from_revision)
+		index--;
+	return index;
 }
 
-static json_t *events_since(int64_t from, const char *key, const char *end, int64_t *next)
+static json_t *get_events_since(int64_t from_revision, const char *key, const char *end,
+				int64_t *next_revision)
 {
 	json_t *list = json_array();
 
 	g_mutex_lock(&lock);
 	expire_leases();
-	for (guint i = first_event_since(from); i < events->len; i++) {
+	for (guint i = find_first_event_since(from_revision); i < events->len; i++) {
 		const event_t *event = events->pdata[i];
 
 		if (in_range(event->key, key, end))
 			json_array_append_new(list, event_to_json(event));
 	}
-	*next = revision + 1;
+	*next_revision = revision + 1;
 	g_mutex_unlock(&lock);
 	return list;
 }
@@ -462,11 +468,11 @@
 {
 	json_t *request = standin_read_json(connection);
 	const json_t *create = json_object_get(request, "create_request");
-	g_autofree char *key = decode(create, "key");
-	g_autofree char *end = decode(create, "range_end");
-	int64_t from = integer_of(create, "start_revision");
+	g_autofree char *key = decode_field(create, "key");
+	g_autofree char *end = decode_field(create, "range_end");
+	int64_t from_revision = get_integer(create, "start_revision");
 	json_t *result = json_object();
-	bool open;
+	bool is_open;
 
 	json_decref(request);
 	g_mutex_lock(&lock);
@@ -474,14 +480,14 @@
 	g_mutex_unlock(&lock);
 	(void)mg_printf(connection, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
 	json_object_set_new(result, "created", json_true());
-	open = send_line(connection, result);
-	while (open) {
-		json_t *list = events_since(from, key, end, &from);
+	is_open = send_line(connection, result);
+	while (is_open) {
+		json_t *list = get_events_since(from_revision, key, end, &from_revision);
 
 		if (json_array_size(list) > 0) {
 			result = json_object();
 			json_object_set_new(result, "events", list);
-			open = send_line(connection, result);
+			is_open = send_line(connection, result);
 		} else {
 			json_decref(list);
 		}
@@ -499,9 +505,9 @@
 	g_mutex_lock(&lock);
 	(void)g_strlcpy(fault.mode, mode ? mode : "", sizeof(fault.mode));
 	(void)g_strlcpy(fault.only, only ? only : "", sizeof(fault.only));
-	fault.skip = integer_of(request, "skip");
-	fault.count = integer_of(request, "count");
-	fault.ms = integer_of(request, "ms");
+	fault.skip = get_integer(request, "skip");
+	fault.count = get_integer(request, "count");
+	fault.ms = get_integer(request, "ms");
 	g_mutex_unlock(&lock);
 	json_decref(request);
 	return standin_answer(connection, 200, json_object());
@@ -515,7 +521,7 @@
 					(json_int_t)n_watch));
 }
 
-static int handle(struct mg_connection *connection, void *context)
+static int handle_request(struct mg_connection *connection, void *context)
 {
 	const char *path = mg_get_request_info(connection)->local_uri;
 
@@ -541,7 +547,7 @@
 	}
 	entries = g_tree_new_full(compare_keys, NULL, g_free, free_entry);
 	leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	ttls = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	lease_ttls = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	events = g_ptr_array_new();
-	return standin_serve(argv[1], handle);
+	return standin_serve(argv[1], handle_request);
 }
--- a/test/standin/plain.c
+++ b/test/standin/plain.c
@@ -1,8 +1,11 @@
 /*
- * Stand-in for a plain service, a ledger: POST adds the body as a line and
- * answers with its number, GET /runs tells the lines. "?delay_ms=N" makes a
- * POST slow. POST /fault {"hang_up":N} runs the next N posts and then closes
- * the connection instead of answering.
+ * Stand-in for a plain service that keeps a ledger.
+ *
+ *   POST any path                  append the body as a line, respond with its number;
+ *                                  "?delay_ms=N" delays the response
+ *   GET /runs                      list all lines
+ *   POST /fault {"hang_up":N}      execute the next N POSTs, but close the connection
+ *                                  instead of sending a response
  */
 #define _GNU_SOURCE
 #include "standin.h"
@@ -11,7 +14,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define DELAY "delay_ms="
+#define DELAY_PARAMETER "delay_ms="
 
 static GMutex lock;
 static GPtrArray *lines;
@@ -21,20 +24,22 @@
 {
 	char *body = standin_read(connection);
 	const char *query = mg_get_request_info(connection)->query_string;
-	const char *delay = query ? strstr(query, DELAY) : NULL;
+	const char *delay = query ? strstr(query, DELAY_PARAMETER) : NULL;
 	json_int_t number;
-	bool silent;
+	bool should_hang_up;
 
 	g_mutex_lock(&lock);
 	g_ptr_array_add(lines, body);
 	number = (json_int_t)lines->len;
-	silent = hang_up > 0;
-	if (silent)
+	should_hang_up = hang_up > 0;
+	if (should_hang_up)
 		hang_up--;
 	g_mutex_unlock(&lock);
 	if (delay)
-		(void)usleep((useconds_t)(g_ascii_strtoll(delay + strlen(DELAY), NULL, 10) * 1000));
-	if (silent)
+		(void)usleep(
+			(useconds_t)(g_ascii_strtoll(delay + strlen(DELAY_PARAMETER), NULL, 10) *
+				     1000));
+	if (should_hang_up)
 		return standin_hang_up(connection);
 	return standin_answer(connection, 201,
 			      json_pack("{s:I, s:s}", "line", number, "text", body));
--- a/test/standin/standin.c
+++ b/test/standin/standin.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define READ_BYTES 8192
+#define READ_BUFFER_BYTES 8192
 
 int standin_serve(const char *listen, mg_request_handler handler)
 {
@@ -27,12 +27,12 @@
 				  NULL };
 	struct mg_callbacks callbacks = { 0 };
 	struct mg_context *context;
-	pthread_attr_t small;
+	pthread_attr_t thread_attributes;
 
 	(void)signal(SIGPIPE, SIG_IGN);
-	(void)pthread_attr_init(&small);
-	(void)pthread_attr_setstacksize(&small, 256 << 10);
-	(void)pthread_setattr_default_np(&small);
+	(void)pthread_attr_init(&thread_attributes);
+	(void)pthread_attr_setstacksize(&thread_attributes, 256 << 10);
+	(void)pthread_setattr_default_np(&thread_attributes);
 	(void)mg_init_library(0);
 	context = mg_start(&callbacks, NULL, options);
 	if (!context) {
@@ -49,31 +49,32 @@
 char *standin_read(struct mg_connection *connection)
 {
 	GString *body = g_string_new(NULL);
-	char bytes[READ_BYTES];
+	char buffer[READ_BUFFER_BYTES];
 	int n;
 
-	while ((n = mg_read(connection, bytes, sizeof(bytes))) > 0)
-		g_string_append_len(body, bytes, n);
+	while ((n = mg_read(connection, buffer, sizeof(buffer))) > 0)
+		g_string_append_len(body, buffer, n);
 	return g_string_free(body, FALSE);
 }
 
 json_t *standin_read_json(struct mg_connection *connection)
 {
-	g_autofree char *text = standin_read(connection);
-	json_t *json = json_loads(text, 0, NULL);
+	g_autofree char *body = standin_read(connection);
+	json_t *json = json_loads(body, 0, NULL);
 
 	return json ? json : json_object();
 }
 
 int standin_answer(struct mg_connection *connection, int status, json_t *json)
 {
-	char *text = json_dumps(json, JSON_COMPACT);
-	g_autofree char *out = g_strdup_printf("HTTP/1.1 %d X\r\nContent-Type: application/json\r\n"
-					       "Content-Length: %zu\r\n\r\n%s",
-					       status, strlen(text), text);
+	char *body = json_dumps(json, JSON_COMPACT);
+	g_autofree char *response =
+		g_strdup_printf("HTTP/1.1 %d X\r\nContent-Type: application/json\r\n"
+				"Content-Length: %zu\r\n\r\n%s",
+				status, strlen(body), body);
 
-	(void)mg_write(connection, out, strlen(out));
-	free(text);
+	(void)mg_write(connection, response, strlen(response));
+	free(body);
 	json_decref(json);
 	return status;
 }
--- a/test/standin/standin.h
+++ b/test/standin/standin.h
@@ -4,9 +4,9 @@
 /**
  * DOC: Stand-ins
  *
- * Small servers that take the place of the platform's services in tests. Not
- * part of the product. Each listens on the address given as its first
- * argument, prints "ready" and runs until it is killed.
+ * HTTP server library for the small servers that replace outside services in tests. Not part
+ * of the product. A stand-in prints "ready" when it listens and runs until it is killed.
+ * Handlers run on several threads at once and lock their own state.
  */
 
 #include <civetweb.h>
@@ -14,19 +14,37 @@
 #include <jansson.h>
 #include <stdbool.h>
 
-/** standin_serve() - run @handler for every request until the process is killed */
+/**
+ * standin_serve() - serve HTTP until the process is killed
+ * @listen: addresses with ports, separated by commas
+ * @handler: called for every request
+ *
+ * Return: 1 if @listen can't be opened; else does not return.
+ */
 int standin_serve(const char *listen, mg_request_handler handler);
 
-/** standin_read() - the request's body as text; free with g_free() */
+/** standin_read() - read the request body as text; free with g_free() */
 char *standin_read(struct mg_connection *connection);
 
-/** standin_read_json() - the request's body as JSON; an empty object when it is none */
+/** standin_read_json() - read the request body as JSON; an empty object if it is not JSON */
 json_t *standin_read_json(struct mg_connection *connection);
 
-/** standin_answer() - answer with @json, which is released */
+/**
+ * standin_answer() - send a JSON response
+ * @connection: connection of the request
+ * @status: HTTP status code
+ * @json: response body; ownership passes to the call
+ *
+ * Return: @status, as the result of the handler.
+ */
 int standin_answer(struct mg_connection *connection, int status, json_t *json);
 
-/** standin_hang_up() - close the connection without an answer */
+/**
+ * standin_hang_up() - close the connection without a response
+ * @connection: connection of the request
+ *
+ * Return: the result for the handler, which must return after the call.
+ */
 int standin_hang_up(struct mg_connection *connection);
 
 #endif
