--- a/bench/replay_admit.c
+++ b/bench/replay_admit.c
@@ -203,7 +203,7 @@
 		start_request(sim, remove_queued(sim, attempt));
 }
 
-static void admit_naively(sim_t *sim, server_t *server, request_t *request)
+static void admit_fifo(sim_t *sim, server_t *server, request_t *request)
 {
 	if (g_queue_get_length(&server->queue) >= QUEUE_CAPACITY) {
 		reject_request(sim, request, 0);
@@ -233,7 +233,7 @@
 	uint64_t evicted;
 
 	if (sim->is_naive) {
-		admit_naively(sim, server, request);
+		admit_fifo(sim, server, request);
 		return;
 	}
 	(void)g_snprintf(customer, sizeof(customer), "c%u", request->customer);
