--- a/test/claim_test.cc
+++ b/test/claim_test.cc
@@ -153,7 +153,7 @@
 	FakeStore store;
 	WriteList writes(4, "a");
 
-	store.lose_answer_of_txn = 1;
+	store.lose_response_of_txn = 1;
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
 	for (const auto &write : writes.list)
 		EXPECT_EQ(write.state, SKH_WRITE_DONE);
@@ -176,7 +176,7 @@
 	FakeStore store;
 	WriteList writes(2, "a");
 
-	store.lose_answer_of_txn = 1;
+	store.lose_response_of_txn = 1;
 	store.down_after_loss = true;
 	skh_batch_run(&store.base, writes.list.data(), writes.list.size());
 	for (const auto &write : writes.list) {
@@ -209,7 +209,7 @@
 		const size_t n = *rc::gen::inRange(1, 6);
 		WriteList writes(n, "r" + std::to_string(round) + "-");
 
-		store.lose_answer_of_txn = *rc::gen::inRange(0, 3) == 0 ? store.n_txns + 1 : 0;
+		store.lose_response_of_txn = *rc::gen::inRange(0, 3) == 0 ? store.n_txns + 1 : 0;
 		store.drop_txn = *rc::gen::inRange(0, 3) == 0 ? store.n_txns + 1 : 0;
 		skh_batch_run(&store.base, writes.list.data(), n);
 		for (size_t i = 0; i < n; i++) {
--- a/test/config_test.cc
+++ b/test/config_test.cc
@@ -177,7 +177,7 @@
 TEST_F(Apply, LostResponseIsResolvedByReadingTheHeadBack)
 {
 	ASSERT_TRUE(apply(valid_manifest_text()));
-	store.lose_answer_of_txn = store.n_txns + 2; /* the transaction that swaps the head */
+	store.lose_response_of_txn = store.n_txns + 2; /* the transaction that swaps the head */
 	ASSERT_TRUE(apply(manifest_text_with_rate(60))) << err.text;
 	EXPECT_EQ(result.revision, 2);
 }
@@ -194,7 +194,7 @@
 TEST_F(Apply, LostResponseDuringAnOutageIsUnknown)
 {
 	ASSERT_TRUE(apply(valid_manifest_text()));
-	store.lose_answer_of_txn = store.n_txns + 2;
+	store.lose_response_of_txn = store.n_txns + 2;
 	store.down_after_loss = true;
 	EXPECT_FALSE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_OUTCOME_UNKNOWN);
@@ -204,8 +204,8 @@
 TEST_F(Apply, ConcurrentApplyFailsWithTheChangedParts)
 {
 	ASSERT_TRUE(apply(valid_manifest_text()));
-	store.before_txn = store.n_txns + 2;
-	store.intrude = [this] {
+	store.hooked_txn = store.n_txns + 2;
+	store.before_txn_hook = [this] {
 		skh_manifest_t *concurrent_manifest = parse_manifest(manifest_text_with_rate(70));
 		skh_apply_result_t concurrent_result = {};
 		skh_error_t concurrent_err = {};
--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -185,7 +185,7 @@
 				       [this] { store.down = false; });
 			break;
 		case 3:
-			store.lose_answer_of_txn = store.n_txns + 1;
+			store.lose_response_of_txn = store.n_txns + 1;
 			break;
 		case 4:
 			store.drop_txn = store.n_txns + 1;
