--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,4 @@
-# Wraps CMake. Every target works on a fresh machine: what is missing is
-# installed first.
+# Wraps CMake. Targets that build or test first install the Debian packages that are missing.
 
 BUILD ?= build
 BUILD_TEST ?= build-test
@@ -21,18 +20,18 @@
 test: deps
 	@BUILD=$(BUILD_TEST) scripts/test.sh
 
-# The seeded sweeps of the promises, longer than in CI.
+# Runs the seeded property tests with more seeds than in CI.
 soak: build
 	@SKH_SEEDS=$${SKH_SEEDS:-20000} $(BUILD)/test/unit --gtest_brief=1 \
 		--gtest_filter='History.Nothing*:ExpertMap.No*:ExpertMap.Once*'
 
-# Gateways and balancers as processes, faults from outside, seeds in a row.
+# Runs gateways and balancers as processes under injected faults, one run for each seed.
 soak-processes: build
 	@for seed in $$(seq $${SKH_FIRST:-100} $${SKH_LAST:-119}); do \
 		python3 soak/soak.py --build $(BUILD) --seed $$seed --seconds 25 || exit 1; \
 	done
 
-# Each target for a minute; what it finds goes into fuzz/corpus and a test.
+# Runs each fuzz target for a minute. Add each input that fails to fuzz/corpus and to a test.
 fuzz: deps
 	@BUILD=build-fuzz FUZZ_SECONDS=$${FUZZ_SECONDS:-60} fuzz/run.sh
 
