--- a/model/expert_map.pml
+++ b/model/expert_map.pml
@@ -1,11 +1,12 @@
 /*
- * Switch of a group's expert map (src/rank.c, src/mapswitch.c): RANKS ranks,
- * two coordinators one after the other, of which the first may be paused at any
- * point and go on later, and messages that are lost or late. Engines ignore
- * fences. A step begins on all ranks or on none.
+ * Model of an expert map switch in a group (src/rank.c, src/mapswitch.c).
  *
- * Checked: no step begins on two maps. Compile with -DNO_FENCE to see the
- * check fail.
+ * RANKS ranks receive orders from two successive coordinators. The first coordinator may pause
+ * at any point and resume after the second one has started. Messages may be lost, delayed or
+ * delivered twice. Engines ignore fencing tokens. An engine step starts on all ranks or on none.
+ *
+ * Property: no engine step starts while ranks use different maps. With -DNO_FENCE the ranks
+ * ignore fencing tokens, and the property must fail.
  */
 #ifndef RANKS
 #define RANKS 2
@@ -14,55 +15,55 @@
 #define SET 2
 #define GO 3
 
-byte fence[RANKS];
-byte held_by[RANKS];
-byte version[RANKS];
+byte highest_fence[RANKS];
+byte hold_fence[RANKS];
+byte map_version[RANKS];
 bool held[RANKS];
 
 #ifdef NO_FENCE
-#define MINE(c, r) true
-#define RIGHT(c, r) true
+#define HELD_BY(c, r) true
+#define HAS_MAP_OF(c, r) true
 #else
-#define MINE(c, r) (held_by[r] == c)
-#define RIGHT(c, r) (version[r] == c)
+#define HELD_BY(c, r) (hold_fence[r] == c)
+#define HAS_MAP_OF(c, r) (map_version[r] == c)
 #endif
 
-/* One message at a time is under way from each coordinator to each rank. */
-typedef Mail {
+/* At most one message is in flight from each coordinator to each rank. */
+typedef Mailbox {
 	byte step[RANKS];
 	bool confirmed[RANKS];
 }
-Mail mail[3];
+Mailbox mailbox[3];
 
-inline rank_takes(c, r)
+inline deliver(c, r)
 {
 	atomic {
 		if
-		:: mail[c].step[r] != 0 ->
+		:: mailbox[c].step[r] != 0 ->
 			if
-			:: c < fence[r] -> skip
+			:: c < highest_fence[r] -> skip
 			:: else ->
 #ifndef NO_FENCE
-				fence[r] = c;
+				highest_fence[r] = c;
 #endif
 				if
-				:: mail[c].step[r] == HOLD ->
+				:: mailbox[c].step[r] == HOLD ->
 					held[r] = true;
-					held_by[r] = c;
-					mail[c].confirmed[r] = true
-				:: mail[c].step[r] == SET && held[r] && MINE(c, r) ->
-					version[r] = c;
-					mail[c].confirmed[r] = true
-				:: mail[c].step[r] == GO && held[r] && MINE(c, r) && RIGHT(c, r) ->
+					hold_fence[r] = c;
+					mailbox[c].confirmed[r] = true
+				:: mailbox[c].step[r] == SET && held[r] && HELD_BY(c, r) ->
+					map_version[r] = c;
+					mailbox[c].confirmed[r] = true
+				:: mailbox[c].step[r] == GO && held[r] && HELD_BY(c, r) && HAS_MAP_OF(c, r) ->
 					held[r] = false;
-					held_by[r] = 0;
-					mail[c].confirmed[r] = true
+					hold_fence[r] = 0;
+					mailbox[c].confirmed[r] = true
 				:: else -> skip
 				fi
 			fi;
-			/* Delivered for good, or once more later. */
+			/* Remove the message, or keep it for a duplicate delivery. */
 			if
-			:: mail[c].step[r] = 0
+			:: mailbox[c].step[r] = 0
 			:: skip
 			fi
 		:: else -> skip
@@ -70,24 +71,24 @@
 	}
 }
 
-inline send_all(c, what)
+inline send_all(c, order)
 {
 	atomic {
 		i = 0;
 		do
 		:: i < RANKS ->
-			mail[c].step[i] = what;
-			mail[c].confirmed[i] = false;
+			mailbox[c].step[i] = order;
+			mailbox[c].confirmed[i] = false;
 			i++
 		:: else -> break
 		od
 	}
 }
 
-inline await_all(c)
+inline wait_all_confirmed(c)
 {
-	/* It may wait for ever: a coordinator that can't go on stops here. */
-	(mail[c].confirmed[0] && mail[c].confirmed[RANKS - 1]);
+	/* Blocks forever when an order is never confirmed; the coordinator then stops here. */
+	(mailbox[c].confirmed[0] && mailbox[c].confirmed[RANKS - 1]);
 }
 
 proctype Coordinator(byte c)
@@ -95,26 +96,26 @@
 	byte i;
 
 	send_all(c, HOLD);
-	await_all(c);
+	wait_all_confirmed(c);
 	send_all(c, SET);
-	await_all(c);
+	wait_all_confirmed(c);
 	send_all(c, GO);
-	await_all(c)
+	wait_all_confirmed(c)
 }
 
 proctype Network(byte c; byte r)
 {
 	do
-	:: rank_takes(c, r)
+	:: deliver(c, r)
 	od
 }
 
-proctype Steps()
+proctype EngineSteps()
 {
 	do
 	:: atomic {
 		(!held[0] && !held[RANKS - 1]);
-		assert(version[0] == version[RANKS - 1])
+		assert(map_version[0] == map_version[RANKS - 1])
 	   }
 	od
 }
@@ -128,6 +129,6 @@
 		run Network(1, 1);
 		run Network(2, 0);
 		run Network(2, 1);
-		run Steps()
+		run EngineSteps()
 	}
 }
