--- a/soak/soak.py
+++ b/soak/soak.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Randomized, seeded soak: the real programs as processes on loopback, faults from
-outside, promises checked from what callers and backend servers see.
+"""Randomized, seeded soak test. Runs gateways and balancers as processes on loopback, injects
+faults from outside, and checks invariants from what callers and backend servers observe.
 
 soak.py --build DIR [--seed N] [--seconds S] [--gateways N] [--ranks N] [--plant NAME]
 
-Exit 0 when every promise held, 1 with one line for each that did not. Ends only
-processes that it started, by their ids.
+Exits with 0 when every invariant held, otherwise with 1 after printing one line per violation.
+Ends only processes that it started, by process ID.
 """
 import argparse
 import http.client
@@ -22,16 +22,17 @@
 import time
 
 KEY_TRUST_S = 4.0
-# Poll, call and clock of the check itself, on top of what a gateway trusts its keys.
+# Time for which a gateway trusts its keys, plus 2 s for its poll and call and for clock error in
+# the check.
 REVOKE_BOUND_S = KEY_TRUST_S + 2.0
-BACK_SLACK_S = 0.5
-OFFSET = 300
-NOT_RUN = (408, 421, 429, 503)
+REVERT_SLACK_S = 0.5
+PROXY_PORT_OFFSET = 300
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 PLANTS = ("body", "notrun", "twice", "mixed", "leaving", "revoke")
 
 
 class Proxy:
-    """Forwards one port; its mode strikes connections that are open, too."""
+    """Forwards one port. A change of mode also affects open connections."""
 
     def __init__(self, port, target):
         self.target, self.mode, self.delay = target, "pass", 0.0
@@ -45,20 +46,22 @@
 
     def accept(self):
         while True:
-            near, _ = self.listener.accept()
+            caller_sock, _ = self.listener.accept()
             if self.mode == "reset":
-                self.abort(near)
+                self.abort(caller_sock)
                 continue
             try:
-                far = socket.create_connection(("127.0.0.1", self.target), 2)
+                target_sock = socket.create_connection(("127.0.0.1", self.target), 2)
             except OSError:
-                self.abort(near)
+                self.abort(caller_sock)
                 continue
-            pair = (near, far)
+            pair = (caller_sock, target_sock)
             with self.lock:
                 self.pairs.add(pair)
-            for way, (src, dst) in enumerate(((near, far), (far, near))):
-                threading.Thread(target=self.pump, args=(pair, way, src, dst), daemon=True).start()
+            for direction, (src, dst) in enumerate(((caller_sock, target_sock),
+                                                    (target_sock, caller_sock))):
+                threading.Thread(target=self.pump, args=(pair, direction, src, dst),
+                                 daemon=True).start()
 
     @staticmethod
     def abort(sock):
@@ -68,16 +71,17 @@
         except OSError:
             pass
 
-    def pump(self, pair, way, src, dst):
+    def pump(self, pair, direction, src, dst):
         try:
             while data := src.recv(65536):
                 if self.delay:
                     time.sleep(self.delay)
-                # Bytes of a cut are lost, as behind a partition that ends in a reset.
-                while self.mode == "silent" or self.mode == ("cut-out" if way == 0 else "cut-in"):
+                # Held bytes are lost when the mode ends, as in a partition that ends in a reset.
+                while self.mode == "silent" or \
+                        self.mode == ("cut-out" if direction == 0 else "cut-in"):
                     time.sleep(0.02)
                 if self.plant:
-                    data = self.plant(way, data)
+                    data = self.plant(direction, data)
                 dst.sendall(data)
             dst.shutdown(socket.SHUT_WR)
         except OSError:
@@ -100,32 +104,34 @@
     def __init__(self, options):
         self.options, self.random = options, random.Random(options.seed)
         self.work = tempfile.mkdtemp(prefix="soak-")
-        # Below the ports that the system gives to callers, above those of the scripted runs' start.
+        # Ports 10000 to 20781: below the ephemeral ports of the system and below the ports of the
+        # scripted runs.
         self.base = 10000 + options.seed % 18 * 600
-        self.processes, self.broken, self.stop = {}, [], False
+        self.processes, self.violations, self.stop = {}, [], False
         self.lock = threading.Lock()
-        self.requests = self.answers = 0
-        self.refused, self.succeeded = [], []
-        self.version, self.acks = 1, {}
-        self.last_fault = 0.0
+        self.requests = self.responses = 0
+        self.not_run, self.succeeded = [], []
+        self.version, self.acked_s = 1, {}
+        self.last_fault_s = 0.0
         self.store_proxy = self.server_proxies = None
-        self.stops = []
+        self.planned_stops = []
 
-    # Ports: base the store, +1 its proxy; gateway i at +10+10i (admin, gossip behind
-    # it) and its proxy +5; balancer i at +100+2i; servers at +200 and, proxied, +500.
+    # Ports: base is the store and base+1 its proxy. Gateway i uses base+10+10i, the next two for
+    # admin and gossip, and +5 for its proxy. Balancer i uses base+100+2i. Servers start at base+200
+    # and their proxies at base+500.
     def gateway_port(self, i):
         return self.base + 10 + 10 * i
 
     def balancer_port(self, i):
         return self.base + 100 + 2 * i
 
-    def servers(self):
+    def server_ports(self):
         ranks = [self.base + 200 + i for i in range(self.options.ranks)]
         return ranks + [self.base + 280, self.base + 281]
 
-    def fail(self, promise, what):
+    def fail(self, invariant, detail):
         with self.lock:
-            self.broken.append(f"{promise}: {what}")
+            self.violations.append(f"{invariant}: {detail}")
 
     # --- Processes ---
 
@@ -133,13 +139,13 @@
         out = open(f"{self.work}/{name}.log", "ab")
         self.processes[name] = subprocess.Popen(command, stdout=out, stderr=out)
 
-    def settings(self, name, text):
+    def write_settings(self, name, text):
         path = f"{self.work}/{name}.toml"
         with open(path, "w", encoding="ascii") as file:
             file.write(text)
         return path
 
-    def common(self, name, admin):
+    def common_settings(self, name, admin):
         return (f'[instance]\nid = "{name}"\nfailure_domain = "a"\n[admin]\n'
                 f'listen = "127.0.0.1:{admin}"\n[store]\nendpoints = ["127.0.0.1:{self.base + 1}"]\n'
                 'timeout_ms = 900\n[log]\nformat = "json"\noutput = "stdout"\n')
@@ -147,17 +153,19 @@
     def start_gateway(self, i):
         port, name = self.gateway_port(i), f"gateway-{i}"
         trust = 10**7 if self.options.plant == "revoke" else int(KEY_TRUST_S * 1000)
-        path = self.settings(name, self.common(name, port + 1) +
-                             f'[http]\nlisten = "127.0.0.1:{port}"\n[gateway]\ndialect = "fleet"\n'
-                             f'gossip_listen = "127.0.0.1:{port + 2}"\npoll_pace_ms = 150\n'
-                             f'key_trust_ms = {trust}\n[stop]\ndrain_ms = 8000\n')
+        path = self.write_settings(
+            name, self.common_settings(name, port + 1) +
+            f'[http]\nlisten = "127.0.0.1:{port}"\n[gateway]\ndialect = "fleet"\n'
+            f'gossip_listen = "127.0.0.1:{port + 2}"\npoll_pace_ms = 150\n'
+            f'key_trust_ms = {trust}\n[stop]\ndrain_ms = 8000\n')
         self.start(name, f"{self.options.build}/skylarkhead", "gateway", "--settings", path)
 
     def start_balancer(self, i):
         port, name = self.balancer_port(i), f"balancer-{i}"
-        path = self.settings(name, self.common(name, port + 1) +
-                             f'[balancer]\ndialect = "fleet"\nlisten = "127.0.0.1:{port}"\n'
-                             f'engine = "127.0.0.1:{self.base + 200 + i}"\nservice = "model"\n')
+        path = self.write_settings(
+            name, self.common_settings(name, port + 1) +
+            f'[balancer]\ndialect = "fleet"\nlisten = "127.0.0.1:{port}"\n'
+            f'engine = "127.0.0.1:{self.base + 200 + i}"\nservice = "model"\n')
         self.start(name, f"{self.options.build}/skylarkhead", "balancer", "--settings", path)
 
     def call(self, port, method, path, body=None):
@@ -175,7 +183,7 @@
                 "max-attempts": 2, "public": False, **more}
 
     def put_config(self):
-        """Each version has a key of its own beside the one before, which it will lose."""
+        """Writes the next version, whose keys are its own and that of the version before."""
         with self.lock:
             self.version += 1
             version = self.version
@@ -197,7 +205,7 @@
                          "priority": 1}]}
         self.call(self.base, "POST", "/put", {"key": "op/config", "value": json.dumps(document)})
         with self.lock:
-            self.acks[version] = time.monotonic()
+            self.acked_s[version] = time.monotonic()
 
     # --- Callers ---
 
@@ -207,12 +215,12 @@
         while not self.stop:
             gateway = rng.randrange(self.options.gateways)
             try:
-                self.ask(rng, number, gateway, connections)
+                self.send_request(rng, number, gateway, connections)
             except (OSError, http.client.HTTPException):
                 connections.pop(gateway, None)
             time.sleep(rng.random() * 0.08)
 
-    def ask(self, rng, number, gateway, connections):
+    def send_request(self, rng, number, gateway, connections):
         kind = rng.choice(("once", "often", "often", "stream"))
         with self.lock:
             self.requests += 1
@@ -232,51 +240,54 @@
             response = connection.getresponse()
             answer = response.read()
         except http.client.RemoteDisconnected:
-            self.note_cut(gateway, sent, attempt)
+            self.check_planned_stop(gateway, sent, attempt)
             raise
         with self.lock:
-            self.answers += 1
-        self.check(kind, attempt, body, response, answer)
+            self.responses += 1
+        self.check_response(kind, attempt, body, response, answer)
         if response.status == 200:
-            self.note_success(gateway, process, key_version, sent)
+            self.check_key(gateway, process, key_version, sent)
         if rng.random() < 0.2:
             connection.close()
             connections.pop(gateway, None)
 
-    def check(self, kind, attempt, body, response, answer):
-        if response.status in NOT_RUN:
+    def check_response(self, kind, attempt, body, response, answer):
+        if response.status in NOT_RUN_STATUSES:
             with self.lock:
-                self.refused.append(attempt)
+                self.not_run.append(attempt)
         if response.status != 200:
             return
         if response.getheader("Skylarkhead-Attempt-Id") != attempt:
-            self.fail("own answer", f"{attempt} got another's")
+            self.fail("own response", f"{attempt} got the response to another attempt")
         if kind == "stream":
             ids = [line[4:] for line in answer.decode().split("\n") if line.startswith("id: ")]
             if ids != [str(i) for i in range(5)]:
-                self.fail("whole answer", f"{attempt} got events {ids}")
+                self.fail("complete response", f"{attempt} got events {ids}, expected 0 to 4")
         elif answer.decode() not in (body, "without a length"):
-            self.fail("whole answer", f"{attempt} got {answer[:60]!r}")
+            self.fail("complete response", f"{attempt} got {answer[:60]!r}, expected its own body")
 
-    def note_success(self, gateway, process, version, sent):
-        """A key that later versions lost must stop, and never work again at one process."""
+    def check_key(self, gateway, process, version, sent):
+        """Checks that a removed key expires, and that no process accepts it again after that."""
         with self.lock:
-            lost = self.acks.get(version + 2)
-            if lost and sent - lost > REVOKE_BOUND_S:
-                self.broken.append(f"revocation: k{version} still served {sent - lost:.1f} s after")
-            for at, newer in self.succeeded[-400:]:
-                if at[0] is process and newer >= version + 2 and sent - at[1] > BACK_SLACK_S:
-                    self.broken.append(f"configuration back: k{version} after k{newer} at {gateway}")
+            removed_s = self.acked_s.get(version + 2)
+            if removed_s and sent - removed_s > REVOKE_BOUND_S:
+                self.violations.append(f"revocation: k{version} accepted {sent - removed_s:.1f} s "
+                                       "after its removal")
+            for success, newer in self.succeeded[-400:]:
+                if success[0] is process and newer >= version + 2 and \
+                        sent - success[1] > REVERT_SLACK_S:
+                    self.violations.append(f"configuration reverted: gateway {gateway} accepted "
+                                           f"k{version} after k{newer}")
                     break
             self.succeeded.append(((process, time.monotonic()), version))
 
-    def note_cut(self, gateway, sent, attempt):
-        """Around a planned stop without other faults no request may go unanswered."""
+    def check_planned_stop(self, gateway, sent, attempt):
+        """Checks that a planned stop without other faults leaves no request without a response."""
         now = time.monotonic()
-        for name, begun, calm_since in self.stops:
-            if name == f"gateway-{gateway}" and begun - 1 < sent < begun + 2 and \
-                    calm_since + 3 < sent and self.last_fault < begun and now - sent > 0.3:
-                self.fail("planned stop", f"{attempt} was cut off")
+        for name, stopped_s, last_fault_s in self.planned_stops:
+            if name == f"gateway-{gateway}" and stopped_s - 1 < sent < stopped_s + 2 and \
+                    last_fault_s + 3 < sent and self.last_fault_s < stopped_s and now - sent > 0.3:
+                self.fail("planned stop", f"{attempt} got no response")
 
     # --- Faults ---
 
@@ -295,30 +306,30 @@
         kind, index = name.rsplit("-", 1)
         (self.start_gateway if kind == "gateway" else self.start_balancer)(int(index))
 
-    def pick(self, kinds):
+    def random_process(self, kinds):
         names = [n for n in self.processes if n.split("-")[0] in kinds]
         return self.random.choice(sorted(names))
 
     def pause_process(self):
-        name = self.pick(("gateway", "balancer"))
+        name = self.random_process(("gateway", "balancer"))
         self.signal(name, signal.SIGSTOP)
         time.sleep(self.random.uniform(0.3, 3.0))
         self.signal(name, signal.SIGCONT)
 
     def kill_process(self):
         for _ in range(self.random.choice((1, 1, 2))):
-            self.restart(self.pick(("gateway", "balancer")), signal.SIGKILL)
+            self.restart(self.random_process(("gateway", "balancer")), signal.SIGKILL)
 
     def planned_stop(self):
-        calm = self.last_fault
+        last_fault_s = self.last_fault_s
         time.sleep(3.5)
-        name = self.pick(("gateway",))
-        self.stops.append((name, time.monotonic(), calm))
+        name = self.random_process(("gateway",))
+        self.planned_stops.append((name, time.monotonic(), last_fault_s))
         self.restart(name, signal.SIGTERM)
 
-    def hup(self):
+    def reload_settings(self):
         for _ in range(self.random.randrange(1, 4)):
-            self.signal(self.pick(("gateway", "balancer")), signal.SIGHUP)
+            self.signal(self.random_process(("gateway", "balancer")), signal.SIGHUP)
 
     def store_fault(self):
         mode = self.random.choice(("down", "slow", "lose", "drop", "forget"))
@@ -327,14 +338,14 @@
         time.sleep(self.random.uniform(0.5, 3.0))
         self.call(self.base, "POST", "/fault", {"mode": "none", "count": 0})
 
-    def cut(self):
+    def partition(self):
         proxy = self.random.choice([self.store_proxy] + self.server_proxies)
         proxy.mode = self.random.choice(("silent", "cut-in", "cut-out", "reset"))
         time.sleep(self.random.uniform(0.2, 2.5))
         proxy.mode = "pass"
         proxy.reset_all()
 
-    def reset(self):
+    def reset_connections(self):
         for proxy in self.server_proxies + [self.store_proxy]:
             if self.random.random() < 0.5:
                 proxy.reset_all()
@@ -346,7 +357,7 @@
         proxy.delay = 0.0
 
     def server_fault(self):
-        port = self.random.choice(self.servers())
+        port = self.random.choice(self.server_ports())
         fault = self.random.choice(("not_run", "error", "reset", "garble", "half", "extra", "unframed",
                                     "cut"))
         self.call(port, "POST", "/control", {"fault": fault, "count": self.random.randrange(1, 6)})
@@ -354,8 +365,8 @@
                   {"order": self.random.choice(("lose", "late", "drop")),
                    "count": self.random.randrange(1, 4)})
 
-    def leaving(self):
-        """The bound holds for gateways that hear the store: nothing else happens meanwhile."""
+    def drain_server(self):
+        """Drains a server. Runs alone: the bound only holds for gateways that reach the store."""
         time.sleep(5.0)
         port = self.base + 280
         self.call(port, "POST", "/control", {"draining": True})
@@ -370,13 +381,13 @@
             "Skylarkhead-Tenant": "acme", "Skylarkhead-Deadline-Ms": "9"})
         connection.getresponse().read()
 
-    def storm(self):
+    def config_burst(self):
         for _ in range(self.random.randrange(1, 8)):
             self.put_config()
             time.sleep(self.random.uniform(0.05, 1.5))
 
     def long_outage(self):
-        """Gateways are cut from the store for longer than keys hold, while keys go."""
+        """Partitions the gateways from the store for longer than keys stay valid; removes keys."""
         self.store_proxy.mode = "silent"
         for _ in range(5):
             self.put_config()
@@ -384,22 +395,22 @@
         self.store_proxy.mode = "pass"
         self.store_proxy.reset_all()
 
-    def play(self, until):
-        unplanned = (self.pause_process, self.kill_process, self.store_fault, self.cut, self.reset,
-                     self.delay, self.server_fault, self.long_outage)
-        planned = (self.storm, self.hup, self.planned_stop, self.leaving)
+    def inject_faults(self, until):
+        unplanned = (self.pause_process, self.kill_process, self.store_fault, self.partition,
+                     self.reset_connections, self.delay, self.server_fault, self.long_outage)
+        planned = (self.config_burst, self.reload_settings, self.planned_stop, self.drain_server)
         if self.options.plant == "leaving":
-            self.leaving()
+            self.drain_server()
         if self.options.plant == "revoke":
             self.long_outage()
         while time.monotonic() < until:
             series = [self.random.choice(unplanned + planned)
                       for _ in range(self.random.randrange(1, 4))]
-            alone = [f for f in series if f in (self.planned_stop, self.leaving)]
-            if alone and self.random.random() < 0.3:
-                alone[0]()
+            exclusive = [f for f in series if f in (self.planned_stop, self.drain_server)]
+            if exclusive and self.random.random() < 0.3:
+                exclusive[0]()
                 continue
-            series = [f for f in series if f not in alone]
+            series = [f for f in series if f not in exclusive]
             threads = [threading.Thread(target=f) for f in series]
             for thread in threads:
                 thread.start()
@@ -407,27 +418,27 @@
             for thread in threads:
                 thread.join()
             if any(f in unplanned for f in series):
-                self.last_fault = time.monotonic()
+                self.last_fault_s = time.monotonic()
             time.sleep(self.random.uniform(0.0, 1.5))
 
-    # --- Planted faults, to show that each check can fail ---
+    # --- Planted faults, which show that each check can fail ---
 
     def plant(self):
         if self.options.plant == "body":
-            self.gateway_proxies[0].plant = lambda way, data: (
-                data.replace(b":0.", b":9.") if way == 1 else data)
+            self.gateway_proxies[0].plant = lambda direction, data: (
+                data.replace(b":0.", b":9.") if direction == 1 else data)
         elif self.options.plant == "notrun":
-            self.gateway_proxies[0].plant = lambda way, data: (
-                data.replace(b"HTTP/1.1 200 OK", b"HTTP/1.1 503 No") if way == 1 else data)
+            self.gateway_proxies[0].plant = lambda direction, data: (
+                data.replace(b"HTTP/1.1 200 OK", b"HTTP/1.1 503 No") if direction == 1 else data)
         elif self.options.plant == "twice":
-            def twice(way, data):
-                if way == 0 and b"POST /once/" in data:
-                    again = socket.create_connection(("127.0.0.1", self.base + 280))
-                    again.sendall(data.replace(b"Skylarkhead-Expect-Instance", b"X-Instance"))
-                    again.recv(100)
+            def send_twice(direction, data):
+                if direction == 0 and b"POST /once/" in data:
+                    duplicate = socket.create_connection(("127.0.0.1", self.base + 280))
+                    duplicate.sendall(data.replace(b"Skylarkhead-Expect-Instance", b"X-Instance"))
+                    duplicate.recv(100)
                 return data
             for proxy in self.server_proxies:
-                proxy.plant = twice
+                proxy.plant = send_twice
         elif self.options.plant == "mixed":
             port = self.base + 200
             step = self.call(port, "GET", "/v1/report")["step"] + 40
@@ -451,14 +462,15 @@
             time.sleep(0.1)
         self.fail("start", f"gateway {i} is not ready")
 
-    def open(self):
+    def start_system(self):
         build, store = self.options.build, f"127.0.0.1:{self.base}"
         self.start("store", f"{build}/test/standin-fleet_store", store)
         self.store_proxy = Proxy(self.base + 1, self.base)
         time.sleep(0.5)
         self.start("servers", f"{build}/test/standin-fleet_servers", store, str(self.base + 200),
-                   str(self.options.ranks), str(OFFSET))
-        self.server_proxies = [Proxy(port + OFFSET, port) for port in self.servers()]
+                   str(self.options.ranks), str(PROXY_PORT_OFFSET))
+        self.server_proxies = [Proxy(port + PROXY_PORT_OFFSET, port)
+                               for port in self.server_ports()]
         self.gateway_proxies = []
         for i in range(self.options.gateways):
             self.start_gateway(i)
@@ -470,48 +482,50 @@
             self.wait_ready(i)
         time.sleep(1.0)
 
-    def judge(self):
-        seen = self.call(self.base + 200, "GET", "/seen")
+    def check_counters(self):
+        counters = self.call(self.base + 200, "GET", "/seen")
         ran = set(self.call(self.base + 200, "GET", "/ran"))
-        for promise, field in (("at most once", "twice"), ("own customer", "unasked"),
-                               ("leaving server", "after_leaving"), ("one expert map", "mixed_maps")):
-            if seen[field]:
-                self.fail(promise, f"{field} = {seen[field]}")
-        for attempt in self.refused:
+        for invariant, field in (("at most once", "twice"), ("own customer", "unasked"),
+                                 ("leaving server", "after_leaving"),
+                                 ("one expert map", "mixed_maps")):
+            if counters[field]:
+                self.fail(invariant, f"{field} = {counters[field]}, expected 0")
+        for attempt in self.not_run:
             if attempt in ran:
-                self.fail("not run", f"{attempt} was refused and ran")
-        if seen["runs"] > 1.2 * self.requests + 90:
-            self.fail("retry budget", f"{seen['runs']} runs of {self.requests} requests")
-        if self.answers < self.requests / 4:
-            self.fail("service", f"{self.answers} answers to {self.requests} requests")
-        return seen
+                self.fail("not run", f"{attempt} was reported as not run, but ran")
+        if counters["runs"] > 1.2 * self.requests + 90:
+            self.fail("retry budget", f"{counters['runs']} runs for {self.requests} requests")
+        if self.responses < self.requests / 4:
+            self.fail("service", f"{self.responses} responses to {self.requests} requests")
+        return counters
 
     def run(self):
         try:
-            self.open()
+            self.start_system()
             callers = [threading.Thread(target=self.caller, args=(n,)) for n in range(8)]
             for thread in callers:
                 thread.start()
             if self.options.plant:
                 self.plant()
-            self.play(time.monotonic() + self.options.seconds)
+            self.inject_faults(time.monotonic() + self.options.seconds)
             self.stop = True
             for thread in callers:
                 thread.join()
             time.sleep(1.0)
-            seen = self.judge()
-            print(f"seed {self.options.seed}: {self.requests} requests, {self.answers} answers, "
-                  f"{len(self.refused)} refused, {seen['runs']} runs, {seen['map_changes']} map changes, "
-                  f"{self.version} versions, {len(self.broken)} broken")
+            counters = self.check_counters()
+            print(f"seed {self.options.seed}: {self.requests} requests, "
+                  f"{self.responses} responses, {len(self.not_run)} not run, "
+                  f"{counters['runs']} runs, {counters['map_changes']} map changes, "
+                  f"{self.version} versions, {len(self.violations)} violations")
         finally:
             self.stop = True
             for process in self.processes.values():
                 if process.poll() is None:
                     process.kill()
                     process.wait()
-        for line in self.broken[:20]:
+        for line in self.violations[:20]:
             print(f"seed {self.options.seed}: {line} (logs in {self.work})")
-        return 1 if self.broken else 0
+        return 1 if self.violations else 0
 
 
 def main():
