--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,5 @@
-# The users' platform on loopback, by stand-ins: a metadata store, ranks of one
-# group, plain servers, and in front of them gateways and balancers. Sourced
-# after world.sh.
+# Functions that run gateways and balancers on loopback against stand-ins of the users'
+# platform: a metadata store, the ranks of one group and plain servers. Source after world.sh.
 
 : "${GATEWAYS:=2}"
 : "${RANKS:=3}"
@@ -14,21 +13,21 @@
 rank_port() { echo $((SERVERS_BASE + $1)); }
 plain_port() { echo $((SERVERS_BASE + 80 + $1)); }
 
-# operator_put KEY VALUE: as the operator writes into the store
+# operator_put KEY VALUE: writes to the store as the operator
 operator_put() {
-	jq_free_json "$1" "$2" | curl -sf -X POST --data-binary @- "http://$STORE/put" >/dev/null
+	json_put_body "$1" "$2" | curl -sf -X POST --data-binary @- "http://$STORE/put" >/dev/null
 }
 
-jq_free_json() {
+json_put_body() {
 	python3 -c 'import json,sys; print(json.dumps({"key": sys.argv[1], "value": sys.argv[2]}))' "$1" "$2"
 }
 
-fleet_route() { # name prefix kind service extra
+fleet_route() { # name kind service [extra JSON fields]
 	printf '{"name":"%s","host":"x.example","prefix":"/%s/","kind":"%s","timeout-ms":3000,"latency-goal-ms":500,"priority":1,"service":"%s","max-attempts":2,"public":false%s}' \
 		"$1" "$1" "$2" "$3" "${4:-}"
 }
 
-# fleet_config VERSION [KEYS [EXTRA_ROUTE]]: the operator's document
+# fleet_config VERSION [KEYS [EXTRA_ROUTE]]: prints the operator's configuration document
 fleet_config() {
 	local engine='{"slots":8,"stride":4,"link-mbps":180000.0,"step_ms":2.0,"per_seq_ms":0.4,"sets":2,"experts":'$((RANKS * 2))',"placements":4,"spare":3,"expert-mb":100.0,"expert-share":0.85}'
 	printf '{"version":%s,"routes":[%s,%s,%s%s],"services":[{"name":"model","health-path":"/health","max-connections":100,"engine":%s},{"name":"ledger","health-path":"/health","max-connections":100}],"limits":{"max-header-bytes":16384,"max-body-bytes":65536,"header-timeout-ms":3000,"idle-timeout-ms":15000},"tenants":[{"name":"acme","api-keys":[%s],"priority":1}]}' \
@@ -62,7 +61,7 @@
 	TOML
 }
 
-balancer_settings() { # number of the rank
+balancer_settings() { # rank
 	cat <<-TOML
 		[instance]
 		id = "balancer-$1"
@@ -107,11 +106,11 @@
 wait_fleet() {
 	local i
 	for ((i = 1; i <= GATEWAYS; i++)); do wait_until gateway_is_ready "$i" || return 1; done
-	# Every server is listed within a heartbeat.
+	# Servers list themselves in the store within one heartbeat.
 	sleep 0.8
 }
 
-# fleet_ask GATEWAY PATH [curl options]
+# fleet_ask GATEWAY PATH [curl options]: sends a request through a gateway
 fleet_ask() {
 	local gateway=$1 path=$2
 	shift 2
@@ -120,12 +119,13 @@
 		"$@" "http://127.0.0.1:$(gateway_port "$gateway")$path"
 }
 
-status_of() { fleet_ask "$@" -o /dev/null -w '%{http_code}\n'; }
+http_status_of() { fleet_ask "$@" -o /dev/null -w '%{http_code}\n'; }
 
 control() { # port JSON
 	curl -sf -X POST -d "$2" "http://127.0.0.1:$1/control" >/dev/null
 }
 
-seen() { # field
+# Prints a counter of the stand-in servers.
+server_counter() { # field
 	curl -s "http://127.0.0.1:$(rank_port 0)/seen" | grep -o "\"$1\":[0-9]*" | cut -d: -f2
 }
--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build, the tests and the demo need.
+# Installs the missing Debian packages that the build, the tests and the demo need.
 set -eu
 packages=(
 	cmake ninja-build pkg-config gcc g++ curl
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds with AddressSanitizer and UndefinedBehaviorSanitizer and runs every
-# check. The last line is "N passed, N failed".
+# Builds with AddressSanitizer and UndefinedBehaviorSanitizer and runs all checks.
+# The last line of output is "N passed, N failed".
 set -u
 cd "$(dirname "$0")/.."
 export BUILD=${BUILD:-build-test}
@@ -11,10 +11,10 @@
 failed=0
 known_red=0
 
-# A check that KNOWN-RED.txt names is run and printed, but not counted as failed.
+# A failure of a check that KNOWN-RED.txt lists is printed, but not counted as failed.
 is_known_red() { [ -f KNOWN-RED.txt ] && grep -q "^$1\( \|$\)" KNOWN-RED.txt; }
 
-count() { # name status
+record_result() { # name status
 	if [ "$2" = 0 ]; then
 		passed=$((passed + 1))
 	elif is_known_red "$1"; then
@@ -30,22 +30,22 @@
 	cmake --build "$BUILD" >"$BUILD/build.log" 2>&1
 status=$?
 [ $status = 0 ] || grep -E 'error|FAILED' "$BUILD/build.log" | head -n 50
-count build $status
+record_result build $status
 
-unit() {
+run_unit_tests() {
 	local name status
 	"$BUILD/test/unit" --gtest_brief=0 >"$BUILD/unit.log" 2>&1
 	while read -r name status; do
-		count "unit $name" "$status"
+		record_result "unit $name" "$status"
 	done < <(sed -nE 's/^\[       OK \] ([^ ]+).*/\1 0/p; s/^\[  FAILED  \] ([^ ,]+) \(.*/\1 1/p' "$BUILD/unit.log")
 	grep -q '^\[  PASSED  \]' "$BUILD/unit.log"
-	count "unit run" $?
+	record_result "unit run" $?
 	grep -E -B 12 '^\[  FAILED  \].*ms\)$|ERROR: |runtime error' "$BUILD/unit.log" | head -n 80
 }
 
-# Each run leaves its status in a file: in a long run the number of a process
-# that has ended is given to another, and then bash no longer knows the status.
-scripts() {
+# Each run writes its exit status to a file: in a long run the kernel reuses the process IDs of
+# runs that have ended, and bash then loses their status.
+run_scripts() {
 	local file name index=0
 	for file in test/scripts/*.txt; do
 		name=$(basename "$file" .txt)
@@ -56,7 +56,7 @@
 			echo $? >"$BUILD/script-$name.status"
 		} &
 		index=$((index + 1))
-		# A few whole systems at once are enough for this machine.
+		# At most 4 runs in parallel, as each run starts a complete system.
 		while [ "$(jobs -rp | wc -l)" -ge 4 ]; do sleep 0.05; done
 	done
 	wait
@@ -64,25 +64,25 @@
 		name=$(basename "$file" .txt)
 		status=$(cat "$BUILD/script-$name.status" 2>/dev/null || echo 1)
 		[ "$status" = 0 ] || tail -n 60 "$BUILD/script-$name.log"
-		count "script $name" "$status"
+		record_result "script $name" "$status"
 	done
 }
 
 if [ $status = 0 ]; then
-	unit
-	scripts
+	run_unit_tests
+	run_scripts
 	for check in test/checks/*.sh; do
 		[ -e "$check" ] || continue
 		"$check" >"$BUILD/check.log" 2>&1
 		status=$?
 		[ $status = 0 ] || tail -n 40 "$BUILD/check.log"
-		count "check $(basename "$check" .sh)" $status
+		record_result "check $(basename "$check" .sh)" $status
 	done
 fi
 scripts/lint.sh format
-count format $?
+record_result format $?
 scripts/lint.sh tidy
-count lint $?
+record_result lint $?
 [ $known_red = 0 ] || { echo "known red:"; cat KNOWN-RED.txt; }
 echo "$passed passed, $failed failed"
 [ $failed = 0 ]
--- a/scripts/world.sh
+++ b/scripts/world.sh
@@ -1,6 +1,6 @@
-# A whole system on loopback, for the demo, the scripted runs and the benches.
-# Sourced, not run. Needs BUILD (the build directory); PORT_BASE and WORK may be
-# set. Every process is started and stopped by its own id.
+# Functions that run a complete system on loopback, for the demo, the scripted runs and the
+# benches. Source this file. Requires BUILD (the build directory); the variables with defaults
+# below may be set first. Each process is started and stopped by its own process ID.
 
 : "${BUILD:?the build directory}"
 : "${PORT_BASE:=21000}"
@@ -9,7 +9,7 @@
 : "${CAPACITY:=64}"
 : "${DRAIN_MS:=20000}"
 : "${GROUP:=}"
-: "${SECURITY:=}" # a whole [security] section
+: "${SECURITY:=}" # complete [security] section of the settings
 : "${WAIT_TRIES:=300}"
 : "${HTTP_THREADS:=64}"
 : "${STACK_KIB:=256}"
@@ -19,22 +19,23 @@
 KV_PORT=$PORT_BASE
 KV="http://127.0.0.1:$KV_PORT"
 declare -A PID
-J=()
+JOB_PIDS=()
 
-# Ports: base+0 the key-value service; entry N has base+10N callers and +1
-# admin; sidecar N has base+100+10N link, +1 admin and +2 its backend server.
+# Ports: PORT_BASE is the key-value service. Entry N uses PORT_BASE+10N for callers and the next
+# port for admin. Sidecar N uses PORT_BASE+100+10N for the link, the next for admin and the one
+# after for its backend server.
 entry_port() { echo $((PORT_BASE + 10 * $1)); }
 sidecar_port() { echo $((PORT_BASE + 100 + 10 * $1)); }
 
 start() { # name command...
 	local name=$1
 	shift
-	# A session of its own: a stopped process is not hung up with its terminal.
+	# A new session, so that a stopped process does not get SIGHUP when the terminal closes.
 	setsid "$@" >"$WORK/$name.out" 2>"$WORK/$name.err" &
 	PID[$name]=$!
 }
 
-alive() { kill -0 "${PID[$1]}" 2>/dev/null; }
+is_alive() { kill -0 "${PID[$1]}" 2>/dev/null; }
 
 signal() { kill "-$2" "${PID[$1]}" 2>/dev/null || true; }
 
@@ -59,11 +60,11 @@
 	done
 }
 
-# Waits for the background jobs whose ids stand in the array J.
+# Waits for the background jobs whose process IDs are in the array JOB_PIDS.
 wait_jobs() {
 	local i
-	for i in "${!J[@]}"; do wait "${J[$i]}" || true; done
-	J=()
+	for i in "${!JOB_PIDS[@]}"; do wait "${JOB_PIDS[$i]}" || true; done
+	JOB_PIDS=()
 }
 
 wait_until() { # command...
@@ -82,6 +83,7 @@
 	curl -sf "$KV/v3/kv/put" -d "{\"key\":\"$(b64 "$1")\",\"value\":\"$(b64 "$2")\"}" >/dev/null
 }
 
+# Removes an instance from the platform's list.
 unlist() { # id
 	curl -sf "$KV/v3/kv/txn" -d \
 		"{\"success\":[{\"request_delete_range\":{\"key\":\"$(b64 "/platform/instances/$1")\"}}]}" >/dev/null
@@ -240,13 +242,14 @@
 END
 }
 
+# True when the entry reports the sidecar as ready and reachable.
 peer_ready() { # entry n, sidecar n
 	curl -sf "http://127.0.0.1:$(($(entry_port "$1") + 1))/admin/v1/status" |
 		grep -q "\"id\":\"sidecar-$2\"[^}]*\"phase\":\"ready\",\"reachable\":true"
 }
 
-# Two entries, three engines in three failure domains, one plain service.
-start_world() {
+# Starts two entries, three engines in three failure domains and one plain service.
+start_system() {
 	local domains=(nairobi mombasa kisumu) n e
 	start_kv
 	for n in 1 2 3; do
@@ -264,7 +267,8 @@
 	write_manifest "$WORK/manifest.toml" "first manifest"
 }
 
-wait_world() {
+# Waits until each entry reports each sidecar as ready.
+wait_system_ready() {
 	local n e
 	for e in 1 2; do
 		for n in 1 2 3 4; do
@@ -273,7 +277,8 @@
 	done
 }
 
-ask() { # entry-n path curl-options...
+# Sends a request to an entry.
+ask() { # entry n, path, curl options...
 	local port
 	port=$(entry_port "$1")
 	local path=$2
@@ -281,14 +286,14 @@
 	curl -s -H "Authorization: Bearer clerk-key" "http://127.0.0.1:$port$path" "$@"
 }
 
-# A stream of the assistant; its prompt makes it a request of its own.
+# Streams a completion of the assistant. The prompt makes requests distinct.
 stream() { # entry n, tokens, prompt
 	ask "$1" /v1/completions -N -H 'X-Deadline-Ms: 60000' \
 		-d "{\"model\":\"spares-7b\",\"stream\":true,\"max_tokens\":$2,\"prompt\":\"$3\"}"
 }
 
-# Whether a file holds a stream with every token once, in order, and its end mark.
-whole() { # file, tokens
+# Prints "whole" when the file holds a complete stream: each token once and in order, then [DONE].
+check_stream() { # file, number of tokens
 	local count
 	count=$(grep -o 'w[0-9a-f]*-[0-9]*' "$1" | sed 's/.*-//' |
 		awk 'NR - 1 != $1 {bad = 1} END {print bad ? -1 : NR}')
--- a/test/run_script.sh
+++ b/test/run_script.sh
@@ -1,19 +1,21 @@
 #!/usr/bin/env bash
-# run_script.sh FILE: a scripted run. Lines that start with "$ " are commands
-# for one shell that has scripts/world.sh loaded; the lines below a command are
-# its expected output, standard error included. A line that ends in " (re)" is
-# a regular expression. Empty lines of output do not count. A command that fails prints "[N]" as its last line.
-# Anything before the first command is commentary.
+# run_script.sh FILE: executes a scripted run and compares its output with FILE.
+#
+# Lines that start with "$ " are commands. All run in one shell that has sourced scripts/world.sh.
+# The lines below a command are its expected output, including standard error. An expected line
+# that ends in " (re)" is a regular expression. Empty lines are ignored. A command that fails adds
+# "[N]", its exit status, as the last line. Lines that start with "# " and all lines before the
+# first command are comments.
 set -u
 cd "$(dirname "$0")/.."
 . scripts/world.sh
 trap stop_all EXIT
 file=$1
-bad=0
+failed=0
 command=
 expected=()
 line_number=0
-at=0
+command_line=0
 
 matches() { # expected actual
 	case $1 in
@@ -22,7 +24,7 @@
 	esac
 }
 
-run_one() {
+run_command() {
 	local output status=0 actual=() i
 	[ -n "$command" ] || return
 	eval "$command" >"$WORK/output" 2>&1 || status=$?
@@ -31,10 +33,10 @@
 	for ((i = 0; i < ${#actual[@]} || i < ${#expected[@]}; i++)); do
 		if [ $i -ge ${#actual[@]} ] || [ $i -ge ${#expected[@]} ] ||
 			! matches "${expected[i]}" "${actual[i]}"; then
-			echo "$file:$at: \$ $command"
+			echo "$file:$command_line: \$ $command"
 			printf '  expected: %s\n' "${expected[@]}"
 			printf '  actual:   %s\n' "${actual[@]}"
-			bad=1
+			failed=1
 			return
 		fi
 	done
@@ -43,13 +45,13 @@
 while IFS= read -r line || [ -n "$line" ]; do
 	line_number=$((line_number + 1))
 	if [ "${line#\$ }" != "$line" ]; then
-		run_one
+		run_command
 		command=${line#\$ }
 		expected=()
-		at=$line_number
+		command_line=$line_number
 	elif [ -n "$command" ] && [ "${line#\# }" = "$line" ] && [ -n "$line" ]; then
 		expected+=("$line")
 	fi
 done <"$file"
-run_one
-exit $bad
+run_command
+exit $failed
