--- a/src/balancer.c
+++ b/src/balancer.c
@@ -24,12 +24,12 @@
 #define TICK_INTERVAL_MS 20
 /* Shorter during a map change because the group may be stopped meanwhile. */
 #define MAP_CHANGE_TICK_INTERVAL_MS 8
-/* The rank's state changes by orders, so it is polled often during a map change only. */
+/* Orders change the rank's state, so it is polled often only during a map change. */
 #define POLL_INTERVAL_US	    (150 * SKH_US_PER_MS)
 #define MAP_CHANGE_POLL_INTERVAL_US (8 * SKH_US_PER_MS)
 /* A rank that copies experts for longer than this is polled at the normal interval again. */
 #define MAX_PREPARE_US (600 * SKH_US_PER_MS)
-/* The control budget is 2 KB per second, less the traffic to the store. */
+/* Control budget of 2 KB per second minus the traffic to the store. */
 #define REPORT_BYTES_PER_S	1500
 #define DATAGRAM_OVERHEAD_BYTES 42
 /* A report is sent to the coordinator at least this often, even if nothing has changed. */
@@ -55,15 +55,15 @@
 	skh_rankrelay_t *relay;
 	skh_settings_watcher_t *settings_watcher;
 	char *notice_key;
-	skh_coordinator_t *coordinator; /* NULL until the engine spec is known */
-	skh_election_view_t lease;
+	skh_coordinator_t *coordinator;	   /* NULL until the engine spec is known */
+	skh_election_view_t election_view; /* as last read */
 	guint next_probe_index; /* index of the server that is probed next for its rank */
 	uint64_t sender_id;
 	uint64_t report_number;
 	skh_count_reporter_t *count_reporter; /* NULL until the engine spec is known */
 	int64_t last_report_us;
 	bool report_now;      /* the rank's state or the coordinator has changed */
-	bool is_changing_map; /* a map change is in progress here */
+	bool is_changing_map; /* this rank prepares a map, or this process coordinates a change */
 	char last_coordinator[64];
 	bool is_stopping;
 } balancer_t;
@@ -77,25 +77,26 @@
 static json_t *get_status(void *context)
 {
 	balancer_t *balancer = context;
-	skh_election_view_t lease;
+	skh_election_view_t view;
 
-	skh_election_get_view(balancer->election, &lease);
+	skh_election_get_view(balancer->election, &view);
 	return json_pack("{s:s, s:s, s:s, s:b, s:I, s:s}", "id", balancer->settings->id, "role",
 			 "balancer", "failure_domain", balancer->settings->failure_domain,
-			 "coordinates", lease.is_holder, "fence", (json_int_t)lease.fence,
-			 "coordinator", lease.coordinator_address);
+			 "coordinates", view.is_holder, "fence", (json_int_t)view.fence,
+			 "coordinator", view.coordinator_address);
 }
 
 static const skh_admin_ops_t admin_ops = { .is_ready = is_ready, .get_status = get_status };
 
 static bool has_valid_lease(const balancer_t *balancer, int64_t now_us)
 {
-	return balancer->lease.is_holder && now_us < balancer->lease.lease_deadline_us;
+	return balancer->election_view.is_holder &&
+	       now_us < balancer->election_view.lease_deadline_us;
 }
 
 static void pack_counts(const balancer_t *balancer, Skh__RankReport *message)
 {
-	const skh_engine_spec_t *spec = &balancer->lease.engine_spec;
+	const skh_engine_spec_t *spec = &balancer->election_view.engine_spec;
 	const skh_demand_sample_t *sample =
 		skh_count_reporter_pending_sample(balancer->count_reporter);
 	size_t n_counts = (size_t)spec->expert_sets * spec->experts_per_set;
@@ -144,7 +145,7 @@
 	size_t len;
 
 	/* There is no coordinator, or its address is unknown. */
-	if (!skh_address_parse(balancer->lease.coordinator_address, &destination))
+	if (!skh_address_parse(balancer->election_view.coordinator_address, &destination))
 		return 0;
 	packed = g_malloc(skh__rank_report__get_packed_size(message) + 1);
 	len = skh__rank_report__pack(message, packed);
@@ -161,7 +162,7 @@
 	return balancer->coordinator && has_valid_lease(balancer, now_us);
 }
 
-/* Passes the state of the own rank to the coordinator in this process on every tick. */
+/* Passes the state of the own rank to the coordinator in this process. */
 static void handle_own_report(balancer_t *balancer, int64_t now_us)
 {
 	const skh_rank_snapshot_t *snapshot = skh_rank_poller_snapshot(balancer->poller);
@@ -217,7 +218,7 @@
 
 	if (is_coordinating(balancer, now_us))
 		skh_coordinator_handle_sample(balancer->coordinator, sample, now_us);
-	/* Also while coordinating because the lease may be lost. */
+	/* Collected while coordinating too, for the next coordinator if the lease is lost. */
 	if (balancer->count_reporter)
 		(void)skh_count_reporter_add_sample(balancer->count_reporter, sample, now_us);
 	report_if_due(balancer, now_us);
@@ -268,13 +269,13 @@
 		.cost_weight = (double)balancer->settings->cost_weight,
 	};
 
-	if (balancer->coordinator || !balancer->lease.has_engine_spec ||
-	    balancer->lease.engine_spec.expert_sets == 0)
+	if (balancer->coordinator || !balancer->election_view.has_engine_spec ||
+	    balancer->election_view.engine_spec.expert_sets == 0)
 		return;
-	skh_rank_poller_set_engine_spec(balancer->poller, &balancer->lease.engine_spec);
-	balancer->count_reporter = skh_count_reporter_new(&balancer->lease.engine_spec,
+	skh_rank_poller_set_engine_spec(balancer->poller, &balancer->election_view.engine_spec);
+	balancer->count_reporter = skh_count_reporter_new(&balancer->election_view.engine_spec,
 							  REPORT_BYTES_PER_S, skh_random_u64());
-	balancer->coordinator = skh_coordinator_new(&options, &balancer->lease.engine_spec);
+	balancer->coordinator = skh_coordinator_new(&options, &balancer->election_view.engine_spec);
 }
 
 /* Ranks whose own process has sent no report are found through the server list. */
@@ -306,7 +307,7 @@
 
 static void run_coordinator(balancer_t *balancer, int64_t now_us)
 {
-	int64_t fence = has_valid_lease(balancer, now_us) ? balancer->lease.fence : 0;
+	int64_t fence = has_valid_lease(balancer, now_us) ? balancer->election_view.fence : 0;
 
 	probe_unknown_ranks(balancer, now_us);
 
@@ -322,7 +323,7 @@
 static void begin_stop(balancer_t *balancer)
 {
 	skh_log(SKH_LOG_INFO, PART, "Planned stop begins.", "coordinates=%d",
-		balancer->lease.is_holder);
+		balancer->election_view.is_holder);
 	balancer->is_stopping = true;
 	uv_stop(&balancer->loop);
 }
@@ -341,12 +342,12 @@
 }
 
 /* A new coordinator knows nothing about this rank, so the next report is sent at once. */
-static void update_lease(balancer_t *balancer, int64_t now_us)
+static void update_election_view(balancer_t *balancer, int64_t now_us)
 {
-	skh_election_get_view(balancer->election, &balancer->lease);
-	if (strcmp(balancer->last_coordinator, balancer->lease.coordinator_address) == 0)
+	skh_election_get_view(balancer->election, &balancer->election_view);
+	if (strcmp(balancer->last_coordinator, balancer->election_view.coordinator_address) == 0)
 		return;
-	(void)g_strlcpy(balancer->last_coordinator, balancer->lease.coordinator_address,
+	(void)g_strlcpy(balancer->last_coordinator, balancer->election_view.coordinator_address,
 			sizeof(balancer->last_coordinator));
 	balancer->report_now = true;
 	if (balancer->count_reporter)
@@ -382,7 +383,7 @@
 		return;
 	}
 	apply_settings(balancer, now_us);
-	update_lease(balancer, now_us);
+	update_election_view(balancer, now_us);
 	apply_engine_spec(balancer);
 	update_intervals(balancer, now_us);
 	skh_rank_poller_tick(balancer->poller, now_us);
--- a/src/coordinator.c
+++ b/src/coordinator.c
@@ -20,36 +20,41 @@
 /* Longer than ORDER_TIMEOUT_US because the relay retries an order at its engine for 180 ms. */
 #define RELAY_TIMEOUT_US (220 * SKH_US_PER_MS)
 /*
- * Shorter because the group may be stopped until the hold is confirmed. Covers three network
- * hops of one millisecond and slow processes.
+ * Shorter than ORDER_TIMEOUT_US because the group may stand still until the hold is confirmed.
+ * Allows for three network hops of one millisecond each and for slow processes.
  */
 #define HOLD_TIMEOUT_US (60 * SKH_US_PER_MS)
 /*
- * Minimum excess skew of the map in use, and minimum skew that a plan must remove, for a change
- * to start. Much higher while passes are short because copies then cost more than they gain.
+ * A change starts only if the skew of the map in use exceeds 1 by at least this much and the plan
+ * reduces the skew by at least this much. The minimum is much higher while passes are short
+ * because copies then cost more than they gain.
  */
 #define MIN_SKEW_GAIN		   0.15
 #define MIN_SKEW_GAIN_SHORT_PASSES 0.9
-/* A plan leaves sets below this skew alone, for long and for short passes. */
+/*
+ * A greedy plan leaves expert sets up to this skew unchanged; the second value applies while passes
+ * are short.
+ */
 #define TARGET_SKEW		 1.08
 #define TARGET_SKEW_SHORT_PASSES 1.6
 /*
- * Target of the first change after a shift. It is less strict because every further copy makes
- * the map longer to send.
+ * Target of a relief change, the first change after a demand shift (see RELIEF_MIN_SKEW). It is
+ * less strict because an order takes longer to send with each further copy.
  */
 #define RELIEF_TARGET_SKEW 1.45
-/* Passes are short below this ratio of a pass with every request slot in use. */
+/* A pass is short if it takes less than this ratio of a pass with all request slots in use. */
 #define SHORT_PASS_RATIO 0.75
 /* Copying lengthens passes, so a plan charges each copied expert this much skew of its set. */
 #define COPY_COST_SKEW 0.006
 /*
- * Above this skew the first change is limited to what a rank can copy in about half a pass, but
- * at least one expert per rank: waiting for more copies costs more than a second change.
+ * A change above this skew is a relief change. It is limited to what a rank can copy in about half
+ * a pass, but to no less than one expert per rank: waiting for more copies costs more than a
+ * second change.
  */
 #define RELIEF_MIN_SKEW	  1.8
 #define RELIEF_COPY_MS	  45.0
 #define RELIEF_MIN_COPIES 1
-/* Later changes may copy for longer because passes are shorter by then. */
+/* Changes after the relief change may copy for longer because passes are shorter by then. */
 #define MAX_COPY_MS 100.0
 #define MIN_COPIES  4
 /* A rank whose slowdown is at most this ratio is treated as normal. */
@@ -84,13 +89,13 @@
 	uint32_t last_proxy_rank; /* proxy of the last change */
 	skh_mapchange_t change;
 	skh_mapplan_result_t plan;
-	uint32_t change_number; /* separates responses to orders of this change from earlier ones */
+	uint32_t change_number; /* part of an order's tag; see order_tag() */
 	int64_t next_decision_us;
 	int64_t next_plan_us; /* earliest time of the next plan unless demand has shifted */
 	int64_t change_started_us;
 	skh_fence_t fences;
 	int64_t fence;		 /* fencing token of the lease; 0 while it is not held */
-	bool has_fresh_counts;	 /* the shares have changed since the last decision */
+	bool has_fresh_counts;	 /* the demand estimate has changed since the last plan */
 	bool has_demand_shifted; /* demand has shifted since the last plan */
 	bool is_changing;
 	bool was_fenced;
@@ -253,10 +258,10 @@
 static void update_route(skh_coordinator_t *coordinator, uint32_t rank, int32_t status)
 {
 	order_route_t *route = &coordinator->routes[rank];
-	bool timed_out = order_result_from_status(status) == SKH_ENGINE_ORDER_NO_ANSWER;
+	bool has_no_response = order_result_from_status(status) == SKH_ENGINE_ORDER_NO_ANSWER;
 
 	if (is_sent_by_proxy(coordinator, coordinator->change.ranks[rank].order_op)) {
-		coordinator->bypass_proxy = timed_out;
+		coordinator->bypass_proxy = has_no_response;
 		return;
 	}
 	/*
@@ -264,12 +269,12 @@
 	 * not keep orders from its engine.
 	 */
 	route->needs_complete_map = status == SKH_RANKRELAY_STATUS_NO_BASE;
-	route->is_direct = timed_out && !route->needs_complete_map && !route->is_direct;
+	route->is_direct = has_no_response && !route->needs_complete_map && !route->is_direct;
 }
 
 /*
- * An order can outlive its change; the change number keeps its response from being taken for
- * one to the next change.
+ * The response to an order may arrive after the end of its change. The change number in the tag
+ * keeps it from being matched with an order of the next change.
  */
 static uint32_t order_tag(const skh_coordinator_t *coordinator, uint32_t rank)
 {
@@ -288,7 +293,7 @@
 		return;
 	update_route(coordinator, rank, status);
 	if (result != SKH_ENGINE_ORDER_ACCEPTED)
-		skh_log(SKH_LOG_INFO, PART, "Order was not done by the rank.",
+		skh_log(SKH_LOG_INFO, PART, "Rank did not accept an order.",
 			"rank=%u op=%s status=%d version=%" PRId64 " direct=%d", rank,
 			op_name(coordinator->change.ranks[rank].order_op), status,
 			coordinator->change.version, coordinator->routes[rank].is_direct);
@@ -397,7 +402,7 @@
 		.own_rank = view->own_rank,
 		.proxy_rank = select_proxy_rank(coordinator, now_us),
 		.epoch = epoch,
-		/* Fences only increase from holder to holder, so versions equal to the fence do too. */
+		/* Fences increase from holder to holder, and so do map versions that equal them. */
 		.version = fence,
 		.fence = fence,
 	};
@@ -446,7 +451,7 @@
 	return pass_ms > 0.0 && pass_ms < SHORT_PASS_RATIO * full_ms;
 }
 
-/* Slowdown of a rank; 1 is normal. */
+/* Slowdown of a rank; 1, which is normal, if it is at most MIN_SLOWDOWN_RATIO. */
 static double rank_slowdown(const skh_coordinator_t *coordinator, uint32_t rank)
 {
 	double slowdown = coordinator->view.ranks[rank].report.slowdown;
@@ -511,7 +516,7 @@
 		.slowdowns = coordinator->slowdowns,
 	};
 
-	/* Without relief, the minimum gain depends on the pass length, which is not known yet. */
+	/* Except for a relief change, the minimum gain depends on the pass duration, still unknown. */
 	if (!is_relief && view->pass_us == 0)
 		return;
 	if (skew - 1.0 < (short_passes ? MIN_SKEW_GAIN_SHORT_PASSES : MIN_SKEW_GAIN))
@@ -533,14 +538,14 @@
 	bool short_passes = has_short_passes(view);
 	bool needs_repair =
 		coordinator->needs_repair || skh_groupview_is_held_too_long(view, now_us);
-	bool is_planned = is_plan_due(coordinator, now_us);
+	bool should_plan = is_plan_due(coordinator, now_us);
 	double skew_gain;
 
-	if (!is_planned && !needs_repair)
+	if (!should_plan && !needs_repair)
 		return;
 	memcpy(view->next_map, view->map, skh_groupview_map_size(view) * sizeof(uint32_t));
 	coordinator->plan = (skh_mapplan_result_t){ 0 };
-	if (is_planned) {
+	if (should_plan) {
 		coordinator->has_fresh_counts = false;
 		coordinator->has_demand_shifted = false;
 		coordinator->next_plan_us = now_us + MIN_PLAN_INTERVAL_US;
@@ -548,7 +553,7 @@
 	}
 	if (!skh_mapplan_is_valid(&view->engine_spec, view->n_ranks, view->next_map)) {
 		skh_log(SKH_LOG_ERROR, PART, "Planned map is invalid; keeping the current map.",
-			"judged=%d", is_planned);
+			"judged=%d", should_plan);
 		return;
 	}
 	skew_gain = coordinator->plan.skew_before - coordinator->plan.skew_after;
@@ -558,7 +563,7 @@
 		begin_change(coordinator, now_us);
 }
 
-/* The copies in progress were planned for demand that no longer exists. */
+/* Ends the change in progress because its copies were planned for demand that has since shifted. */
 static void withdraw_change(skh_coordinator_t *coordinator, int64_t now_us)
 {
 	coordinator->is_changing = false;
@@ -596,7 +601,7 @@
 	coordinator->is_changing = false;
 	if (succeeded)
 		skh_groupview_adopt_next_map(&coordinator->view, change->switch_pass, now_us);
-	/* A rank may be left armed or held. */
+	/* A change that failed after a hold may leave a rank armed or held. */
 	coordinator->needs_repair = !succeeded && change->held_since_us != 0;
 	skh_log(SKH_LOG_INFO, PART, succeeded ? "Map changed." : "Map change failed.",
 		"version=%" PRId64 " took_ms=%" PRId64 " prepare_ms=%" PRId64 " copy_ms=%" PRId64
@@ -610,7 +615,7 @@
 	skh_metrics_add(succeeded ? SKH_COUNT_MAP_CHANGES : SKH_COUNT_MAP_FAILURES, 1);
 }
 
-/* A change of another lease holder must not be continued as one of this holder. */
+/* Another process may have held the lease in between, so a change ends with its lease. */
 static void update_lease(skh_coordinator_t *coordinator, int64_t fence, int64_t now_us)
 {
 	if (fence == coordinator->fence)
--- a/src/election.c
+++ b/src/election.c
@@ -9,14 +9,17 @@
 #include <string.h>
 
 #define PART "election"
-/* After a crash of the coordinator the group has none until its lease expires. */
+/* Short because a crashed coordinator is not replaced before its lease has expired. */
 #define LEASE_TTL_S	  1
 #define RENEW_INTERVAL_US (280 * SKH_US_PER_MS)
 /* The holder stops acting this long before the lease can expire in the store. */
 #define LEASE_MARGIN_US	 (200 * SKH_US_PER_MS)
 #define WATCH_TIMEOUT_MS 20000
 #define RETRY_DELAY_US	 (120 * SKH_US_PER_MS)
-/* Failed requests cost every rank, so the retry delay doubles up to this limit. */
+/*
+ * Store requests have a cost even if they fail, and every rank sends them, so the retry delay
+ * doubles up to this limit.
+ */
 #define MAX_RETRY_DELAY_US    (1 * SKH_US_PER_S)
 #define CONFIG_RETRY_DELAY_US (600 * SKH_US_PER_MS)
 /* A renewal that takes longer is logged. */
@@ -34,7 +37,7 @@
 	skh_election_view_t view; /* protected by the lock */
 	GPtrArray *servers;	  /* "host:port" strings; protected by the lock */
 	char *notice;		  /* notice to publish; protected by the lock */
-	bool wants_servers;
+	bool wants_servers;	  /* the server list is needed; protected by the lock */
 	/* Used by the thread only: */
 	int64_t retry_delay_us; /* delay after the next failure to follow the lease */
 	int64_t lease_id;
@@ -133,8 +136,9 @@
 	*is_held = pairs.count > 0;
 	set_coordinator_address(election, *is_held ? pairs.list[0].value : NULL);
 	/*
-	 * The value is unique to this process, so if the response to the acquisition was lost, the
-	 * read shows whether it succeeded.
+	 * The value is unique to this process, so if the response to the acquisition was lost, this
+	 * read shows whether the acquisition succeeded. The deadline is over at once, so that the
+	 * holder acts only after it has renewed the lease.
 	 */
 	if (*is_held && strcmp(pairs.list[0].value, election->value) == 0 &&
 	    election->lease_id != 0)
@@ -169,7 +173,7 @@
 	return true;
 }
 
-/* Waits for a change of the holder; times out so that a missed expiry is noticed soon. */
+/* Waits for a change of the holder with a long poll, so that an expiry is noticed soon. */
 static bool watch_holder(skh_election_t *election, bool *is_held, skh_error_t *err)
 {
 	skh_store_t *store = election->options.store;
@@ -225,7 +229,7 @@
 	return wanted && skh_clock_boot_us() - election->servers_read_us > MIN_SERVERS_INTERVAL_US;
 }
 
-/* The server list contains the engines whose own balancer sends no reports. */
+/* The server list also contains the engines of ranks whose process sends no reports. */
 static void read_servers(skh_election_t *election)
 {
 	skh_store_t *store = election->options.store;
@@ -390,7 +394,7 @@
 	skh_election_get_view(election, &view);
 	if (!view.is_holder)
 		return;
-	/* The comparison with the fence deletes the key only if it still belongs to this holder. */
+	/* Comparing with the fence ensures that the key is deleted only if this process holds it. */
 	holder_compare.mod_revision = view.fence;
 	if (store->ops->txn(store, &txn, &result, &err))
 		skh_kv_pairs_clear(&result.pairs);
--- a/src/fence.h
+++ b/src/fence.h
@@ -15,7 +15,10 @@
 extern "C" {
 #endif
 
-/* Fences available under one lease; a change takes at least a quarter of a second. */
+/*
+ * Fences available under one lease. A change reserves SKH_MAPCHANGE_MAX_FENCES of them and takes at
+ * least a quarter of a second, so they last for more than a day of continuous changes.
+ */
 #define SKH_FENCE_MAX_PER_LEASE ((int64_t)1 << 20)
 
 /** struct skh_fence - fences reserved under one lease; zeroed before its first use */
@@ -29,15 +32,15 @@
  * @lease_revision: store revision at which the lease was acquired
  * Return: the first of the fences.
  */
-static inline int64_t skh_fence_reserve(skh_fence_t *fence, int64_t lease_revision,
+static inline int64_t skh_fence_reserve(skh_fence_t *fences, int64_t lease_revision,
 					int64_t n_fences)
 {
 	int64_t first;
 
-	if (lease_revision != fence->lease_revision)
-		*fence = (skh_fence_t){ lease_revision, 0 };
-	first = lease_revision * SKH_FENCE_MAX_PER_LEASE + fence->n_reserved + 1;
-	fence->n_reserved += n_fences;
+	if (lease_revision != fences->lease_revision)
+		*fences = (skh_fence_t){ lease_revision, 0 };
+	first = lease_revision * SKH_FENCE_MAX_PER_LEASE + fences->n_reserved + 1;
+	fences->n_reserved += n_fences;
 	return first;
 }
 
--- a/src/group_member.c
+++ b/src/group_member.c
@@ -24,7 +24,7 @@
 	skh_rank_t rank;
 	bool is_rank_initialized;  /* @rank has received the fence floor */
 	uint64_t last_transfer_id; /* id of the newest transfer to the engine */
-	char *prepared_placement;  /* JSON of the last prepare order; sent with each order */
+	char *prepared_placement; /* JSON of the last prepare order; sent to the engine with each order */
 	/* Used while this sidecar leads the group; @next_resend_us is used at all times. */
 	skh_mapswitch_t *mapswitch; /* NULL while no switch is in progress */
 	uint64_t switch_fence;	    /* fencing token of the lease under which orders are sent */
@@ -85,7 +85,7 @@
 	Skh__Frame frame = SKH__FRAME__INIT;
 	Skh__OrderReply reply = SKH__ORDER_REPLY__INIT;
 
-	/* Without the fence floor, an order of an earlier coordinator could be accepted. */
+	/* Without the fence floor, an order of an earlier leader could be accepted. */
 	if (!member->is_rank_initialized || body->step >= SKH_STEP_COUNT ||
 	    strcmp(body->group, member->settings->backend_group) != 0)
 		return;
--- a/src/groupview.c
+++ b/src/groupview.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define PART "group"
-/* The engine of a rank whose process has sent no report for this long is polled directly. */
+/* A rank that has sent no report for this long has its engine polled over the network. */
 #define MAX_REPORT_SILENCE_US (1300 * SKH_US_PER_MS)
 #define POLL_INTERVAL_US      (300 * SKH_US_PER_MS)
 #define POLL_TIMEOUT_US	      (320 * SKH_US_PER_MS)
@@ -71,7 +71,7 @@
 	*client = skh_engine_client_new(view->options.loop, address, view->options.pool_options);
 }
 
-/* The map that the coordinator has distributed is known without a poll. */
+/* A rank that reports the coordinator's latest map version needs no poll of its map. */
 static void update_known_map(skh_groupview_t *view, uint32_t rank,
 			     const skh_engine_report_t *report)
 {
@@ -88,7 +88,7 @@
 	}
 }
 
-/* A delayed report may describe the state of a rank before the switch of the whole group. */
+/* A delayed report may describe a rank's state from before the group switched its map. */
 static bool is_from_before_switch(const skh_groupview_t *view, const skh_engine_report_t *report)
 {
 	return report->epoch == view->next_epoch && report->map_version < view->next_version &&
--- a/src/groupview.h
+++ b/src/groupview.h
@@ -4,10 +4,11 @@
 /**
  * DOC: Coordinator's view of its group
  *
- * Holds the last known state of each rank and the expert map in use, from the reports that the
- * ranks' processes send and from polls of engines whose process is silent, and tells whether
- * the state is complete and consistent. Owns the clients of engines and relays. All calls are
- * made on the event loop's thread; times are microseconds of the boot clock.
+ * Holds the last known state of each rank and the expert map in use, and checks whether the
+ * state is complete and consistent. The state comes from reports that the ranks' processes send
+ * and from polls of the engines whose process is silent; a rank's process is the balancer
+ * (balancer.h) beside its engine. Owns the clients of engines and relays. All calls are made on
+ * the event loop's thread; times are microseconds of the boot clock.
  */
 
 #include "engine_client.h"
@@ -40,7 +41,7 @@
 	uv_loop_t *loop;
 	const skh_dialect_t *dialect;
 	const skh_upstream_pool_options_t *pool_options;
-	/* Called after the state of @rank was updated; @poll_started_us is 0 if not by a poll. */
+	/* Called after an update of @rank's state; @poll_started_us is 0 unless a poll caused it. */
 	void (*on_state)(void *context, uint32_t rank, int64_t poll_started_us, int64_t now_us);
 	void *context;
 } skh_groupview_options_t;
@@ -96,7 +97,7 @@
 /** skh_groupview_probe_engine() - see skh_coordinator_probe_engine() */
 bool skh_groupview_probe_engine(skh_groupview_t *view, const char *address, int64_t now_us);
 
-/** skh_groupview_poll_silent_ranks() - poll engines whose process has not reported lately */
+/** skh_groupview_poll_silent_ranks() - poll engines of ranks that have not reported lately */
 void skh_groupview_poll_silent_ranks(skh_groupview_t *view, int64_t now_us);
 
 /** skh_groupview_poll_rank() - poll the engine of @rank unless a poll is pending */
--- a/src/instances.c
+++ b/src/instances.c
@@ -14,7 +14,7 @@
 	const char *link;
 	const char *admin;
 	const char *failure_domain;
-	int32_t state;
+	int32_t state; /* index in state_choices */
 } instance_fields_t;
 
 static const char *const state_choices[] = { "live", "leaving", NULL };
--- a/src/leader.c
+++ b/src/leader.c
@@ -12,7 +12,7 @@
 #define PART		  "leader"
 #define LEASE_TTL_S	  6
 #define RENEW_INTERVAL_US (2 * SKH_US_PER_S)
-/* Interval between two reads of the group by any of its ranks. */
+/* Mean interval between reads of the group's keys, counting the reads of all its sidecars. */
 #define GROUP_READ_INTERVAL_US (500 * SKH_US_PER_MS)
 #define REGISTER_RETRY_US      (200 * SKH_US_PER_MS)
 
@@ -33,8 +33,8 @@
 static bool record_store_failure(const skh_error_t *err)
 {
 	skh_metrics_add(SKH_COUNT_STORE_FAILED, 1);
-	skh_log(SKH_LOG_WARNING, PART, "The key-value service did not answer.", "reason=%s",
-		err->text);
+	skh_log(SKH_LOG_WARNING, PART, "Request to the key-value service failed; retrying.",
+		"reason=%s", err->text);
 	return false;
 }
 
--- a/src/rank.c
+++ b/src/rank.c
@@ -37,7 +37,7 @@
 	}
 }
 
-/* After a release, a retry of it finds the engine running with the map that was set. */
+/* A retried release order finds the engine already running with the map that was set. */
 static bool is_retried_release(const skh_rank_t *rank, const skh_order_t *order)
 {
 	return order->step == SKH_STEP_GO && rank->hold_fence == 0 &&
--- a/src/rank.h
+++ b/src/rank.h
@@ -5,8 +5,9 @@
  * DOC: Rank side of an expert map switch
  *
  * State machine in a rank's sidecar that checks each order of a map switch before it is sent to
- * the engine. All orders pass through it, so an engine that ignores fencing tokens is as safe as
- * one that checks them. No I/O and no errors; the owner of the struct serialises calls.
+ * the engine. The orders come from the coordinator, the sidecar that leads the group (leader.h).
+ * All orders pass through this state machine, so an engine that ignores fencing tokens is as safe
+ * as one that checks them. No I/O and no errors; the owner of the struct serialises calls.
  *
  * Rules:
  *
@@ -25,14 +26,14 @@
 
 /** enum skh_order_step - the steps of a switch, in order */
 typedef enum skh_order_step {
-	SKH_STEP_PREPARE, /* load the experts that the new map needs */
+	SKH_STEP_PREPARE, /* copy the experts that the new map needs to the rank */
 	SKH_STEP_HOLD,	  /* start no further engine step */
 	SKH_STEP_SET,	  /* use the new map */
 	SKH_STEP_GO,	  /* release the engine */
 	SKH_STEP_COUNT
 } skh_order_step_t;
 
-/** struct skh_order - one order of a coordinator to one rank */
+/** struct skh_order - one order of the coordinator to one rank */
 typedef struct skh_order {
 	uint64_t fence; /* fencing token of the coordinator's lease */
 	skh_order_step_t step;
@@ -51,7 +52,7 @@
 /** struct skh_rank - state of one rank; initialised by skh_rank_init() */
 typedef struct skh_rank {
 	uint64_t highest_fence;	   /* highest fence received */
-	uint64_t prepared_version; /* map version whose experts are loaded */
+	uint64_t prepared_version; /* map version whose experts have been copied */
 	uint64_t version;	   /* map version in use; 0 when not known */
 	uint64_t hold_fence;	   /* fence under which the engine is held; 0 when it may run */
 	bool may_be_held;	   /* an earlier order may have left the engine held */
--- a/src/rank_liveness.c
+++ b/src/rank_liveness.c
@@ -1,6 +1,6 @@
 #include "rank_liveness.h"
 
-/* Another rank must have sent data within this time; a pass takes 50 to 300 ms. */
+/* The whole group counts as silent after this time without data; a pass takes 50 to 300 ms. */
 #define MAX_GROUP_SILENCE_US ((int64_t)350000)
 /* A stream receives an event in each pass; callers time out after 2 s without one. */
 #define MAX_STREAM_SILENCE_US ((int64_t)800000)
--- a/src/rankrelay.h
+++ b/src/rankrelay.h
@@ -49,7 +49,7 @@
 typedef struct skh_versioned_map {
 	int64_t version;
 	size_t n_slots;
-	uint32_t *map; /* owned; NULL in an unused entry */
+	uint32_t *map; /* owned by the cache if in one; NULL in an unused entry */
 } skh_versioned_map_t;
 
 /* Maps kept as bases for differences; more than one because changes may fail or be withdrawn. */
--- a/test/map_test.cc
+++ b/test/map_test.cc
@@ -25,7 +25,7 @@
 	kEarlyGo
 };
 
-// An engine as specified: it carries out every order of its sidecar and ignores fences. A step
+// Model of an engine, which carries out every order of its sidecar and ignores fences. A step
 // starts on all ranks or on none; each rank ends it at its own time.
 struct Engine {
 	bool held = false;
@@ -231,7 +231,7 @@
 		messages.push_back(reply);
 	}
 
-	// A rank that forwards every order without checking its fence.
+	// A rank that checks neither the fence nor the sequence of orders.
 	skh_order_outcome_t handle_order_unfenced(size_t index, const skh_order_t &order)
 	{
 		const Engine &engine = engines[index];
--- a/test/rank_liveness_test.cc
+++ b/test/rank_liveness_test.cc
@@ -1,6 +1,6 @@
 // Detection of a rank that freezes while its lock-step group goes on, in virtual time with twelve
-// ranks. A missed or late detection leaves its callers to time out; a false one moves streams away
-// from a healthy rank.
+// ranks. If the detection is missed or late, the rank's callers time out; a false one moves streams
+// away from a healthy rank.
 #include "rank_liveness.h"
 
 #include <gtest/gtest.h>
