--- a/src/wire.pb-c.h
+++ b/src/wire.pb-c.h
@@ -54,11 +54,11 @@
 	ProtobufCMessage base;
 	uint32_t version;
 	/*
-   * Newest configuration revision known to the sender, so a lagging peer learns it.
+   * Newest configuration revision known to the sender; tells a peer that its own is outdated.
    */
 	uint64_t revision;
 	/*
-   * Load and phase of the sending sidecar; rides on answers that flow anyway.
+   * Load and phase of the sending sidecar, attached to frames that are sent for other reasons.
    */
 	Skh__Status *status;
 	Skh__Frame__BodyCase body_case;
@@ -86,7 +86,7 @@
 	}
 
 /*
- * Entry -> sidecar: asks for a status.
+ * Entry -> sidecar: requests a status.
  */
 struct Skh__Hello {
 	ProtobufCMessage base;
@@ -99,7 +99,7 @@
 	}
 
 /*
- * Sidecar -> entry: who it is, how it is and what its clock shows.
+ * Sidecar -> entry: identity, state, load and clock of the sidecar.
  */
 struct Skh__Status {
 	ProtobufCMessage base;
@@ -124,22 +124,22 @@
 	}
 
 /*
- * Entry -> sidecar: run one attempt of a request.
+ * Entry -> sidecar: runs one attempt of a request.
  */
 struct Skh__Start {
 	ProtobufCMessage base;
 	uint64_t attempt;
 	char *request;
 	/*
-   * the sidecar process this was meant for
+   * incarnation of the sidecar the attempt is for
    */
 	uint64_t incarnation;
 	/*
-   * on the sidecar's clock; later it must refuse
+   * sidecar's clock; rejected when later
    */
 	int64_t start_before_us;
 	/*
-   * on the sidecar's clock
+   * sidecar's clock
    */
 	int64_t finish_before_us;
 	char *customer;
@@ -150,25 +150,25 @@
 	ProtobufCBinaryData body;
 	protobuf_c_boolean stream;
 	/*
-   * stream events the caller already holds
+   * number of stream events that the caller has received
    */
 	uint64_t resume_from;
 	protobuf_c_boolean idempotent;
 	char *service;
 	/*
-   * idempotency key; empty for none
+   * idempotency key; empty when there is none
    */
 	char *key;
 	/*
-   * ran when a backend server crashed
+   * crash suspect: was running when a backend server crashed
    */
 	protobuf_c_boolean suspect;
 	/*
-   * refuse rather than let it wait
+   * reject the attempt instead of queueing it
    */
 	protobuf_c_boolean no_queue;
 	/*
-   * the customer's share
+   * weight of the customer in fair queueing
    */
 	double weight;
 };
@@ -181,6 +181,9 @@
 			(char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0  \
 	}
 
+/*
+ * Entry -> sidecar: cancels an attempt.
+ */
 struct Skh__Cancel {
 	ProtobufCMessage base;
 	uint64_t attempt;
@@ -192,7 +195,7 @@
 	}
 
 /*
- * Entry -> sidecar: the caller has taken this many more bytes.
+ * Entry -> sidecar: flow control; the caller has consumed `bytes` more bytes.
  */
 struct Skh__Credit {
 	ProtobufCMessage base;
@@ -206,15 +209,15 @@
 	}
 
 /*
- * Entry -> sidecar: what became of this attempt? One that never arrived is
- * fenced: the sidecar refuses it now and will not start it later.
+ * Entry -> sidecar: requests the outcome of an attempt. The sidecar rejects an attempt that it
+ * has not received, and also rejects its Start frame if that arrives later.
  */
 struct Skh__Ask {
 	ProtobufCMessage base;
 	uint64_t attempt;
 	int64_t start_before_us;
 	/*
-   * the sidecar process that the attempt was meant for
+   * incarnation of the sidecar the attempt is for
    */
 	uint64_t incarnation;
 };
@@ -225,7 +228,7 @@
 	}
 
 /*
- * Sidecar -> entry: the attempt was handed to the backend server.
+ * Sidecar -> entry: the attempt was sent to the backend server.
  */
 struct Skh__Started {
 	ProtobufCMessage base;
@@ -238,7 +241,7 @@
 	}
 
 /*
- * Sidecar -> entry: a piece of the answer; `seq` counts from 0 without gaps.
+ * Sidecar -> entry: one piece of the response; `seq` counts from 0 without gaps.
  */
 struct Skh__Data {
 	ProtobufCMessage base;
@@ -246,15 +249,15 @@
 	uint64_t seq;
 	ProtobufCBinaryData bytes;
 	/*
-   * whole stream events in `bytes`
+   * number of complete stream events in `bytes`
    */
 	uint32_t events;
 	/*
-   * on the first piece
+   * first piece only
    */
 	uint32_t http_status;
 	/*
-   * on the first piece
+   * first piece only
    */
 	char *content_type;
 };
@@ -265,24 +268,27 @@
 	}
 
 /*
- * Sidecar -> entry: nothing follows. `pieces` must equal the Data frames seen.
+ * Sidecar -> entry: end of the response. `pieces` must equal the number of Data frames received.
  */
 struct Skh__End {
 	ProtobufCMessage base;
 	uint64_t attempt;
 	uint64_t pieces;
+	/*
+   * the response is complete
+   */
 	protobuf_c_boolean whole;
 	/*
-   * error kind when not whole
+   * error kind when the response is incomplete
    */
 	char *kind;
 	char *text;
 	/*
-   * the answer was recorded by an earlier run
+   * the response was recorded by an earlier attempt
    */
 	protobuf_c_boolean replayed;
 	/*
-   * the backend server's crash that ended it; 0 for none
+   * ID of the backend server crash that ended the attempt; 0 for none
    */
 	uint64_t crash;
 };
@@ -293,7 +299,7 @@
 	}
 
 /*
- * Sidecar -> entry: the attempt was not started and never will be.
+ * Sidecar -> entry: the attempt was rejected; it has not run and never will.
  */
 struct Skh__Refuse {
 	ProtobufCMessage base;
@@ -309,7 +315,7 @@
 	}
 
 /*
- * Coordinator of a group -> the sidecar of each rank, see src/rank.h.
+ * Coordinator of a group -> sidecar of each rank: one step of a map switch; see src/rank.h.
  */
 struct Skh__Order {
 	ProtobufCMessage base;
@@ -318,7 +324,7 @@
 	uint32_t step;
 	uint64_t version;
 	/*
-   * JSON, with the prepare step
+   * JSON; set in the prepare step
    */
 	char *placement;
 };
@@ -329,25 +335,25 @@
 	}
 
 /*
- * Sidecar of a rank -> coordinator.
+ * Sidecar of a rank -> coordinator: outcome of an Order.
  */
 struct Skh__OrderReply {
 	ProtobufCMessage base;
 	char *group;
 	uint32_t rank;
 	/*
-   * of the order that is answered
+   * fencing token of the order
    */
 	uint64_t fence;
 	uint32_t step;
 	uint64_t version;
 	uint32_t outcome;
 	/*
-   * highest that the rank has seen
+   * highest fencing token that the rank has received
    */
 	uint64_t fence_seen;
 	/*
-   * the engine runs with this version already
+   * the engine already uses this map version
    */
 	protobuf_c_boolean in_place;
 };
@@ -358,31 +364,32 @@
 	}
 
 /*
- * Gateway -> gateway, over UDP: what it has at the servers now. The newest counts.
+ * Gateway -> gateway, over UDP: requests that the sender has in flight at each server. Only the
+ * report with the highest `number` of a sender is kept.
  */
 struct Skh__LoadReport {
 	ProtobufCMessage base;
 	/*
-   * new with each start
+   * random ID, new at each process start
    */
 	uint64_t sender;
 	uint64_t number;
 	/*
-   * hash of the id
+   * hash of the server ID
    */
 	size_t n_servers;
 	uint32_t *servers;
 	/*
-   * for each of them, at most 255
+   * requests in flight, one byte per server, at most 255
    */
 	ProtobufCBinaryData running;
 	/*
-   * requests that crash their servers
+   * crash suspects
    */
 	size_t n_culprits;
 	uint64_t *culprits;
 	/*
-   * for each of them
+   * crash ID of each crash suspect
    */
 	size_t n_crashes;
 	uint64_t *crashes;
@@ -394,7 +401,8 @@
 	}
 
 /*
- * Rank's process -> coordinator of its group, over UDP: the newest counts.
+ * Process of a rank -> coordinator of its group, over UDP: state of the rank's engine. Only the
+ * report with the highest `number` of a sender is kept.
  */
 struct Skh__RankReport {
 	ProtobufCMessage base;
@@ -405,7 +413,7 @@
 	char *engine;
 	uint32_t rank;
 	/*
-   * ranks of the group
+   * number of ranks in the group
    */
 	uint32_t size;
 	protobuf_c_boolean open;
@@ -417,15 +425,15 @@
 	int64_t held;
 	uint64_t number;
 	/*
-   * new with each start
+   * random ID, new at each process start
    */
 	uint64_t sender;
 	/*
-   * of each expert after from_pass up to to_pass, src/count_codec.h
+   * load of each expert in passes from_pass + 1 to to_pass; see src/count_codec.h
    */
 	ProtobufCBinaryData counts;
 	/*
-   * expert + 1 in each place, by set
+   * expert + 1 in each slot, set by set
    */
 	size_t n_map;
 	uint32_t *map;
@@ -433,13 +441,13 @@
 	uint32_t greatest_count;
 	uint32_t n_counts;
 	/*
-   * address that takes RankOrders for the rank
+   * address that accepts RankOrders for the rank
    */
 	char *relay;
 	int64_t from_pass;
 	int64_t to_pass;
 	/*
-   * time that the rank takes, 1 is usual
+   * slowdown of the rank: time taken relative to normal; 1 is normal
    */
 	double pace;
 };
@@ -452,8 +460,8 @@
 	}
 
 /*
- * Coordinator -> rank's process, over HTTP: an order for its engine. The answer's
- * status is the engine's, or 504 when it gave none.
+ * Coordinator -> process of a rank, over HTTP: an order for its engine. The response has the
+ * status of the engine's response, or 504 when the engine did not respond.
  */
 struct Skh__RankOrder {
 	ProtobufCMessage base;
@@ -469,30 +477,30 @@
 	uint32_t ranks;
 	uint32_t places;
 	/*
-   * expert + 1 in each place, two bytes each, low byte first
+   * expert + 1 in each slot, two bytes each, little-endian
    */
 	ProtobufCBinaryData map;
 	/*
-   * Or what differs from a map that the process has handed on before; it answers
-   * 428 when it does not know that one.
+   * Instead of `map`: the changes relative to a map that the process forwarded earlier. The
+   * process responds with 428 when it does not have the base map.
    */
 	int64_t base_version;
 	/*
-   * places, each as the distance to the one before
+   * changed slots, delta-encoded
    */
 	size_t n_changed;
 	uint32_t *changed;
 	/*
-   * expert + 1 there now
+   * expert + 1 in each changed slot
    */
 	size_t n_experts;
 	uint32_t *experts;
 	/*
-   * of the whole map
+   * hash of the complete map
    */
 	uint64_t map_hash;
 	/*
-   * that gets the order; the one beside the process when empty
+   * engine that receives the order; the rank's own when empty
    */
 	char *engine;
 };
