--- a/src/claim_backlog.h
+++ b/src/claim_backlog.h
@@ -28,7 +28,7 @@
 
 /**
  * skh_claim_backlog_add() - add a write of @claim to @path; copies both
- * @expected_revision: mod revision of the owner's record at @path; 0 if the record may not exist
+ * @expected_revision: required mod revision of the owner's record at @path; 0 if it must be absent
  *
  * The write is dropped if the backlog is full.
  */
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -2,7 +2,7 @@
 #define SKH_CRASH_SUSPECTS_H
 
 /**
- * DOC: Crash suspects
+ * DOC: Crash suspects of a gateway
  *
  * Tracks requests that are suspected of crashing their servers. A lost connection
  * alone does not count, because connections are reset for many reasons. Once the server
@@ -61,7 +61,7 @@
 void skh_crash_suspects_add_remote_crash(skh_crash_suspects_t *suspects, uint64_t content_hash,
 					 uint64_t crash_id, int64_t now_us);
 
-/** skh_crash_suspects_clear() - forget the crashes of a request that got a complete response */
+/** skh_crash_suspects_clear() - remove the crashes of a request that got a complete response */
 void skh_crash_suspects_clear(skh_crash_suspects_t *suspects, uint64_t content_hash);
 
 bool skh_crash_suspects_is_retry_blocked(const skh_crash_suspects_t *suspects,
--- a/src/decisions.c
+++ b/src/decisions.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define RING_ENTRIES 1024
+#define RING_CAPACITY 1024
 
 typedef struct decision {
 	char request_id[40];
@@ -16,7 +16,7 @@
 } decision_t;
 
 static GMutex lock;
-static decision_t ring[RING_ENTRIES];
+static decision_t ring[RING_CAPACITY];
 static uint64_t n_recorded;
 
 void skh_decisions_record(const char *request_id, const char *customer, const char *service,
@@ -25,7 +25,7 @@
 	decision_t *decision;
 
 	g_mutex_lock(&lock);
-	decision = &ring[n_recorded++ % RING_ENTRIES];
+	decision = &ring[n_recorded++ % RING_CAPACITY];
 	(void)g_strlcpy(decision->request_id, request_id, sizeof(decision->request_id));
 	(void)g_strlcpy(decision->customer, customer, sizeof(decision->customer));
 	(void)g_strlcpy(decision->service, service, sizeof(decision->service));
@@ -54,7 +54,7 @@
 	json_t *found = NULL;
 
 	g_mutex_lock(&lock);
-	for (size_t i = 0; i < RING_ENTRIES && !found; i++) {
+	for (size_t i = 0; i < RING_CAPACITY && !found; i++) {
 		if (*request_id && strcmp(ring[i].request_id, request_id) == 0)
 			found = decision_to_json(&ring[i]);
 	}
--- a/src/decisions.h
+++ b/src/decisions.h
@@ -2,11 +2,11 @@
 #define SKH_DECISIONS_H
 
 /**
- * DOC: Decisions
+ * DOC: Decisions on recent requests
  *
- * The outcomes of the latest requests of this process, which an operator can
- * query by request id. One ring of fixed size in memory, guarded by a mutex; any
- * thread may call the functions, and nothing is kept across a restart.
+ * The outcome of each of the latest requests of this process and its cause, which an
+ * operator can query by request id. One ring buffer of fixed size in memory, guarded
+ * by a mutex; any thread may call the functions, and nothing is kept across a restart.
  */
 
 #include "error.h"
--- a/src/fair_queue.c
+++ b/src/fair_queue.c
@@ -12,7 +12,7 @@
 
 struct skh_fair_queue {
 	double virtual_time;  /* greatest start tag of a started request */
-	double active_weight; /* sum for the customers with waiting or running requests */
+	double active_weight; /* total weight of the customers with waiting or running requests */
 	GHashTable *accounts; /* customer -> account_t */
 };
 
--- a/src/group_breaker.c
+++ b/src/group_breaker.c
@@ -2,15 +2,24 @@
 
 /* Interval of probes while tripped; a group forms again within a few hundred ms. */
 #define PROBE_INTERVAL_US ((int64_t)150000)
-/* One or two rejections may come from a single rank; a group that rejects for longer is down. */
+/*
+ * Duration of rejections after which the group counts as down; one or two rejections may come
+ * from a single rank.
+ */
 #define DOWN_AFTER_US ((int64_t)500000)
 
-/* Time from a rank's start to passes: 0.6 s to form, and other ranks may start slightly later. */
+/*
+ * Time from a rank's start to the first pass: other ranks may start slightly later, and the group
+ * then takes 0.6 s to form.
+ */
 #define FORMING_TIME_US ((int64_t)1500000)
 
 /* A pass takes 0.05 to 0.2 s; a group without a stream event for longer runs no passes. */
 #define SILENCE_TIMEOUT_US ((int64_t)400000)
-/* Events of open streams show that the group runs again; probes are for groups without streams. */
+/*
+ * Interval of probes of a silent group. It can be long, because the events of open streams show
+ * that the group runs again; only a group without open streams needs the probes.
+ */
 #define SILENT_PROBE_INTERVAL_US ((int64_t)1000000)
 
 void skh_group_breaker_record_rejection(skh_group_breaker_t *breaker, int64_t now_us)
--- a/src/group_breaker.h
+++ b/src/group_breaker.h
@@ -18,7 +18,7 @@
  * long after their callers have left. While the group is silent, requests wait in the
  * gateway's queue, where they can still be rejected as not run.
  *
- * Pure state that the caller owns; the caller serialises calls. Times are in
+ * Does no I/O. The caller owns the state and serialises calls. Times are in
  * microseconds on one monotonic clock.
  */
 
@@ -47,7 +47,7 @@
 /**
  * skh_group_breaker_record_failure() - record that an attempt failed
  *
- * A failed attempt shows that the group is not silent; the breaker stays as it is.
+ * A failed attempt shows that the group is not silent; whether the breaker is tripped is unchanged.
  */
 void skh_group_breaker_record_failure(skh_group_breaker_t *breaker);
 
--- a/src/peer_selection.h
+++ b/src/peer_selection.h
@@ -19,7 +19,7 @@
 #endif
 
 #define SKH_PEER_QUERY_MAX_TRIED 16
-/** SKH_MAX_NO_QUEUE_ATTEMPTS - attempts that a full server rejects instead of queueing them */
+/** SKH_MAX_NO_QUEUE_ATTEMPTS - first attempts that full servers reject; later ones may be queued */
 #define SKH_MAX_NO_QUEUE_ATTEMPTS 7
 
 /** struct skh_peer_query - requirements of one attempt */
--- a/src/prefix_share.c
+++ b/src/prefix_share.c
@@ -45,13 +45,16 @@
 	share->previous = share->current;
 	share->current = oldest;
 	memset(oldest, 0, sizeof(*oldest));
-	/* After a whole window without requests the previous counts are outdated, too. */
+	/* After a complete window without requests the previous counts are outdated, too. */
 	if (now_us >= share->current_end_us + WINDOW_US)
 		memset(share->previous, 0, sizeof(*share->previous));
 	share->current_end_us = now_us + WINDOW_US;
 }
 
-/* Reduces a count by what chance explains: a prefix seen once or twice is not frequent. */
+/*
+ * Subtracts from a count what can be chance: one request and the standard deviation of a
+ * Poisson count. The result is 0 for a prefix that was seen only once or twice.
+ */
 static double subtract_chance(uint32_t count)
 {
 	return MAX((double)count - 1.0 - sqrt((double)count), 0.0);
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -70,7 +70,7 @@
 	return true;
 }
 
-/* Dequeues the oldest writes up to the first repeated key: a transaction has each key once. */
+/* Dequeues the oldest writes up to a repeated key: a transaction may contain each key only once. */
 static size_t dequeue_batch(skh_quarantine_t *quarantine, pending_write_t **batch)
 {
 	g_autoptr(GHashTable) keys = g_hash_table_new(g_str_hash, g_str_equal);
--- a/src/request_queue.h
+++ b/src/request_queue.h
@@ -8,11 +8,11 @@
  * capacity, first-in-first-out order would make every request miss its latency
  * objective for as long as the backlog lasts. The queue serves lower priority numbers
  * first. Within a priority, requests that can still meet their objective come first,
- * and late requests get the remaining capacity. Requests that can't be served before
- * they expire are found with skh_request_queue_find_expired(), so that the owner
- * rejects them instead of letting them wait.
+ * and late requests get the remaining capacity. The owner rejects the requests that
+ * skh_request_queue_find_expired() finds, so that no request waits that can't be served
+ * any more.
  *
- * Pure state: the queue borrows the requests, which their owner embeds and removes. The
+ * Does no I/O. The queue borrows the requests, which their owner embeds and removes. The
  * caller serialises calls. Times are in microseconds on one monotonic clock.
  */
 
--- a/src/retry_budget.c
+++ b/src/retry_budget.c
@@ -9,8 +9,8 @@
 /* Retries added over time, so that customers with few requests can retry lost requests, too. */
 #define TOKENS_PER_S 0.1
 /*
- * Capacity of a full bucket: tokens per open request, and at least a minimum. A loss of the
- * same ratio of the open requests can be retried at once.
+ * Capacity of a bucket: a number of tokens per open request, but at least a minimum. A full
+ * bucket allows the retry of a tenth of the open requests at once.
  */
 #define MAX_TOKENS_PER_OPEN_REQUEST 0.1
 #define MIN_BUCKET_CAPACITY	    20.0
--- a/src/retry_share.h
+++ b/src/retry_share.h
@@ -10,7 +10,7 @@
  * its own requests plus an equal share of the fixed number. Only half of the result is
  * used, because a gateway that restarts loses its counts.
  *
- * Pure state that the caller owns; the caller serialises calls. Times are in
+ * Does no I/O. The caller owns the state and serialises calls. Times are in
  * microseconds on one monotonic clock.
  */
 
@@ -36,7 +36,7 @@
 	double retry_ratio; /* retries per request in the window */
 	double min_retries; /* retries per window in addition, whatever the number of requests */
 	int64_t window_us;
-	uint32_t gateways; /* upper bound of the gateways that share @min_retries; 0 counts as 1 */
+	uint32_t gateways; /* maximum number of gateways that share @min_retries; 0 counts as 1 */
 } skh_retry_share_limits_t;
 
 /** skh_retry_share_record_request() - count the first attempt of a request */
--- a/src/routing.h
+++ b/src/routing.h
@@ -21,11 +21,11 @@
 
 #define SKH_ROUTING_MAX_SPLITS 8
 
-/** enum skh_retry_mode - whether a request that may have run can be sent again */
+/** enum skh_retry_mode - whether a request that may have run is retried */
 typedef enum skh_retry_mode {
 	SKH_RETRY_MODE_NEVER,
 	SKH_RETRY_MODE_ALLOWED,
-	SKH_RETRY_MODE_RESUME_STREAM /* a stream that resumes after the last event delivered */
+	SKH_RETRY_MODE_RESUME_STREAM /* retry a stream, resuming after its last delivered event */
 } skh_retry_mode_t;
 
 /**
@@ -67,7 +67,7 @@
 	double link_mbps;	    /* bandwidth for copying experts to a rank, in Mbit/s */
 	double step_ms;		    /* duration of a step without requests */
 	double step_ms_per_request; /* added duration of a step per generating request */
-	uint32_t steps_per_pass;    /* steps in a pass; all ranks of a group begin it together */
+	uint32_t steps_per_pass;    /* steps in a pass, which all ranks of a group begin together */
 } skh_engine_spec_t;
 
 /** struct skh_service_info - one service provided by a set of backend servers */
--- a/src/server_selection.c
+++ b/src/server_selection.c
@@ -5,13 +5,16 @@
 /* Requests added to the load of a server with a failure ratio of 1; proportional below. */
 #define FAILURE_PENALTY_REQUESTS 12.0
 /*
- * Fixed cost of a rank's step, in requests: a step without generating requests takes about
- * as long as IDLE_STEP_REQUESTS generating requests add to a step. A rank with n requests and
- * a slowdown of 2 is therefore as loaded as a normal rank with
- * 2 * (n + IDLE_STEP_REQUESTS) - IDLE_STEP_REQUESTS requests.
+ * Duration of a rank's step without requests, expressed as the number of generating requests
+ * that add about the same duration to a step. A rank with n requests and a slowdown of 2 is
+ * therefore as loaded as a normal rank with 2 * (n + IDLE_STEP_REQUESTS) - IDLE_STEP_REQUESTS
+ * requests.
  */
 #define IDLE_STEP_REQUESTS 4.0
-/* Assumed response time of a server without completed requests; typical servers are close. */
+/*
+ * Assumed mean response time of a server without completed requests; that of typical servers is
+ * close to it.
+ */
 #define DEFAULT_RESPONSE_MS 60.0
 
 static bool is_full(const skh_selection_view_t *view, const skh_candidate_t *candidate)
@@ -38,7 +41,7 @@
 	return (load + 1.0) / (double)candidate->slots * mean_ms;
 }
 
-static int32_t select_cheapest(const skh_selection_view_t *view, bool avoided)
+static int32_t select_cheapest(const skh_selection_view_t *view, bool from_avoided)
 {
 	int32_t best = SKH_SELECTION_NONE;
 	double best_cost = 0.0;
@@ -49,7 +52,7 @@
 		double cost;
 
 		if (candidate->excluded || is_full(view, candidate) ||
-		    is_avoided(view, candidate) != avoided)
+		    is_avoided(view, candidate) != from_avoided)
 			continue;
 		cost = estimate_cost(view, candidate);
 		if (best == SKH_SELECTION_NONE || cost < best_cost) {
--- a/src/server_selection.h
+++ b/src/server_selection.h
@@ -34,7 +34,7 @@
 	double slowdown;	/* time that a rank takes relative to normal; 1 is normal */
 	double failure_ratio;	/* ratio of recent requests that failed, 0 to 1 */
 	int64_t avoid_until_us; /* end of the avoidance period after a failure; 0 for none */
-	int64_t full_until_us;	/* end of the period as full after a rejection; 0 for none */
+	int64_t full_until_us;	/* counts as full until then, after a rejection; 0 for none */
 	bool excluded;		/* not eligible: leaving, or already tried by the request */
 } skh_candidate_t;
 
--- a/src/suspect.c
+++ b/src/suspect.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-/* More distinct crashes in CRASH_WINDOW_US are caused by the platform, not by a request. */
+/* More distinct crashes within CRASH_WINDOW_US are attributed to the platform, not to requests. */
 #define MAX_CRASHES_IN_WINDOW 3
 #define CRASH_WINDOW_US	      (2 * SKH_US_PER_S)
 #define MAX_RECORDS	      65536
--- a/src/suspect.h
+++ b/src/suspect.h
@@ -2,12 +2,15 @@
 #define SKH_SUSPECT_H
 
 /**
- * DOC: Crash suspects
+ * DOC: Crash suspects of an entry
  *
  * Counts, per request content, the backend server crashes that happened while
  * the request was running. A request is identified by a hash of its content, so
- * that a retry by the caller under a new request id is recognised. Pure state;
- * the owner serialises calls.
+ * that a retry by the caller under a new request id is recognised. The table that
+ * gateways use is in crash_suspects.h.
+ *
+ * Owns the records and does no I/O. The owner of the table serialises calls. Times
+ * are in microseconds on one monotonic clock.
  *
  * One crash makes a request a suspect: it still runs, but a backend server runs
  * at most one suspect at a time. A second crash quarantines the request: it is
--- a/test/claim_backlog_test.cc
+++ b/test/claim_backlog_test.cc
@@ -34,13 +34,13 @@
 class ClaimBacklog : public testing::Test
 {
       protected:
-	void add(const char *owner, int64_t expected)
+	void add(const char *owner, int64_t expected_revision)
 	{
 		skh_claim_t claim = {};
 
 		claim.state = SKH_CLAIM_NOT_RUN;
 		claim.owner = g_strdup(owner);
-		skh_claim_backlog_add(backlog.get(), "/claims/k", &claim, expected, 0);
+		skh_claim_backlog_add(backlog.get(), "/claims/k", &claim, expected_revision, 0);
 		skh_claim_clear(&claim);
 	}
 
--- a/test/fair_queue_test.cc
+++ b/test/fair_queue_test.cc
@@ -23,8 +23,8 @@
 class Gate
 {
       public:
-	Gate(uint32_t capacity, uint32_t queue)
-	    : gate(skh_gate_new(capacity, queue, 1), skh_gate_free)
+	Gate(uint32_t capacity, uint32_t max_queued)
+	    : gate(skh_gate_new(capacity, max_queued, 1), skh_gate_free)
 	{
 		skh_gate_open(gate.get());
 	}
@@ -153,14 +153,14 @@
 // Reference model: the tags of queued requests in a list that is searched for the minimum.
 RC_GTEST_PROP(FairQueue, TagOrderMatchesTheReferenceModel, ())
 {
-	struct Entry {
+	struct QueuedRequest {
 		uint64_t customer;
 		double tag;
 		size_t arrival;
 	};
 	FairQueuePtr fair_queue(skh_fair_queue_new(), skh_fair_queue_free);
 	std::map<uint64_t, double> next_tag;
-	std::vector<Entry> queued;
+	std::vector<QueuedRequest> queued;
 	std::vector<uint64_t> running;
 	double virtual_time = 0.0;
 	size_t arrival = 0;
@@ -178,7 +178,8 @@
 			queued.push_back({ customer, tag, arrival++ });
 		} else if (step < 7 && !queued.empty()) {
 			const auto first = std::min_element(
-				queued.begin(), queued.end(), [](const Entry &a, const Entry &b) {
+				queued.begin(), queued.end(),
+				[](const QueuedRequest &a, const QueuedRequest &b) {
 					return std::tie(a.tag, a.arrival) <
 					       std::tie(b.tag, b.arrival);
 				});
@@ -197,9 +198,11 @@
 			double n_running = std::count(running.begin(), running.end(), customer);
 
 			for (uint64_t other = 0; other < 5; other++) {
-				const bool is_queued = std::any_of(
-					queued.begin(), queued.end(),
-					[&](const Entry &e) { return e.customer == other; });
+				const bool is_queued =
+					std::any_of(queued.begin(), queued.end(),
+						    [&](const QueuedRequest &request) {
+							    return request.customer == other;
+						    });
 
 				if (is_queued ||
 				    std::count(running.begin(), running.end(), other) > 0)
--- a/test/gateway_core_test.cc
+++ b/test/gateway_core_test.cc
@@ -209,7 +209,7 @@
 			skh_queued_request_t &request = requests[next++];
 
 			request = { 1, now, now + 400 * kMs, now + 1800 * kMs, -1, false };
-			// No objective passes within the run: requests are served in order of arrival.
+			// With objectives after the end of the run, requests are served in order of arrival.
 			if (is_fifo)
 				request.dispatch_objective_us = now + 100 * kS;
 			skh_request_queue_enqueue(queue, &request);
@@ -258,22 +258,22 @@
 
 TEST(ServerSelection, RequestsAreBalancedOverTheRanksOfALockStepGroup)
 {
-	std::vector<skh_candidate_t> list(12);
+	std::vector<skh_candidate_t> candidates(12);
 	std::mt19937 random(5);
 
-	for (auto &candidate : list)
+	for (auto &candidate : candidates)
 		candidate.slots = 12;
 	for (int i = 0; i < 100; i++) {
-		skh_selection_view_t view = { list.data(), 12, true, 0, random(), kS };
+		skh_selection_view_t view = { candidates.data(), 12, true, 0, random(), kS };
 		int32_t selected = skh_select_server(&view);
 
 		ASSERT_GE(selected, 0);
-		list[selected].running++;
+		candidates[selected].running++;
 	}
 	auto by_running = [](const skh_candidate_t &a, const skh_candidate_t &b) {
 		return a.running < b.running;
 	};
-	auto range = std::minmax_element(list.begin(), list.end(), by_running);
+	auto range = std::minmax_element(candidates.begin(), candidates.end(), by_running);
 
 	EXPECT_LE(range.second->running - range.first->running, 1U);
 }
@@ -282,70 +282,70 @@
 // of 1.5 gets fewer requests.
 TEST(ServerSelection, ASlowRankGetsFewerRequests)
 {
-	std::vector<skh_candidate_t> list(12);
+	std::vector<skh_candidate_t> candidates(12);
 	std::mt19937 random(5);
 
-	for (auto &candidate : list)
+	for (auto &candidate : candidates)
 		candidate.slots = 12;
-	list[3].slowdown = 5.0;
-	list[7].slowdown = 1.5;
+	candidates[3].slowdown = 5.0;
+	candidates[7].slowdown = 1.5;
 	for (int i = 0; i < 80; i++) {
-		skh_selection_view_t view = { list.data(), 12, true, 0, random(), kS };
+		skh_selection_view_t view = { candidates.data(), 12, true, 0, random(), kS };
 
-		list[skh_select_server(&view)].running++;
+		candidates[skh_select_server(&view)].running++;
 	}
-	EXPECT_EQ(list[3].running, 0U);
-	EXPECT_GT(list[7].running, 0U);
-	EXPECT_LT(list[7].running, list[0].running);
-	for (auto &candidate : list)
+	EXPECT_EQ(candidates[3].running, 0U);
+	EXPECT_GT(candidates[7].running, 0U);
+	EXPECT_LT(candidates[7].running, candidates[0].running);
+	for (auto &candidate : candidates)
 		candidate.running = 12;
-	list[3].running = 0;
-	skh_selection_view_t view = { list.data(), 12, true, 0, 0, kS };
+	candidates[3].running = 0;
+	skh_selection_view_t view = { candidates.data(), 12, true, 0, 0, kS };
 	EXPECT_EQ(skh_select_server(&view), 3);
 }
 
 TEST(ServerSelection, FullAndExcludedServersAreNotSelected)
 {
-	std::vector<skh_candidate_t> list(3);
-	skh_selection_view_t view = { list.data(), 3, false, 0, 0, kS };
+	std::vector<skh_candidate_t> candidates(3);
+	skh_selection_view_t view = { candidates.data(), 3, false, 0, 0, kS };
 
-	for (auto &candidate : list)
+	for (auto &candidate : candidates)
 		candidate.slots = 2;
-	list[0].running = 2;
-	list[1].excluded = true;
-	list[2].full_until_us = 2 * kS;
+	candidates[0].running = 2;
+	candidates[1].excluded = true;
+	candidates[2].full_until_us = 2 * kS;
 	EXPECT_EQ(skh_select_server(&view), SKH_SELECTION_NONE);
 	EXPECT_TRUE(skh_selection_has_candidate(&view));
-	list[2].full_until_us = 0;
-	list[2].avoid_until_us = 2 * kS;
+	candidates[2].full_until_us = 0;
+	candidates[2].avoid_until_us = 2 * kS;
 	// A server to be avoided is selected when no other is left.
-	list[0].excluded = true;
+	candidates[0].excluded = true;
 	EXPECT_EQ(skh_select_server(&view), 2);
-	list[0].excluded = false;
-	list[0].running = 0;
+	candidates[0].excluded = false;
+	candidates[0].running = 0;
 	EXPECT_EQ(skh_select_server(&view), 0);
 }
 
 TEST(ServerSelection, AServerThatFailsHalfOfItsRequestsIsSelectedLast)
 {
-	std::vector<skh_candidate_t> list(3);
-	skh_selection_view_t view = { list.data(), 3, false, 0, 0, kS };
+	std::vector<skh_candidate_t> candidates(3);
+	skh_selection_view_t view = { candidates.data(), 3, false, 0, 0, kS };
 
-	for (auto &candidate : list) {
+	for (auto &candidate : candidates) {
 		candidate.slots = 6;
 		candidate.mean_ms = 60;
 	}
-	list[0].failure_ratio = 0.5;
+	candidates[0].failure_ratio = 0.5;
 	for (view.random = 0; view.random < 9; view.random++)
 		EXPECT_NE(skh_select_server(&view), 0);
-	list[1].running = 6;
-	list[2].running = 6;
+	candidates[1].running = 6;
+	candidates[2].running = 6;
 	EXPECT_EQ(skh_select_server(&view), 0);
 }
 
 // --- Roster ---
 
-TEST(Roster, ARemovedEntryIsDroppedUnlessTheStoreWasUnavailable)
+TEST(Roster, ARemovedServerIsDroppedUnlessTheStoreWasUnavailable)
 {
 	skh_roster_builder_t *builder = skh_roster_builder_new();
 
@@ -703,8 +703,8 @@
 	EXPECT_TRUE(skh_group_breaker_can_send(&breaker, 2 * kS + 500 * kMs));
 }
 
-// A rank died and its group forms again: probes have to detect the group sooner than the 1 s
-// between the probes of a silent group.
+// A rank died and its group forms again: the next probe must not wait for the 1 s between
+// the probes of a silent group.
 TEST(GroupBreaker, AFailedAttemptEndsSilence)
 {
 	skh_group_breaker_t breaker = {};
--- a/test/peer_selection_test.cc
+++ b/test/peer_selection_test.cc
@@ -1,4 +1,4 @@
-// Selection of a sidecar as a pure function of the view that an entry has of its peers.
+// Selection of a sidecar by an entry; load, loss and replacement of peers; share of a prefix.
 #include "clock.h"
 #include "prefix_share.h"
 #include "peer_selection.h"
@@ -30,9 +30,9 @@
 
 	void sync()
 	{
-		const skh_instances_t list = { members.data(), members.size() };
+		const skh_instances_t instances = { members.data(), members.size() };
 
-		skh_peers_sync(peers.get(), &list, now_us);
+		skh_peers_sync(peers.get(), &instances, now_us);
 	}
 
 	bool report(size_t i, skh_phase_t phase, uint64_t incarnation, uint32_t running = 0)
@@ -79,7 +79,7 @@
 	char *domains[3] = { nairobi, mombasa, kisumu };
 };
 
-TEST(PeerSelection, LeavingPeerIsNotSelectedByStatusOrList)
+TEST(PeerSelection, PeerThatIsLeavingByStatusOrListIsNotSelected)
 {
 	Fleet fleet(2);
 
@@ -189,15 +189,15 @@
 TEST(PeerSelection, PrefixShareFollowsRecentRequests)
 {
 	skh_prefix_share_t *prefix_share = skh_prefix_share_new();
-	double hot = 0.0;
-	double cold = 0.0;
+	double frequent_share = 0.0;
+	double rare_share = 0.0;
 
 	for (int i = 0; i < 200; i++)
-		hot = skh_prefix_share_record(
+		frequent_share = skh_prefix_share_record(
 			prefix_share, i % 2 ? 0x100000000ULL : 0x1000000000ULL * i, 1000 + i);
-	cold = skh_prefix_share_record(prefix_share, 0xabcd00000000ULL, 2000);
-	EXPECT_GT(hot, 0.3);
-	EXPECT_EQ(0.0, cold);
+	rare_share = skh_prefix_share_record(prefix_share, 0xabcd00000000ULL, 2000);
+	EXPECT_GT(frequent_share, 0.3);
+	EXPECT_EQ(0.0, rare_share);
 	EXPECT_LT(skh_prefix_share_record(prefix_share, 0x100000000ULL, 200 * SKH_US_PER_S), 0.1);
 	skh_prefix_share_free(prefix_share);
 }
