--- a/src/routing.h
+++ b/src/routing.h
@@ -58,7 +58,7 @@
 /** struct skh_engine_spec - size and cost parameters of a model service's engines */
 typedef struct skh_engine_spec {
 	uint32_t slots;		    /* requests that a rank runs concurrently */
-	uint32_t expert_sets;	    /* groups of layers, each with its own experts */
+	uint32_t expert_sets;	    /* sets of layers; each set has its own experts */
 	uint32_t experts_per_set;   /* number of experts in each set */
 	uint32_t expert_slots;	    /* slots for experts of one set at a rank */
 	uint32_t spare_slots;	    /* max new experts of one set copied to a rank per map switch */
