--- a/src/routing.h
+++ b/src/routing.h
@@ -21,11 +21,11 @@
 
 #define SKH_ROUTING_MAX_SPLITS 8
 
-/** enum skh_retry_mode - whether a request that may have run can be sent again */
+/** enum skh_retry_mode - whether a request that may have run is retried */
 typedef enum skh_retry_mode {
 	SKH_RETRY_MODE_NEVER,
 	SKH_RETRY_MODE_ALLOWED,
-	SKH_RETRY_MODE_RESUME_STREAM /* a stream that resumes after the last event delivered */
+	SKH_RETRY_MODE_RESUME_STREAM /* retry a stream, resuming after its last delivered event */
 } skh_retry_mode_t;
 
 /**
@@ -58,7 +58,7 @@
 /** struct skh_engine_spec - size and cost parameters of a model service's engines */
 typedef struct skh_engine_spec {
 	uint32_t slots;		    /* requests that a rank runs concurrently */
-	uint32_t expert_sets;	    /* groups of layers, each with its own experts */
+	uint32_t expert_sets;	    /* sets of layers; each set has its own experts */
 	uint32_t experts_per_set;   /* number of experts in each set */
 	uint32_t expert_slots;	    /* slots for experts of one set at a rank */
 	uint32_t spare_slots;	    /* max new experts of one set copied to a rank per map switch */
@@ -67,7 +67,7 @@
 	double link_mbps;	    /* bandwidth for copying experts to a rank, in Mbit/s */
 	double step_ms;		    /* duration of a step without requests */
 	double step_ms_per_request; /* added duration of a step per generating request */
-	uint32_t steps_per_pass;    /* steps in a pass; all ranks of a group begin it together */
+	uint32_t steps_per_pass;    /* steps in a pass, which all ranks of a group begin together */
 } skh_engine_spec_t;
 
 /** struct skh_service_info - one service provided by a set of backend servers */
