--- a/src/count_reporter.c
+++ b/src/count_reporter.c
@@ -13,7 +13,10 @@
 #define SHIFT_WINDOW_US (700 * SKH_US_PER_MS)
 /* Minimum interval of reports within the shift window: about one pass. */
 #define MIN_SHIFT_INTERVAL_US (60 * SKH_US_PER_MS)
-/* A rank with fewer choices per expert delays its report until it has read a first prompt. */
+/*
+ * After a shift, a rank with fewer choices per expert delays its report until it has read a
+ * first prompt.
+ */
 #define MIN_CHOICES_PER_EXPERT 12.0
 /*
  * Limit of the delay for a first prompt, plus a random offset for each rank: the
--- a/src/count_reporter.h
+++ b/src/count_reporter.h
@@ -26,7 +26,7 @@
  * skh_count_reporter_new() - create a reporter with a full budget
  * @engine_spec: numbers of sets and experts; copied
  * @bytes_per_s: rate at which the budget refills
- * @random: random number of this rank, which spreads the reports of different ranks
+ * @random: random number of this rank, which spreads the reports of different ranks over time
  *
  * Return: the reporter; free with skh_count_reporter_free().
  */
--- a/src/demand.c
+++ b/src/demand.c
@@ -25,7 +25,10 @@
  * samples mostly reflect the prompts that they happen to contain.
  */
 #define FEW_SAMPLES_MARGIN 2.0
-/* A set with fewer choices is not compared, because its distance says nothing. */
+/*
+ * A sample is compared only if it and the earlier counts each have this many choices in every
+ * set, because the distance of fewer is not meaningful.
+ */
 #define MIN_CHOICES 150.0
 /* Anscombe transform: stabilizes the variance of the square roots of small counts. */
 #define ANSCOMBE_OFFSET 0.375
@@ -35,7 +38,10 @@
  * much as samples of this size do.
  */
 #define SATURATION_CHOICES_PER_EXPERT 24.0
-/* Choices per expert in the counts; beyond this number all counts are halved. */
+/*
+ * Limit of choices per expert in the counts of a set. At the limit these counts are halved, so
+ * that older samples weigh less.
+ */
 #define MAX_CHOICES_PER_EXPERT 800.0
 /* Choices per expert that are enough to plan a map at once. */
 #define ENOUGH_CHOICES_PER_EXPERT 50.0
@@ -47,13 +53,13 @@
 
 struct skh_demand {
 	skh_engine_spec_t engine_spec;
-	double *sums;		 /* weighted counts since the last shift, [sets][experts] */
-	double *weights;	 /* sum of the weighted counts of each set, [sets] */
+	double *weighted_counts; /* since the last shift, [sets][experts] */
+	double *set_totals;	 /* sum of the weighted counts of each set, [sets] */
 	double *shares;		 /* result of skh_demand_shares(), [sets][experts] */
 	double typical_distance; /* smoothed distance of samples without a shift */
 	uint32_t n_samples;
 	int64_t epoch;
-	int64_t from_pass;
+	int64_t from_pass;	   /* samples that begin earlier are ignored */
 	int64_t counting_since_us; /* time of the last shift or first sample of the epoch */
 };
 
@@ -67,17 +73,17 @@
 	skh_demand_t *demand = g_new0(skh_demand_t, 1);
 
 	demand->engine_spec = *engine_spec;
-	demand->sums = g_new0(double, count_shares(demand));
+	demand->weighted_counts = g_new0(double, count_shares(demand));
 	demand->shares = g_new0(double, count_shares(demand));
-	demand->weights = g_new0(double, engine_spec->expert_sets);
+	demand->set_totals = g_new0(double, engine_spec->expert_sets);
 	return demand;
 }
 
 void skh_demand_free(skh_demand_t *demand)
 {
-	g_free(demand->sums);
+	g_free(demand->weighted_counts);
 	g_free(demand->shares);
-	g_free(demand->weights);
+	g_free(demand->set_totals);
 	g_free(demand);
 }
 
@@ -98,14 +104,14 @@
 				   double n_choices)
 {
 	uint32_t n_experts = demand->engine_spec.experts_per_set;
-	const double *sums = demand->sums + (size_t)set * n_experts;
-	double earlier_choices = demand->weights[set];
+	const double *earlier_counts = demand->weighted_counts + (size_t)set * n_experts;
+	double earlier_choices = demand->set_totals[set];
 	double scale = MIN(n_choices, earlier_choices);
 	double sum = 0.0;
 
 	for (uint32_t i = 0; i < n_experts; i++) {
 		double root = sqrt(counts[i] * scale / n_choices + ANSCOMBE_OFFSET) -
-			      sqrt(sums[i] * scale / earlier_choices + ANSCOMBE_OFFSET);
+			      sqrt(earlier_counts[i] * scale / earlier_choices + ANSCOMBE_OFFSET);
 
 		sum += root * root;
 	}
@@ -124,7 +130,7 @@
 		const double *counts = sample->counts + (size_t)set * n_experts;
 		double n_choices = sum_counts(counts, n_experts);
 
-		if (n_choices < MIN_CHOICES || demand->weights[set] < MIN_CHOICES)
+		if (n_choices < MIN_CHOICES || demand->set_totals[set] < MIN_CHOICES)
 			return false;
 		*distance += compute_set_distance(demand, set, counts, n_choices) /
 			     (double)demand->engine_spec.expert_sets;
@@ -149,8 +155,8 @@
 
 static void reset_counts(skh_demand_t *demand, int64_t epoch, int64_t from_pass, int64_t now_us)
 {
-	memset(demand->sums, 0, count_shares(demand) * sizeof(double));
-	memset(demand->weights, 0, demand->engine_spec.expert_sets * sizeof(double));
+	memset(demand->weighted_counts, 0, count_shares(demand) * sizeof(double));
+	memset(demand->set_totals, 0, demand->engine_spec.expert_sets * sizeof(double));
 	demand->n_samples = 0;
 	demand->epoch = epoch;
 	demand->from_pass = from_pass;
@@ -161,11 +167,11 @@
 {
 	uint32_t n_experts = demand->engine_spec.experts_per_set;
 
-	if (demand->weights[set] < MAX_CHOICES_PER_EXPERT * (double)n_experts)
+	if (demand->set_totals[set] < MAX_CHOICES_PER_EXPERT * (double)n_experts)
 		return;
-	demand->weights[set] *= 0.5;
+	demand->set_totals[set] *= 0.5;
 	for (uint32_t i = 0; i < n_experts; i++)
-		demand->sums[(size_t)set * n_experts + i] *= 0.5;
+		demand->weighted_counts[(size_t)set * n_experts + i] *= 0.5;
 }
 
 static void add_counts(skh_demand_t *demand, const skh_demand_sample_t *sample)
@@ -180,8 +186,8 @@
 			(1.0 + n_choices / (SATURATION_CHOICES_PER_EXPERT * (double)n_experts));
 
 		for (uint32_t i = 0; i < n_experts; i++)
-			demand->sums[(size_t)set * n_experts + i] += counts[i] * weight;
-		demand->weights[set] += n_choices * weight;
+			demand->weighted_counts[(size_t)set * n_experts + i] += counts[i] * weight;
+		demand->set_totals[set] += n_choices * weight;
 		decay_counts(demand, set);
 	}
 }
@@ -209,7 +215,7 @@
 		return SKH_DEMAND_IGNORED;
 	/*
 	 * When the sample covers several passes, the first may be from before the shift, but the
-	 * next is certainly from after it.
+	 * second is certainly from after it.
 	 */
 	if (has_shifted && sample->to_pass > sample->from_pass + 1) {
 		reset_counts(demand, sample->epoch, sample->from_pass + 1, now_us);
@@ -224,13 +230,13 @@
 
 bool skh_demand_has_enough_counts(const skh_demand_t *demand, int64_t now_us)
 {
-	double weight = demand->weights[0];
+	double min_total = demand->set_totals[0];
 	double n_experts = (double)demand->engine_spec.experts_per_set;
 
 	for (uint32_t set = 1; set < demand->engine_spec.expert_sets; set++)
-		weight = MIN(weight, demand->weights[set]);
-	return weight >= ENOUGH_CHOICES_PER_EXPERT * n_experts ||
-	       (weight >= ROUGH_CHOICES_PER_EXPERT * n_experts &&
+		min_total = MIN(min_total, demand->set_totals[set]);
+	return min_total >= ENOUGH_CHOICES_PER_EXPERT * n_experts ||
+	       (min_total >= ROUGH_CHOICES_PER_EXPERT * n_experts &&
 		now_us - demand->counting_since_us > ROUGH_DELAY_US);
 }
 
@@ -238,8 +244,8 @@
 {
 	uint32_t n_experts = demand->engine_spec.experts_per_set;
 
-	return (demand->sums[(size_t)set * n_experts + expert] + PSEUDO_COUNT) /
-	       (demand->weights[set] + PSEUDO_COUNT * (double)n_experts);
+	return (demand->weighted_counts[(size_t)set * n_experts + expert] + PSEUDO_COUNT) /
+	       (demand->set_totals[set] + PSEUDO_COUNT * (double)n_experts);
 }
 
 const double *skh_demand_shares(skh_demand_t *demand)
--- a/src/demand.h
+++ b/src/demand.h
@@ -5,8 +5,9 @@
  * DOC: Expert demand of a group
  *
  * Aggregates the token counts of a group's ranks into the share of tokens that each
- * expert is expected to receive, and detects shifts of demand. In a shift the tokens
- * of all ranks change to other experts from one pass to the next. A sample that
+ * expert is expected to receive, and detects shifts of demand. Each assignment of a
+ * token to an expert is one choice; the counts are numbers of choices. In a shift the
+ * tokens of all ranks change to other experts from one pass to the next. A sample that
  * differs from the earlier counts and begins in a later pass indicates a shift; the
  * counts from before the shift are then discarded. Owns its arrays; does no I/O and
  * takes no locks, so the caller serialises access. Times are monotonic, in
@@ -31,9 +32,9 @@
 
 /** enum skh_demand_update - effect of a sample */
 typedef enum skh_demand_update {
-	SKH_DEMAND_IGNORED,	      /* empty, or from before the last shift or epoch */
-	SKH_DEMAND_UPDATED,	      /* counted; no shift detected */
-	SKH_DEMAND_SHIFTED,	      /* shift detected; the shares reflect this sample only */
+	SKH_DEMAND_IGNORED, /* empty, or with passes from before the last shift or epoch */
+	SKH_DEMAND_UPDATED, /* counted; no shift detected */
+	SKH_DEMAND_SHIFTED, /* shift detected; the shares reflect this sample only */
 	SKH_DEMAND_SHIFTED_MID_SAMPLE /* shift within the sample; the shares are unknown */
 } skh_demand_update_t;
 
--- a/src/forecast.c
+++ b/src/forecast.c
@@ -17,7 +17,7 @@
 #define MIN_SHIFT_PROGRESS 0.3
 /*
  * Extrapolation also amplifies noise, so no predicted share, before normalization, is below
- * this part of the current share.
+ * this fraction of the current share.
  */
 #define MIN_REMAINING_RATIO 0.3
 /* No expert is treated as unused, because it may receive a token at any time. */
--- a/src/greedy_rebalance.c
+++ b/src/greedy_rebalance.c
@@ -7,10 +7,10 @@
 struct skh_greedy_rebalance {
 	skh_greedy_rebalance_input_t input;
 	uint32_t *map;
-	uint32_t *copies_left; /* per rank over all sets, borrowed */
+	uint32_t *copies_left; /* per rank, for all sets together; borrowed */
 	uint32_t set_copies_left[SKH_GREEDY_REBALANCE_MAX_RANKS]; /* per rank in this set */
 	uint32_t *replica_count; /* per expert: ranks that hold it */
-	double *max_holder_load; /* per expert: greatest load among those ranks */
+	double *max_host_load;	 /* per expert: greatest load among those ranks */
 	double load[SKH_GREEDY_REBALANCE_MAX_RANKS];
 	/* Derived from @load by update_totals(): */
 	uint32_t bottleneck; /* the most loaded rank */
@@ -63,16 +63,15 @@
 	}
 }
 
-static void update_max_holder_loads(skh_greedy_rebalance_t *state)
+static void update_max_host_loads(skh_greedy_rebalance_t *state)
 {
-	memset(state->max_holder_load, 0, sizeof(double) * state->input.n_experts);
+	memset(state->max_host_load, 0, sizeof(double) * state->input.n_experts);
 	for (uint32_t rank = 0; rank < state->input.n_ranks; rank++) {
 		const uint32_t *slots = get_slots(state, rank);
 
 		for (uint32_t i = 0; i < state->input.n_slots; i++) {
-			if (slots[i] > 0 &&
-			    state->load[rank] > state->max_holder_load[slots[i] - 1])
-				state->max_holder_load[slots[i] - 1] = state->load[rank];
+			if (slots[i] > 0 && state->load[rank] > state->max_host_load[slots[i] - 1])
+				state->max_host_load[slots[i] - 1] = state->load[rank];
 		}
 	}
 }
@@ -102,7 +101,7 @@
 		state->load[rank] *= get_slowdown(state, rank);
 	}
 	update_totals(state);
-	update_max_holder_loads(state);
+	update_max_host_loads(state);
 }
 
 /*
@@ -149,7 +148,7 @@
 }
 
 /*
- * Finds the slot of @rank whose replacement loads other ranks least: an empty slot,
+ * Finds the slot of @rank that loads other ranks least when overwritten: an empty slot,
  * or one whose expert has another replica. Returns false if there is none.
  * @freed_share: share of tokens that the rank no longer serves
  * @others_load: estimated greatest load of the ranks that serve this share instead
@@ -171,7 +170,7 @@
 		}
 		if (state->replica_count[slots[i] - 1] < 2)
 			continue;
-		load = state->max_holder_load[slots[i] - 1] +
+		load = state->max_host_load[slots[i] - 1] +
 		       compute_share_increase(state, slots[i] - 1);
 		if (found && load >= *others_load)
 			continue;
@@ -209,7 +208,7 @@
 	return found;
 }
 
-/* Finds the expert with the greatest replica share below @share_limit; n_experts if none. */
+/* Finds the expert of @rank with the greatest replica share below @share_limit, or n_experts. */
 static uint32_t find_heaviest_expert(const skh_greedy_rebalance_t *state, uint32_t rank,
 				     double share_limit)
 {
@@ -233,8 +232,8 @@
 }
 
 /*
- * Sets @slot to @content if the greatest load falls by the minimum gain, or if it
- * stays and the sum of squares falls: with several equally loaded ranks, relieving
+ * Sets @slot to @content if the greatest load falls by the minimum gain, or if it does
+ * not rise and the sum of squares falls: with several equally loaded ranks, relieving
  * one of them does not lower the greatest load yet.
  */
 static bool try_slot_content(skh_greedy_rebalance_t *state, uint32_t rank, uint32_t *slot,
@@ -249,7 +248,7 @@
 	if (get_max_load(state) < load_before - min_reduction ||
 	    (get_max_load(state) <= load_before &&
 	     state->load_squares < squares_before - min_reduction * min_reduction)) {
-		update_max_holder_loads(state);
+		update_max_host_loads(state);
 		return true;
 	}
 	set_slot(state, rank, slot, before);
@@ -267,7 +266,7 @@
 }
 
 /*
- * Drops a replica of the most loaded rank, so that its other replicas take its share.
+ * Drops a replica on the most loaded rank; the expert's other replicas take its share.
  * The estimate leaves out ranks loaded as much as @bottleneck; try_slot_content()
  * rejects the drop if the greatest load rises.
  */
@@ -285,8 +284,8 @@
 			continue;
 		own_load = state->load[bottleneck] - compute_replica_share(state, slots[i] - 1) *
 							     get_slowdown(state, bottleneck);
-		others_load = state->max_holder_load[slots[i] - 1] < state->load[bottleneck]
-				      ? state->max_holder_load[slots[i] - 1] +
+		others_load = state->max_host_load[slots[i] - 1] < state->load[bottleneck]
+				      ? state->max_host_load[slots[i] - 1] +
 						compute_share_increase(state, slots[i] - 1)
 				      : 0.0;
 		if (MAX(own_load, others_load) < best_load) {
@@ -297,7 +296,10 @@
 	return best < state->input.n_slots && try_slot_content(state, bottleneck, slots + best, 0);
 }
 
-/* Tries to drop a replica first, as that needs no copy; then copies, heaviest expert first. */
+/*
+ * Tries to drop a replica first, as that needs no copy. Otherwise tries to copy an expert of
+ * the most loaded rank to another rank, the heaviest expert first.
+ */
 bool skh_greedy_rebalance_step(skh_greedy_rebalance_t *state)
 {
 	uint32_t bottleneck = state->bottleneck;
@@ -331,7 +333,7 @@
 	for (uint32_t rank = 0; rank < input->n_ranks; rank++)
 		state->set_copies_left[rank] = max_set_copies;
 	state->replica_count = g_new(uint32_t, input->n_experts);
-	state->max_holder_load = g_new(double, input->n_experts);
+	state->max_host_load = g_new(double, input->n_experts);
 	compute_loads(state);
 	return state;
 }
@@ -339,7 +341,7 @@
 void skh_greedy_rebalance_free(skh_greedy_rebalance_t *state)
 {
 	g_free(state->replica_count);
-	g_free(state->max_holder_load);
+	g_free(state->max_host_load);
 	g_free(state);
 }
 
--- a/src/greedy_rebalance.h
+++ b/src/greedy_rebalance.h
@@ -11,10 +11,10 @@
  *
  * It is meant for a sudden shift of demand, such as one expert that receives a
  * fifth of all tokens and has a single replica. Each step adds a replica of one of
- * the heaviest experts of the most loaded rank, on the rank where the greatest
- * load ends up lowest. A replica is dropped without a copy where the other ranks
+ * the heaviest experts of the most loaded rank, on the rank for which the resulting
+ * maximum load is lowest. A replica is dropped without a copy where the other ranks
  * can take its share. The search evaluates far fewer changes than rebalance.h, so
- * that planning for a group of 63 ranks takes a small share of a core.
+ * that planning for a group of 63 ranks takes a small fraction of a core's time.
  *
  * It also handles a rank that becomes slow, which delays all others in lock-step:
  * the rank's load is multiplied by its slowdown, so that its experts move to
@@ -55,7 +55,8 @@
  * @input: copied; its arrays must outlive the object
  * @map: expert + 1 in each slot, 0 for empty, [n_ranks][n_slots]; borrowed, changed by each step
  * @max_set_copies: maximum copies to each rank in this set
- * @copies_left: copies left for each rank over all sets, [n_ranks]; borrowed, reduced by each copy
+ * @copies_left: copies to each rank still allowed in all sets together, [n_ranks]; borrowed,
+ *	reduced by each copy
  *
  * Return: the object; free with skh_greedy_rebalance_free().
  */
@@ -71,7 +72,7 @@
 bool skh_greedy_rebalance_step(skh_greedy_rebalance_t *state);
 
 /**
- * skh_greedy_rebalance_skew() - greatest rank load over the mean
+ * skh_greedy_rebalance_skew() - compute the maximum rank load divided by the mean load
  *
  * The loads include the ranks' slowdowns; the mean is that of ranks at normal speed.
  */
--- a/src/layout.c
+++ b/src/layout.c
@@ -9,7 +9,10 @@
  * one weigh nearly as much as it does.
  */
 #define NORM_SQUARINGS 4
-/* Root that converts the mean of the norm's terms into a skew. */
+/*
+ * Root that converts the mean of the norm's terms into a skew. It is twice the power of the
+ * terms, so the result is the square root of their power mean.
+ */
 #define SMOOTH_SKEW_ROOT 32.0
 
 static double raise_to_norm_power(double value)
--- a/src/layout.h
+++ b/src/layout.h
@@ -120,8 +120,8 @@
 /**
  * skh_layout_smooth_skew() - convert a norm into a skew that accounts for all heavily loaded ranks
  *
- * The maximum load ignores every rank but the most loaded one; the norm also
- * improves when a rank close to the maximum is relieved.
+ * The maximum load depends on the most loaded rank only. The norm, and with it this
+ * skew, also falls when a rank close to the maximum is relieved.
  *
  * Return: the skew that corresponds to @norm; 1 is perfectly balanced.
  */
@@ -130,7 +130,7 @@
 /**
  * skh_layout_trial_add_load() - add work to a rank in a trial
  * @layout: layout that the trial starts from
- * @trial: trial to change; zero-initialised when new
+ * @trial: trial to change; @changed_ranks is 0 in a new one
  * @rank: live rank
  * @work: token share to add; negative to remove
  */
@@ -140,7 +140,7 @@
 /**
  * skh_layout_trial_change_hosts() - replace the hosts of an expert in a trial
  * @layout: layout that the trial starts from
- * @trial: trial to change; zero-initialised when new
+ * @trial: trial to change; @changed_ranks is 0 in a new one
  * @expert: expert whose load moves
  * @before: ranks that hold it before the change, as bits
  * @after: ranks that hold it after the change, as bits
@@ -157,8 +157,8 @@
  * @expert: expert whose hosts change
  * @after: ranks that hold @expert after the change, as bits
  *
- * Return: false when the replicas are in different failure domains now and at
- * least two replicas in a single domain would remain.
+ * Return: false when the replicas are in several failure domains now and all of them
+ * would be in the same one after the change. A single replica is always allowed.
  */
 bool skh_layout_keeps_spread(const skh_layout_t *layout, uint32_t expert, uint64_t after);
 
--- a/src/mapchange.c
+++ b/src/mapchange.c
@@ -12,24 +12,24 @@
 #define RETRY_DELAY_US (20 * SKH_US_PER_MS)
 /*
  * Delay after a rejected order, until a newer report shows the reason. Also the time in phase GO
- * after which a report without a hold is taken as the release.
+ * after which a report without a hold is taken to mean that it was released.
  */
 #define CONFLICT_DELAY_US (250 * SKH_US_PER_MS)
-/* Timeout of a phase in which no rank is armed. */
+/* Timeout of the phases PREPARE, COPY and HOLD, before the first rank is sent an arm order. */
 #define PHASE_TIMEOUT_US (9 * SKH_US_PER_S)
-/* Timeout of the other phases before the release, in which the group may be held. */
+/* Timeout of the phases ARM, DISARM and UNDO_HOLD, in which the group may be held. */
 #define ARM_TIMEOUT_US (2500 * SKH_US_PER_MS)
 /*
- * Maximum age of the answered probe when the proxy rank is armed: a round trip between failure
- * domains plus one iteration of a slow process. If the proxy rank freezes after the probe, it is
- * unknown whether it is armed.
+ * Maximum age of the probe that the proxy rank responded to, when it is armed: a round trip
+ * between failure domains plus one iteration of a slow process. If the proxy rank freezes after
+ * the probe, it is unknown whether it is armed.
  */
 #define PROBE_MAX_AGE_US (30 * SKH_US_PER_MS)
 /* Timeout of the proxy rank, which the held group waits for; a pass takes 50 to 150 ms. */
 #define PROXY_TIMEOUT_US (60 * SKH_US_PER_MS)
 /*
- * Timeout for the switch after the hold is released. Without a hold the map cannot have changed,
- * so a new change has to start.
+ * Timeout for the switch after the hold is released. If the hold was lost, the map has not
+ * changed, so a new change has to start.
  */
 #define SETTLE_TIMEOUT_US (4 * SKH_US_PER_S)
 
@@ -130,8 +130,8 @@
 }
 
 /*
- * The proxy rank needs a recently answered probe: if it freezes before the arm order arrives, it
- * is unknown whether it is armed.
+ * The proxy rank must have responded to a recent probe: if it freezes before the arm order
+ * arrives, it is unknown whether it is armed.
  */
 static bool can_arm_proxy(const skh_mapchange_t *change, int64_t now_us)
 {
@@ -226,7 +226,7 @@
 	return change->n_ranks;
 }
 
-static bool has_answered(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
+static bool has_responded(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
 	(void)change;
 	return rank->answered;
@@ -239,8 +239,8 @@
 }
 
 /*
- * Disarms ranks that an earlier coordinator left armed, the rank that holds the group first; all
- * other ranks are sent prepare.
+ * Sends prepare to all ranks. Those that an earlier coordinator left armed reject it and are sent
+ * disarm once all ranks have responded, the rank that holds the group first.
  */
 static bool choose_prepare_order(const skh_mapchange_t *change, uint32_t rank,
 				 skh_engine_order_t *order)
@@ -253,7 +253,7 @@
 	order->op = SKH_ENGINE_PREPARE;
 	if (state->report.armed_version == 0 || !state->answered)
 		return true;
-	if (!all_ranks(change, has_answered) ||
+	if (!all_ranks(change, has_responded) ||
 	    (holder < change->n_ranks && holder != rank && !change->ranks[holder].prepared))
 		return false;
 	order->op = SKH_ENGINE_DISARM;
--- a/src/mapchange.h
+++ b/src/mapchange.h
@@ -16,24 +16,25 @@
  *
  * 1. Prepare all ranks under a fencing token (fence) higher than any earlier one. An
  *    armed rank rejects the prepare and has to be disarmed. It is disarmed only after
- *    every rank has answered and so knows the fence; otherwise an earlier coordinator
+ *    every rank has responded and so knows the fence; otherwise an earlier coordinator
  *    that resumes could still release the group. The rank that holds the group is
  *    disarmed first. Once all ranks have accepted, none is armed, and all orders in
  *    flight from earlier coordinators are fenced off.
  * 2. Only then release a hold that an earlier change left behind.
- * 3. When all ranks have their copies, hold the group at a future pass. The hold is
- *    at the coordinator's own rank, where it can be released without the network, but
- *    it is placed by the process of another rank, the proxy rank.
+ * 3. When all ranks have their copies, hold the group at a future pass: no rank begins
+ *    that pass until the hold is released. The hold is at the coordinator's own rank,
+ *    where it can be released without the network, but it is placed by the process of
+ *    another rank, the proxy rank.
  * 4. Arm the ranks for that pass, only after the hold is confirmed. The proxy rank is
- *    armed last, and only right after its engine has answered a probe.
+ *    armed last, and only right after its engine has responded to a probe.
  * 5. Release the hold, only after every rank has confirmed that it is armed; usually
  *    long before the pass. All ranks then switch in that pass, and the report of the
  *    coordinator's own rank shows when.
  *
- * Losing the instance that places the hold, at that moment, costs most. If the proxy
- * rank stops answering probes, no arm order was sent to it and it is certainly not
- * armed: the other ranks are disarmed under the next fence, which invalidates the
- * orders in flight, and the group continues with its previous map.
+ * The most costly failure is the loss of the instance that places the hold just as it
+ * does so. If the proxy rank stops responding to probes, no arm order was sent to it and
+ * it is certainly not armed: the other ranks are disarmed under the next fence, which
+ * invalidates the orders in flight, and the group continues with its previous map.
  *
  * A coordinator that fails at any point leaves the group running or held; the next
  * coordinator starts again with phase 1.
@@ -58,7 +59,7 @@
 	SKH_MAPCHANGE_ARM,
 	SKH_MAPCHANGE_DISARM,	 /* undo after a timeout of the proxy rank */
 	SKH_MAPCHANGE_UNDO_HOLD, /* undo: no rank is armed, release the hold */
-	SKH_MAPCHANGE_GO,	 /* release the hold */
+	SKH_MAPCHANGE_GO,	 /* all ranks are armed, release the hold */
 	SKH_MAPCHANGE_SETTLE,	 /* wait for the switch */
 	SKH_MAPCHANGE_DONE,
 	SKH_MAPCHANGE_FAILED
@@ -99,8 +100,8 @@
 	int64_t switch_pass; /* pass in which the map changes */
 	int64_t phase_since_us;
 	int64_t spent_us[SKH_MAPCHANGE_FAILED + 1]; /* time spent in each phase */
-	int64_t held_since_us;	/* time of the hold; after a failure, 0 if no hold is left */
-	int64_t proxy_probe_us; /* send time of the newest probe that the proxy rank answered */
+	int64_t held_since_us;	/* time of the hold; 0 before it and after it was undone */
+	int64_t proxy_probe_us; /* send time of the newest probe that the proxy rank responded to */
 	int64_t others_armed_since_us; /* when all ranks but the proxy rank were armed; 0 if not */
 	const char *cause;	       /* reason of a failure; static text, NULL without one */
 	skh_mapchange_rank_t ranks[SKH_MAPCHANGE_MAX_RANKS];
--- a/src/mapplan.c
+++ b/src/mapplan.c
@@ -18,33 +18,34 @@
 } set_input_t;
 
 /*
- * The rebalancer knows no empty slots, so each one gets a filler expert without tokens. The ranks
- * share the filler experts, so that the fillers have replicas and their slots can be overwritten.
+ * rebalance.h does not support empty slots, so each one gets a filler expert without tokens. All
+ * ranks use the same fillers, so that a filler has several replicas and can be overwritten.
  */
-static void fill_set_input(set_input_t *set, const double *shares, const double *slowdowns,
+static void fill_set_input(set_input_t *set_input, const double *shares, const double *slowdowns,
 			   const uint32_t *map)
 {
-	uint32_t n_slots = set->engine_spec->expert_slots;
+	uint32_t n_slots = set_input->engine_spec->expert_slots;
 
-	for (uint32_t i = 0; i < set->engine_spec->experts_per_set; i++)
-		set->shares[i] = shares[i];
-	for (uint32_t i = 0; i < set->n_filler_experts; i++)
-		set->shares[set->engine_spec->experts_per_set + i] = 0.0;
-	for (uint32_t rank = 0; rank < set->n_ranks; rank++) {
-		uint32_t filler = set->engine_spec->experts_per_set;
+	for (uint32_t i = 0; i < set_input->engine_spec->experts_per_set; i++)
+		set_input->shares[i] = shares[i];
+	for (uint32_t i = 0; i < set_input->n_filler_experts; i++)
+		set_input->shares[set_input->engine_spec->experts_per_set + i] = 0.0;
+	for (uint32_t rank = 0; rank < set_input->n_ranks; rank++) {
+		uint32_t filler = set_input->engine_spec->experts_per_set;
 
-		set->speed[rank] = slowdowns ? 1.0 / slowdowns[rank] : 1.0;
-		set->failure_domain[rank] = rank;
+		set_input->speed[rank] = slowdowns ? 1.0 / slowdowns[rank] : 1.0;
+		set_input->failure_domain[rank] = rank;
 		for (uint32_t i = 0; i < n_slots; i++) {
-			uint32_t cell = rank * n_slots + i;
+			uint32_t slot_index = rank * n_slots + i;
 
-			set->placement[cell] = map[cell] > 0 ? map[cell] - 1 : filler++;
+			set_input->placement[slot_index] =
+				map[slot_index] > 0 ? map[slot_index] - 1 : filler++;
 		}
 	}
 }
 
-static uint32_t max_empty_slots(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
-				const uint32_t *map)
+static uint32_t find_max_empty_slots(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+				     const uint32_t *map)
 {
 	uint32_t max_empty = 0;
 
@@ -58,35 +59,37 @@
 	return max_empty;
 }
 
-static void init_set_input(set_input_t *set, const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
-			   const double *shares, const double *slowdowns, const uint32_t *map)
+static void init_set_input(set_input_t *set_input, const skh_engine_spec_t *engine_spec,
+			   uint32_t n_ranks, const double *shares, const double *slowdowns,
+			   const uint32_t *map)
 {
-	set->engine_spec = engine_spec;
-	set->n_ranks = n_ranks;
-	set->n_filler_experts = max_empty_slots(engine_spec, n_ranks, map);
-	set->placement = g_new(uint32_t, n_ranks * engine_spec->expert_slots);
-	set->shares = g_new(double, engine_spec->experts_per_set + set->n_filler_experts);
-	fill_set_input(set, shares, slowdowns, map);
+	set_input->engine_spec = engine_spec;
+	set_input->n_ranks = n_ranks;
+	set_input->n_filler_experts = find_max_empty_slots(engine_spec, n_ranks, map);
+	set_input->placement = g_new(uint32_t, n_ranks * engine_spec->expert_slots);
+	set_input->shares =
+		g_new(double, engine_spec->experts_per_set + set_input->n_filler_experts);
+	fill_set_input(set_input, shares, slowdowns, map);
 }
 
-static void free_set_input(set_input_t *set)
+static void free_set_input(set_input_t *set_input)
 {
-	g_free(set->placement);
-	g_free(set->shares);
+	g_free(set_input->placement);
+	g_free(set_input->shares);
 }
 
-static skh_rebalance_input_t make_rebalance_input(const set_input_t *set,
+static skh_rebalance_input_t make_rebalance_input(const set_input_t *set_input,
 						  const skh_mapplan_options_t *options,
 						  const uint32_t *max_rank_copies)
 {
 	return (skh_rebalance_input_t){
-		.n_ranks = set->n_ranks,
-		.n_slots = set->engine_spec->expert_slots,
-		.n_experts = set->engine_spec->experts_per_set + set->n_filler_experts,
-		.placement = set->placement,
-		.forecast_shares = set->shares,
-		.speed = set->speed,
-		.failure_domain = set->failure_domain,
+		.n_ranks = set_input->n_ranks,
+		.n_slots = set_input->engine_spec->expert_slots,
+		.n_experts = set_input->engine_spec->experts_per_set + set_input->n_filler_experts,
+		.placement = set_input->placement,
+		.forecast_shares = set_input->shares,
+		.speed = set_input->speed,
+		.failure_domain = set_input->failure_domain,
 		.skew_weight = options->skew_weight,
 		.cost_weight = options->cost_weight,
 		.copy_cost = options->copy_cost,
@@ -125,8 +128,8 @@
 }
 
 /*
- * Applies the copies of @plan up to the first one that exceeds the limits of its rank. The map
- * is complete after any number of copies.
+ * Applies the copies of @plan up to the first one that exceeds the limits of its rank. After any
+ * number of copies each expert still has a replica.
  */
 static void apply_copies(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
 			 const skh_mapplan_options_t *options, const skh_rebalance_plan_t *plan,
@@ -229,18 +232,18 @@
 	size_t set_size = (size_t)n_ranks * engine_spec->expert_slots;
 	g_autofree uint32_t *old_map = g_memdup2(map, set_size * sizeof(*map));
 	g_autofree skh_rebalance_plan_t *plan = g_new0(skh_rebalance_plan_t, 1);
-	set_input_t set;
+	set_input_t set_input;
 	skh_rebalance_input_t input;
 	uint32_t max_rank_copies[SKH_REBALANCE_MAX_RANKS];
 
 	for (uint32_t rank = 0; rank < n_ranks; rank++)
 		max_rank_copies[rank] = MIN(engine_spec->spare_slots,
 					    options->max_new_per_rank - n_new_so_far[rank]);
-	init_set_input(&set, engine_spec, n_ranks, shares, options->slowdowns, map);
-	input = make_rebalance_input(&set, options, max_rank_copies);
+	init_set_input(&set_input, engine_spec, n_ranks, shares, options->slowdowns, map);
+	input = make_rebalance_input(&set_input, options, max_rank_copies);
 	if (skh_rebalance_compute_plan(&input, plan))
 		apply_copies(engine_spec, n_ranks, options, plan, old_map, n_new_so_far, map);
-	free_set_input(&set);
+	free_set_input(&set_input);
 }
 
 static void rebalance_sets(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
@@ -304,8 +307,8 @@
 }
 
 /*
- * Moves the empty slots of each row to its end. Engines report a rank's experts without gaps, and
- * a reported map must equal the one that was sent.
+ * Moves the empty slots of each row, the slots of a rank in one set, to its end. Engines report
+ * a rank's experts without gaps, and a reported map must equal the one that was sent.
  */
 static void compact_rows(const skh_engine_spec_t *engine_spec, uint32_t n_ranks, uint32_t *map)
 {
--- a/src/mapplan.h
+++ b/src/mapplan.h
@@ -45,7 +45,7 @@
  * @engine_spec: numbers of sets, experts per set, slots and spare slots
  * @n_ranks: number of ranks in the group
  * @options: weights and limits
- * @shares: expected share of tokens of each expert, [sets][experts]
+ * @shares: expected share of tokens of each expert, [sets][experts], sum 1 in each set
  * @map: map in use; replaced by the next map
  * @result: receives the effect of the plan
  */
@@ -57,7 +57,7 @@
  * skh_mapplan_skew() - compute the mean of the sets' skew
  * @engine_spec: as for skh_mapplan_make()
  * @n_ranks: number of ranks in the group
- * @shares: expected share of tokens of each expert, [sets][experts]
+ * @shares: expected share of tokens of each expert, [sets][experts], sum 1 in each set
  * @slowdowns: slowdown of each rank, [@n_ranks], 1 is normal; NULL when all are normal
  * @map: map to evaluate
  *
--- a/src/mapswitch.h
+++ b/src/mapswitch.h
@@ -46,7 +46,8 @@
  * skh_mapswitch_record_reply() - process a rank's reply to an order
  * @mapswitch: switch in progress
  * @rank: rank that replied
- * @order: order that the reply is for; one of an earlier step only counts when fenced
+ * @order: order that the reply is for; of the replies to earlier steps, only a fenced
+ *	outcome counts
  * @outcome: outcome that the rank reported
  * @is_running_version: the rank's engine is not held and uses the new map. When this
  *	is so for all ranks in the first step, the switch is done and the group is not held.
--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -8,7 +8,10 @@
 #include <string.h>
 
 #define MAX_CHANGE_COPIES 4 /* in one change; a swap through a scratch slot takes four */
-/* Refills of the vacated slot are evaluated only for this many of the best relocations. */
+/*
+ * A relocation (see struct relocation) leaves a slot empty. Ways to refill it are evaluated
+ * only for this many relocations, those with the lowest norm.
+ */
 #define MAX_RELOCATIONS 4
 
 /* Copies that are accepted or rejected together; they are executed in the order listed. */
@@ -56,35 +59,35 @@
 		*best = *change;
 }
 
-static void evaluate_change(const skh_layout_t *state, const skh_layout_trial_t *trial,
+static void evaluate_change(const skh_layout_t *layout, const skh_layout_trial_t *trial,
 			    change_t *change, candidates_t *candidates)
 {
-	change->norm = skh_layout_trial_norm(state, trial);
+	change->norm = skh_layout_trial_norm(layout, trial);
 	keep_if_better(change, candidates);
 }
 
 /* Improvement of the objective by @change, net of the copy cost, divided by its copies. */
-static double compute_gain_per_copy(const skh_layout_t *state, const change_t *change)
+static double compute_gain_per_copy(const skh_layout_t *layout, const change_t *change)
 {
-	const skh_rebalance_input_t *input = state->view;
+	const skh_rebalance_input_t *input = layout->view;
 	double skew_reduction;
 
 	if (change->n_copies == 0)
 		return 0.0;
-	skew_reduction = skh_layout_smooth_skew(state, state->norm) -
-			 skh_layout_smooth_skew(state, change->norm);
+	skew_reduction = skh_layout_smooth_skew(layout, layout->norm) -
+			 skh_layout_smooth_skew(layout, change->norm);
 	return input->skew_weight * skew_reduction / (double)change->n_copies -
 	       input->cost_weight * input->copy_cost;
 }
 
-static const change_t *select_change(const skh_layout_t *state, const candidates_t *candidates,
+static const change_t *select_change(const skh_layout_t *layout, const candidates_t *candidates,
 				     uint32_t max_copies)
 {
 	const change_t *selected = NULL;
 	double max_gain = 0.0;
 
 	for (uint32_t i = 0; i < MIN(MAX_CHANGE_COPIES, max_copies); i++) {
-		double gain = compute_gain_per_copy(state, &candidates->best[i]);
+		double gain = compute_gain_per_copy(layout, &candidates->best[i]);
 
 		if (gain > max_gain) {
 			max_gain = gain;
@@ -95,40 +98,41 @@
 }
 
 /* Evaluates a copy of @expert to a slot whose present expert has another replica. */
-static void evaluate_replacement(const skh_layout_t *state, uint32_t rank, uint32_t slot,
+static void evaluate_replacement(const skh_layout_t *layout, uint32_t rank, uint32_t slot,
 				 uint32_t expert, candidates_t *candidates)
 {
-	uint32_t dropped = skh_layout_expert_at(state, rank, slot);
-	uint64_t dropped_after = state->hosts[dropped] & ~(1ULL << rank);
-	uint64_t expert_after = state->hosts[expert] | 1ULL << rank;
+	uint32_t dropped = skh_layout_expert_at(layout, rank, slot);
+	uint64_t dropped_after = layout->hosts[dropped] & ~(1ULL << rank);
+	uint64_t expert_after = layout->hosts[expert] | 1ULL << rank;
 	change_t change = { { rank }, { slot }, { expert }, 1, 0.0 };
 	skh_layout_trial_t trial = { .changed_ranks = 0 };
 
-	if (skh_layout_replica_count(state, dropped) < 2 ||
-	    skh_layout_has_expert(state, rank, expert) ||
-	    !skh_layout_keeps_spread(state, dropped, dropped_after) ||
-	    !skh_layout_keeps_spread(state, expert, expert_after))
+	if (skh_layout_replica_count(layout, dropped) < 2 ||
+	    skh_layout_has_expert(layout, rank, expert) ||
+	    !skh_layout_keeps_spread(layout, dropped, dropped_after) ||
+	    !skh_layout_keeps_spread(layout, expert, expert_after))
 		return;
-	skh_layout_trial_change_hosts(state, &trial, dropped, state->hosts[dropped], dropped_after);
-	skh_layout_trial_change_hosts(state, &trial, expert, state->hosts[expert], expert_after);
-	evaluate_change(state, &trial, &change, candidates);
+	skh_layout_trial_change_hosts(layout, &trial, dropped, layout->hosts[dropped],
+				      dropped_after);
+	skh_layout_trial_change_hosts(layout, &trial, expert, layout->hosts[expert], expert_after);
+	evaluate_change(layout, &trial, &change, candidates);
 }
 
 /* Finds a redundant slot that can hold @expert for a while; @excluded_ranks is a bit mask. */
-static bool find_scratch_slot(const skh_layout_t *state, uint32_t expert, uint64_t excluded_ranks,
+static bool find_scratch_slot(const skh_layout_t *layout, uint32_t expert, uint64_t excluded_ranks,
 			      uint32_t *rank, uint32_t *slot)
 {
-	for (uint32_t i = 0; i < state->n_redundant_slots; i++) {
-		*rank = state->redundant_slots[i].rank;
-		*slot = state->redundant_slots[i].slot;
+	for (uint32_t i = 0; i < layout->n_redundant_slots; i++) {
+		*rank = layout->redundant_slots[i].rank;
+		*slot = layout->redundant_slots[i].slot;
 		if ((excluded_ranks >> *rank & 1) == 0 &&
-		    !skh_layout_has_expert(state, *rank, expert))
+		    !skh_layout_has_expert(layout, *rank, expert))
 			return true;
 	}
 	return false;
 }
 
-static void add_copy_step(change_t *change, uint32_t rank, uint32_t slot, uint32_t expert)
+static void add_copy(change_t *change, uint32_t rank, uint32_t slot, uint32_t expert)
 {
 	change->rank[change->n_copies] = rank;
 	change->slot[change->n_copies] = slot;
@@ -137,11 +141,11 @@
 }
 
 /* True if @added_work would raise the load of @rank to the present load of @bottleneck or above. */
-static bool would_reach_load(const skh_layout_t *state, uint32_t rank, double added_work,
+static bool would_reach_load(const skh_layout_t *layout, uint32_t rank, double added_work,
 			     uint32_t bottleneck)
 {
-	return state->load[rank] + added_work * state->inverse_speed[rank] >=
-	       state->load[bottleneck];
+	return layout->load[rank] + added_work * layout->inverse_speed[rank] >=
+	       layout->load[bottleneck];
 }
 
 /*
@@ -149,48 +153,49 @@
  * of the experts has another replica, as its slot can be overwritten first.
  * Otherwise one expert is held in a scratch slot, which takes four copies.
  */
-static void evaluate_swap(const skh_layout_t *state, uint32_t rank_a, uint32_t slot_a,
+static void evaluate_swap(const skh_layout_t *layout, uint32_t rank_a, uint32_t slot_a,
 			  uint32_t rank_b, uint32_t slot_b, candidates_t *candidates)
 {
-	uint32_t a = skh_layout_expert_at(state, rank_a, slot_a);
-	uint32_t b = skh_layout_expert_at(state, rank_b, slot_b);
+	uint32_t a = skh_layout_expert_at(layout, rank_a, slot_a);
+	uint32_t b = skh_layout_expert_at(layout, rank_b, slot_b);
 	uint64_t both_ranks = 1ULL << rank_a | 1ULL << rank_b;
 	change_t change = { .n_copies = 0 };
 	skh_layout_trial_t trial = { .changed_ranks = 0 };
 
-	if (skh_layout_replica_work(state, b) >= skh_layout_replica_work(state, a) ||
-	    would_reach_load(state, rank_b,
-			     skh_layout_replica_work(state, a) - skh_layout_replica_work(state, b),
+	if (skh_layout_replica_work(layout, b) >= skh_layout_replica_work(layout, a) ||
+	    would_reach_load(layout, rank_b,
+			     skh_layout_replica_work(layout, a) -
+				     skh_layout_replica_work(layout, b),
 			     rank_a) ||
-	    skh_layout_has_expert(state, rank_b, a) || skh_layout_has_expert(state, rank_a, b) ||
-	    !skh_layout_keeps_spread(state, a, state->hosts[a] ^ both_ranks) ||
-	    !skh_layout_keeps_spread(state, b, state->hosts[b] ^ both_ranks))
+	    skh_layout_has_expert(layout, rank_b, a) || skh_layout_has_expert(layout, rank_a, b) ||
+	    !skh_layout_keeps_spread(layout, a, layout->hosts[a] ^ both_ranks) ||
+	    !skh_layout_keeps_spread(layout, b, layout->hosts[b] ^ both_ranks))
 		return;
-	skh_layout_trial_add_load(state, &trial, rank_a,
-				  skh_layout_replica_work(state, b) -
-					  skh_layout_replica_work(state, a));
-	skh_layout_trial_add_load(state, &trial, rank_b,
-				  skh_layout_replica_work(state, a) -
-					  skh_layout_replica_work(state, b));
-	change.norm = skh_layout_trial_norm(state, &trial);
-	if (skh_layout_replica_count(state, b) >= 2 || skh_layout_replica_count(state, a) >= 2) {
-		bool b_first = skh_layout_replica_count(state, b) >= 2;
-
-		add_copy_step(&change, b_first ? rank_b : rank_a, b_first ? slot_b : slot_a,
-			      b_first ? a : b);
-		add_copy_step(&change, b_first ? rank_a : rank_b, b_first ? slot_a : slot_b,
-			      b_first ? b : a);
+	skh_layout_trial_add_load(layout, &trial, rank_a,
+				  skh_layout_replica_work(layout, b) -
+					  skh_layout_replica_work(layout, a));
+	skh_layout_trial_add_load(layout, &trial, rank_b,
+				  skh_layout_replica_work(layout, a) -
+					  skh_layout_replica_work(layout, b));
+	change.norm = skh_layout_trial_norm(layout, &trial);
+	if (skh_layout_replica_count(layout, b) >= 2 || skh_layout_replica_count(layout, a) >= 2) {
+		bool b_first = skh_layout_replica_count(layout, b) >= 2;
+
+		add_copy(&change, b_first ? rank_b : rank_a, b_first ? slot_b : slot_a,
+			 b_first ? a : b);
+		add_copy(&change, b_first ? rank_a : rank_b, b_first ? slot_a : slot_b,
+			 b_first ? b : a);
 	} else {
 		uint32_t rank = 0;
 		uint32_t slot = 0;
 
 		if (change.norm >= candidates->best[MAX_CHANGE_COPIES - 1].norm ||
-		    !find_scratch_slot(state, a, both_ranks, &rank, &slot))
+		    !find_scratch_slot(layout, a, both_ranks, &rank, &slot))
 			return;
-		add_copy_step(&change, rank, slot, a);
-		add_copy_step(&change, rank_a, slot_a, b);
-		add_copy_step(&change, rank_b, slot_b, a);
-		add_copy_step(&change, rank, slot, skh_layout_expert_at(state, rank, slot));
+		add_copy(&change, rank, slot, a);
+		add_copy(&change, rank_a, slot_a, b);
+		add_copy(&change, rank_b, slot_b, a);
+		add_copy(&change, rank, slot, skh_layout_expert_at(layout, rank, slot));
 	}
 	keep_if_better(&change, candidates);
 }
@@ -204,42 +209,43 @@
 } relocation_t;
 
 /* Sets @trial to the loads after @relocation; false if the expert can't move there. */
-static bool try_relocation(const skh_layout_t *state, uint32_t bottleneck,
+static bool try_relocation(const skh_layout_t *layout, uint32_t bottleneck,
 			   const relocation_t *relocation, skh_layout_trial_t *trial)
 {
-	uint32_t expert = skh_layout_expert_at(state, bottleneck, relocation->from_slot);
-	uint32_t dropped = skh_layout_expert_at(state, relocation->to_rank, relocation->to_slot);
-	uint64_t dropped_after = state->hosts[dropped] & ~(1ULL << relocation->to_rank);
+	uint32_t expert = skh_layout_expert_at(layout, bottleneck, relocation->from_slot);
+	uint32_t dropped = skh_layout_expert_at(layout, relocation->to_rank, relocation->to_slot);
+	uint64_t dropped_after = layout->hosts[dropped] & ~(1ULL << relocation->to_rank);
 	uint64_t both_ranks = 1ULL << bottleneck | 1ULL << relocation->to_rank;
 
-	if (skh_layout_replica_count(state, dropped) < 2 ||
-	    skh_layout_has_expert(state, relocation->to_rank, expert) ||
-	    !skh_layout_keeps_spread(state, expert, state->hosts[expert] ^ both_ranks))
+	if (skh_layout_replica_count(layout, dropped) < 2 ||
+	    skh_layout_has_expert(layout, relocation->to_rank, expert) ||
+	    !skh_layout_keeps_spread(layout, expert, layout->hosts[expert] ^ both_ranks))
 		return false;
 	trial->changed_ranks = 0;
-	skh_layout_trial_change_hosts(state, trial, expert, state->hosts[expert],
-				      state->hosts[expert] ^ both_ranks);
-	skh_layout_trial_change_hosts(state, trial, dropped, state->hosts[dropped], dropped_after);
+	skh_layout_trial_change_hosts(layout, trial, expert, layout->hosts[expert],
+				      layout->hosts[expert] ^ both_ranks);
+	skh_layout_trial_change_hosts(layout, trial, dropped, layout->hosts[dropped],
+				      dropped_after);
 	return true;
 }
 
 /* Returns the number of relocations found; @best is sorted by norm, lowest first. */
-static uint32_t find_relocations(const skh_layout_t *state, uint32_t bottleneck,
+static uint32_t find_relocations(const skh_layout_t *layout, uint32_t bottleneck,
 				 relocation_t best[MAX_RELOCATIONS])
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < state->view->n_slots * state->n_redundant_slots; i++) {
-		skh_rank_slot_t redundant = state->redundant_slots[i % state->n_redundant_slots];
-		relocation_t relocation = { i / state->n_redundant_slots, redundant.rank,
+	for (uint32_t i = 0; i < layout->view->n_slots * layout->n_redundant_slots; i++) {
+		skh_rank_slot_t redundant = layout->redundant_slots[i % layout->n_redundant_slots];
+		relocation_t relocation = { i / layout->n_redundant_slots, redundant.rank,
 					    redundant.slot, 0.0 };
 		uint32_t position;
 		skh_layout_trial_t trial;
 
 		if (relocation.to_rank == bottleneck ||
-		    !try_relocation(state, bottleneck, &relocation, &trial))
+		    !try_relocation(layout, bottleneck, &relocation, &trial))
 			continue;
-		relocation.norm = skh_layout_trial_norm(state, &trial);
+		relocation.norm = skh_layout_trial_norm(layout, &trial);
 		if (n == MAX_RELOCATIONS && relocation.norm >= best[n - 1].norm)
 			continue;
 		n = MIN(n + 1, MAX_RELOCATIONS);
@@ -252,162 +258,167 @@
 }
 
 /* Evaluates @relocation with an additional replica of @incoming in the vacated slot. */
-static void evaluate_refill(const skh_layout_t *state, uint32_t bottleneck,
+static void evaluate_refill(const skh_layout_t *layout, uint32_t bottleneck,
 			    const relocation_t *relocation, uint32_t incoming,
 			    candidates_t *candidates)
 {
-	uint32_t expert = skh_layout_expert_at(state, bottleneck, relocation->from_slot);
-	uint64_t before = state->hosts[incoming];
+	uint32_t expert = skh_layout_expert_at(layout, bottleneck, relocation->from_slot);
+	uint64_t before = layout->hosts[incoming];
 	change_t change = { .n_copies = 0 };
 	skh_layout_trial_t trial;
 
-	if (incoming == skh_layout_expert_at(state, relocation->to_rank, relocation->to_slot))
+	if (incoming == skh_layout_expert_at(layout, relocation->to_rank, relocation->to_slot))
 		before &= ~(1ULL << relocation->to_rank);
-	if (incoming == expert || skh_layout_has_expert(state, bottleneck, incoming) ||
-	    !skh_layout_keeps_spread(state, incoming, before | 1ULL << bottleneck))
+	if (incoming == expert || skh_layout_has_expert(layout, bottleneck, incoming) ||
+	    !skh_layout_keeps_spread(layout, incoming, before | 1ULL << bottleneck))
 		return;
-	(void)try_relocation(state, bottleneck, relocation, &trial);
-	skh_layout_trial_change_hosts(state, &trial, incoming, before, before | 1ULL << bottleneck);
-	add_copy_step(&change, relocation->to_rank, relocation->to_slot, expert);
-	add_copy_step(&change, bottleneck, relocation->from_slot, incoming);
-	evaluate_change(state, &trial, &change, candidates);
+	(void)try_relocation(layout, bottleneck, relocation, &trial);
+	skh_layout_trial_change_hosts(layout, &trial, incoming, before,
+				      before | 1ULL << bottleneck);
+	add_copy(&change, relocation->to_rank, relocation->to_slot, expert);
+	add_copy(&change, bottleneck, relocation->from_slot, incoming);
+	evaluate_change(layout, &trial, &change, candidates);
 }
 
 /*
  * Evaluates @relocation with a lighter expert of @third_rank in the vacated slot.
  * The expert that the relocation overwrites moves to @slot of @third_rank.
  */
-static void evaluate_rotation(const skh_layout_t *state, uint32_t bottleneck,
+static void evaluate_rotation(const skh_layout_t *layout, uint32_t bottleneck,
 			      const relocation_t *relocation, uint32_t third_rank, uint32_t slot,
 			      candidates_t *candidates)
 {
-	uint32_t expert = skh_layout_expert_at(state, bottleneck, relocation->from_slot);
-	uint32_t dropped = skh_layout_expert_at(state, relocation->to_rank, relocation->to_slot);
-	uint32_t incoming = skh_layout_expert_at(state, third_rank, slot);
+	uint32_t expert = skh_layout_expert_at(layout, bottleneck, relocation->from_slot);
+	uint32_t dropped = skh_layout_expert_at(layout, relocation->to_rank, relocation->to_slot);
+	uint32_t incoming = skh_layout_expert_at(layout, third_rank, slot);
 	uint64_t incoming_after =
-		state->hosts[incoming] ^ (1ULL << third_rank | 1ULL << bottleneck);
+		layout->hosts[incoming] ^ (1ULL << third_rank | 1ULL << bottleneck);
 	uint64_t dropped_after =
-		state->hosts[dropped] ^ (1ULL << relocation->to_rank | 1ULL << third_rank);
+		layout->hosts[dropped] ^ (1ULL << relocation->to_rank | 1ULL << third_rank);
 	change_t change = { .n_copies = 0 };
 	skh_layout_trial_t trial = { .changed_ranks = 0 };
 
-	if (incoming == dropped || skh_layout_has_expert(state, bottleneck, incoming) ||
-	    skh_layout_has_expert(state, third_rank, dropped) ||
-	    skh_layout_replica_work(state, incoming) >= skh_layout_replica_work(state, expert) ||
-	    would_reach_load(state, third_rank,
-			     skh_layout_replica_work(state, dropped) -
-				     skh_layout_replica_work(state, incoming),
+	if (incoming == dropped || skh_layout_has_expert(layout, bottleneck, incoming) ||
+	    skh_layout_has_expert(layout, third_rank, dropped) ||
+	    skh_layout_replica_work(layout, incoming) >= skh_layout_replica_work(layout, expert) ||
+	    would_reach_load(layout, third_rank,
+			     skh_layout_replica_work(layout, dropped) -
+				     skh_layout_replica_work(layout, incoming),
 			     bottleneck) ||
-	    would_reach_load(state, relocation->to_rank,
-			     skh_layout_replica_work(state, expert) -
-				     skh_layout_replica_work(state, dropped),
+	    would_reach_load(layout, relocation->to_rank,
+			     skh_layout_replica_work(layout, expert) -
+				     skh_layout_replica_work(layout, dropped),
 			     bottleneck) ||
-	    !skh_layout_keeps_spread(state, incoming, incoming_after) ||
-	    !skh_layout_keeps_spread(state, dropped, dropped_after))
+	    !skh_layout_keeps_spread(layout, incoming, incoming_after) ||
+	    !skh_layout_keeps_spread(layout, dropped, dropped_after))
 		return;
-	skh_layout_trial_add_load(state, &trial, bottleneck,
-				  skh_layout_replica_work(state, incoming) -
-					  skh_layout_replica_work(state, expert));
-	skh_layout_trial_add_load(state, &trial, relocation->to_rank,
-				  skh_layout_replica_work(state, expert) -
-					  skh_layout_replica_work(state, dropped));
-	skh_layout_trial_add_load(state, &trial, third_rank,
-				  skh_layout_replica_work(state, dropped) -
-					  skh_layout_replica_work(state, incoming));
-	add_copy_step(&change, relocation->to_rank, relocation->to_slot, expert);
-	add_copy_step(&change, bottleneck, relocation->from_slot, incoming);
-	add_copy_step(&change, third_rank, slot, dropped);
-	evaluate_change(state, &trial, &change, candidates);
+	skh_layout_trial_add_load(layout, &trial, bottleneck,
+				  skh_layout_replica_work(layout, incoming) -
+					  skh_layout_replica_work(layout, expert));
+	skh_layout_trial_add_load(layout, &trial, relocation->to_rank,
+				  skh_layout_replica_work(layout, expert) -
+					  skh_layout_replica_work(layout, dropped));
+	skh_layout_trial_add_load(layout, &trial, third_rank,
+				  skh_layout_replica_work(layout, dropped) -
+					  skh_layout_replica_work(layout, incoming));
+	add_copy(&change, relocation->to_rank, relocation->to_slot, expert);
+	add_copy(&change, bottleneck, relocation->from_slot, incoming);
+	add_copy(&change, third_rank, slot, dropped);
+	evaluate_change(layout, &trial, &change, candidates);
 }
 
-static void evaluate_refills(const skh_layout_t *state, uint32_t bottleneck,
+static void evaluate_refills(const skh_layout_t *layout, uint32_t bottleneck,
 			     const relocation_t *relocation, candidates_t *candidates)
 {
-	const skh_rebalance_input_t *input = state->view;
+	const skh_rebalance_input_t *input = layout->view;
 
 	for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
 		if (rank == bottleneck || !skh_layout_is_rank_live(input, rank))
 			continue;
 		for (uint32_t slot = 0; slot < input->n_slots; slot++) {
-			uint32_t incoming = skh_layout_expert_at(state, rank, slot);
+			uint32_t incoming = skh_layout_expert_at(layout, rank, slot);
 
-			/* An additional replica helps only if it relieves a rank with much load. */
-			if (state->load[rank] * state->inverse_mean_load > 1.0 ||
+			/*
+			 * An additional replica helps only if it relieves a rank with more than
+			 * the mean load, or the rank that the relocation loads.
+			 */
+			if (layout->load[rank] * layout->inverse_mean_load > 1.0 ||
 			    rank == relocation->to_rank)
-				evaluate_refill(state, bottleneck, relocation, incoming,
+				evaluate_refill(layout, bottleneck, relocation, incoming,
 						candidates);
 			if (rank != relocation->to_rank)
-				evaluate_rotation(state, bottleneck, relocation, rank, slot,
+				evaluate_rotation(layout, bottleneck, relocation, rank, slot,
 						  candidates);
 		}
 	}
 }
 
-static void evaluate_relocations(const skh_layout_t *state, uint32_t bottleneck,
+static void evaluate_relocations(const skh_layout_t *layout, uint32_t bottleneck,
 				 candidates_t *candidates)
 {
 	relocation_t relocations[MAX_RELOCATIONS];
-	uint32_t n = find_relocations(state, bottleneck, relocations);
+	uint32_t n = find_relocations(layout, bottleneck, relocations);
 
 	for (uint32_t i = 0; i < n; i++)
-		evaluate_refills(state, bottleneck, &relocations[i], candidates);
+		evaluate_refills(layout, bottleneck, &relocations[i], candidates);
 }
 
 /* Evaluates all changes that lower the load of @bottleneck: replicas, swaps and relocations. */
-static void evaluate_rank(const skh_layout_t *state, uint32_t bottleneck, candidates_t *candidates)
+static void evaluate_changes(const skh_layout_t *layout, uint32_t bottleneck,
+			     candidates_t *candidates)
 {
-	const skh_rebalance_input_t *input = state->view;
+	const skh_rebalance_input_t *input = layout->view;
 
 	for (uint32_t own_slot = 0; own_slot < input->n_slots; own_slot++) {
-		uint32_t expert = skh_layout_expert_at(state, bottleneck, own_slot);
+		uint32_t expert = skh_layout_expert_at(layout, bottleneck, own_slot);
 
 		for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
 			if (rank == bottleneck || !skh_layout_is_rank_live(input, rank))
 				continue;
 			for (uint32_t slot = 0; slot < input->n_slots; slot++)
-				evaluate_swap(state, bottleneck, own_slot, rank, slot, candidates);
+				evaluate_swap(layout, bottleneck, own_slot, rank, slot, candidates);
 		}
-		for (uint32_t i = 0; i < state->n_redundant_slots; i++)
-			evaluate_replacement(state, state->redundant_slots[i].rank,
-					     state->redundant_slots[i].slot, expert, candidates);
+		for (uint32_t i = 0; i < layout->n_redundant_slots; i++)
+			evaluate_replacement(layout, layout->redundant_slots[i].rank,
+					     layout->redundant_slots[i].slot, expert, candidates);
 		/* Overwriting a replica here with a colder expert lowers the load, too. */
 		for (uint32_t other = 0;
-		     skh_layout_replica_count(state, expert) >= 2 && other < input->n_experts;
+		     skh_layout_replica_count(layout, expert) >= 2 && other < input->n_experts;
 		     other++)
-			evaluate_replacement(state, bottleneck, own_slot, other, candidates);
+			evaluate_replacement(layout, bottleneck, own_slot, other, candidates);
 	}
-	evaluate_relocations(state, bottleneck, candidates);
+	evaluate_relocations(layout, bottleneck, candidates);
 }
 
-static uint32_t find_bottleneck(const skh_layout_t *state)
+static uint32_t find_bottleneck(const skh_layout_t *layout)
 {
 	uint32_t bottleneck = 0;
 
-	for (uint32_t rank = 1; rank < state->view->n_ranks; rank++) {
-		if (state->load[rank] > state->load[bottleneck])
+	for (uint32_t rank = 1; rank < layout->view->n_ranks; rank++) {
+		if (layout->load[rank] > layout->load[bottleneck])
 			bottleneck = rank;
 	}
 	return bottleneck;
 }
 
 /* Copies that can still be added to @plan. */
-static uint32_t compute_copies_left(const skh_layout_t *state, const skh_rebalance_plan_t *plan)
+static uint32_t compute_copies_left(const skh_layout_t *layout, const skh_rebalance_plan_t *plan)
 {
-	return MIN(state->view->max_copies, SKH_REBALANCE_MAX_COPIES) - plan->n_copies;
+	return MIN(layout->view->max_copies, SKH_REBALANCE_MAX_COPIES) - plan->n_copies;
 }
 
-static bool plan_copy(skh_layout_t *state, skh_rebalance_plan_t *plan, uint32_t rank, uint32_t slot,
-		      uint32_t expert)
+static bool plan_copy(skh_layout_t *layout, skh_rebalance_plan_t *plan, uint32_t rank,
+		      uint32_t slot, uint32_t expert)
 {
-	uint32_t *cell = &state->placement[rank * state->view->n_slots + slot];
+	uint32_t *slot_expert = &layout->placement[rank * layout->view->n_slots + slot];
 
-	if (compute_copies_left(state, plan) == 0 || state->copies_left[rank] == 0)
+	if (compute_copies_left(layout, plan) == 0 || layout->copies_left[rank] == 0)
 		return false;
-	state->copies_left[rank]--;
+	layout->copies_left[rank]--;
 	plan->copies[plan->n_copies++] = (skh_expert_copy_t){ rank, slot, expert, 0 };
-	state->hosts[*cell] &= ~(1ULL << rank);
-	state->hosts[expert] |= 1ULL << rank;
-	*cell = expert;
+	layout->hosts[*slot_expert] &= ~(1ULL << rank);
+	layout->hosts[expert] |= 1ULL << rank;
+	*slot_expert = expert;
 	return true;
 }
 
@@ -415,20 +426,20 @@
  * Finds the redundant slot with the lowest cost: the load of its rank plus the
  * whole share of the expert in the slot at the speed of that rank.
  */
-static bool find_cheapest_redundant_slot(const skh_layout_t *state, uint32_t expert, uint32_t *rank,
-					 uint32_t *slot)
+static bool find_cheapest_redundant_slot(const skh_layout_t *layout, uint32_t expert,
+					 uint32_t *rank, uint32_t *slot)
 {
-	const skh_rebalance_input_t *input = state->view;
+	const skh_rebalance_input_t *input = layout->view;
 	double min_cost = INFINITY;
 
-	for (uint32_t i = 0; i < state->n_redundant_slots; i++) {
-		skh_rank_slot_t redundant = state->redundant_slots[i];
-		uint32_t held = skh_layout_expert_at(state, redundant.rank, redundant.slot);
-		double cost = state->load[redundant.rank] +
-			      input->forecast_shares[held] * state->inverse_speed[redundant.rank];
+	for (uint32_t i = 0; i < layout->n_redundant_slots; i++) {
+		skh_rank_slot_t redundant = layout->redundant_slots[i];
+		uint32_t held = skh_layout_expert_at(layout, redundant.rank, redundant.slot);
+		double cost = layout->load[redundant.rank] +
+			      input->forecast_shares[held] * layout->inverse_speed[redundant.rank];
 
-		if (skh_layout_has_expert(state, redundant.rank, expert) || cost >= min_cost ||
-		    state->copies_left[redundant.rank] == 0)
+		if (skh_layout_has_expert(layout, redundant.rank, expert) || cost >= min_cost ||
+		    layout->copies_left[redundant.rank] == 0)
 			continue;
 		min_cost = cost;
 		*rank = redundant.rank;
@@ -438,9 +449,9 @@
 }
 
 /* Plans a copy for each expert without a live replica, in descending order of forecast share. */
-static bool restore_missing_experts(skh_layout_t *state, skh_rebalance_plan_t *plan)
+static bool restore_missing_experts(skh_layout_t *layout, skh_rebalance_plan_t *plan)
 {
-	const skh_rebalance_input_t *input = state->view;
+	const skh_rebalance_input_t *input = layout->view;
 
 	for (;;) {
 		uint32_t missing = input->n_experts;
@@ -448,53 +459,53 @@
 		uint32_t slot = 0;
 
 		for (uint32_t expert = 0; expert < input->n_experts; expert++) {
-			if (state->hosts[expert] == 0 &&
+			if (layout->hosts[expert] == 0 &&
 			    (missing == input->n_experts ||
 			     input->forecast_shares[expert] > input->forecast_shares[missing]))
 				missing = expert;
 		}
 		if (missing == input->n_experts)
 			return true;
-		if (!find_cheapest_redundant_slot(state, missing, &rank, &slot) ||
-		    !plan_copy(state, plan, rank, slot, missing))
+		if (!find_cheapest_redundant_slot(layout, missing, &rank, &slot) ||
+		    !plan_copy(layout, plan, rank, slot, missing))
 			return false;
-		skh_layout_recompute(state);
+		skh_layout_recompute(layout);
 	}
 }
 
-static void apply_change(skh_layout_t *state, skh_rebalance_plan_t *plan, const change_t *change)
+static void apply_change(skh_layout_t *layout, skh_rebalance_plan_t *plan, const change_t *change)
 {
 	for (uint32_t i = 0; i < change->n_copies; i++)
-		(void)plan_copy(state, plan, change->rank[i], change->slot[i], change->expert[i]);
-	skh_layout_recompute(state);
+		(void)plan_copy(layout, plan, change->rank[i], change->slot[i], change->expert[i]);
+	skh_layout_recompute(layout);
 }
 
 /* Applies the best change until none is worth its cost. */
-static void run_descent(skh_layout_t *state, skh_rebalance_plan_t *plan)
+static void run_descent(skh_layout_t *layout, skh_rebalance_plan_t *plan)
 {
 	for (;;) {
-		candidates_t candidates = { .copies_left = state->copies_left };
+		candidates_t candidates = { .copies_left = layout->copies_left };
 		const change_t *best;
-		uint32_t bottleneck = find_bottleneck(state);
+		uint32_t bottleneck = find_bottleneck(layout);
 
 		for (uint32_t i = 0; i < MAX_CHANGE_COPIES; i++)
-			candidates.best[i].norm = state->norm;
-		evaluate_rank(state, bottleneck, &candidates);
-		best = select_change(state, &candidates, compute_copies_left(state, plan));
+			candidates.best[i].norm = layout->norm;
+		evaluate_changes(layout, bottleneck, &candidates);
+		best = select_change(layout, &candidates, compute_copies_left(layout, plan));
 		if (!best)
 			return;
-		apply_change(state, plan, best);
+		apply_change(layout, plan, best);
 	}
 }
 
-static uint32_t find_heaviest_expert(const skh_layout_t *state, uint32_t rank)
+static uint32_t find_heaviest_expert(const skh_layout_t *layout, uint32_t rank)
 {
-	uint32_t heaviest = skh_layout_expert_at(state, rank, 0);
+	uint32_t heaviest = skh_layout_expert_at(layout, rank, 0);
 
-	for (uint32_t slot = 1; slot < state->view->n_slots; slot++) {
-		if (skh_layout_replica_work(state, skh_layout_expert_at(state, rank, slot)) >
-		    skh_layout_replica_work(state, heaviest))
-			heaviest = skh_layout_expert_at(state, rank, slot);
+	for (uint32_t slot = 1; slot < layout->view->n_slots; slot++) {
+		if (skh_layout_replica_work(layout, skh_layout_expert_at(layout, rank, slot)) >
+		    skh_layout_replica_work(layout, heaviest))
+			heaviest = skh_layout_expert_at(layout, rank, slot);
 	}
 	return heaviest;
 }
@@ -503,14 +514,14 @@
  * Finds the additional replica of @expert that gives the lowest norm, even if it
  * raises the norm or makes another rank the most loaded one.
  */
-static bool find_perturbation(const skh_layout_t *state, uint32_t expert, change_t *perturbation)
+static bool find_perturbation(const skh_layout_t *layout, uint32_t expert, change_t *perturbation)
 {
 	candidates_t candidates = { .best = { { .norm = INFINITY } },
-				    .copies_left = state->copies_left };
+				    .copies_left = layout->copies_left };
 
-	for (uint32_t i = 0; i < state->n_redundant_slots; i++)
-		evaluate_replacement(state, state->redundant_slots[i].rank,
-				     state->redundant_slots[i].slot, expert, &candidates);
+	for (uint32_t i = 0; i < layout->n_redundant_slots; i++)
+		evaluate_replacement(layout, layout->redundant_slots[i].rank,
+				     layout->redundant_slots[i].slot, expert, &candidates);
 	*perturbation = candidates.best[0];
 	return perturbation->n_copies > 0;
 }
@@ -523,30 +534,30 @@
  * rank that is emptied first. The intermediate layout is worse, so the descent
  * alone doesn't reach it.
  */
-static bool try_perturbation(skh_layout_t **state, skh_rebalance_plan_t *plan)
+static bool try_perturbation(skh_layout_t **layout, skh_rebalance_plan_t *plan)
 {
-	const skh_rebalance_input_t *input = (*state)->view;
+	const skh_rebalance_input_t *input = (*layout)->view;
 	skh_rebalance_plan_t *candidate_plan;
 	skh_layout_t *candidate;
 	change_t change;
 	double gain;
 
-	if (compute_copies_left(*state, plan) == 0 ||
-	    !find_perturbation(*state, find_heaviest_expert(*state, find_bottleneck(*state)),
+	if (compute_copies_left(*layout, plan) == 0 ||
+	    !find_perturbation(*layout, find_heaviest_expert(*layout, find_bottleneck(*layout)),
 			       &change))
 		return false;
-	candidate = skh_layout_copy(*state);
+	candidate = skh_layout_copy(*layout);
 	candidate_plan = g_memdup2(plan, sizeof(*plan));
 	apply_change(candidate, candidate_plan, &change);
 	run_descent(candidate, candidate_plan);
-	gain = input->skew_weight * (skh_layout_smooth_skew(*state, (*state)->norm) -
+	gain = input->skew_weight * (skh_layout_smooth_skew(*layout, (*layout)->norm) -
 				     skh_layout_smooth_skew(candidate, candidate->norm)) -
 	       input->cost_weight * input->copy_cost *
 		       (double)(candidate_plan->n_copies - plan->n_copies);
 	if (gain > 0.0) {
-		skh_layout_t *previous = *state;
+		skh_layout_t *previous = *layout;
 
-		*state = candidate;
+		*layout = candidate;
 		*plan = *candidate_plan;
 		candidate = previous;
 	}
@@ -555,28 +566,28 @@
 	return gain > 0.0;
 }
 
-static void run_local_search(skh_layout_t **state, skh_rebalance_plan_t *plan)
+static void run_local_search(skh_layout_t **layout, skh_rebalance_plan_t *plan)
 {
 	do
-		run_descent(*state, plan);
-	while (try_perturbation(state, plan));
+		run_descent(*layout, plan);
+	while (try_perturbation(layout, plan));
 }
 
 bool skh_rebalance_compute_plan(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan)
 {
-	skh_layout_t *state;
+	skh_layout_t *layout;
 	bool complete;
 
 	memset(plan, 0, sizeof(*plan));
 	if (input->n_ranks > SKH_REBALANCE_MAX_RANKS)
 		return false;
-	state = skh_layout_new(input);
-	plan->skew_before = skh_layout_compute_skew(input, state->hosts, input->forecast_shares);
-	complete = state->n_live_ranks > 0 && restore_missing_experts(state, plan);
+	layout = skh_layout_new(input);
+	plan->skew_before = skh_layout_compute_skew(input, layout->hosts, input->forecast_shares);
+	complete = layout->n_live_ranks > 0 && restore_missing_experts(layout, plan);
 	if (complete)
-		run_local_search(&state, plan);
-	plan->skew_after = skh_layout_compute_skew(input, state->hosts, input->forecast_shares);
+		run_local_search(&layout, plan);
+	plan->skew_after = skh_layout_compute_skew(input, layout->hosts, input->forecast_shares);
 	skh_stages_assign(input, plan);
-	skh_layout_free(state);
+	skh_layout_free(layout);
 	return complete;
 }
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -11,8 +11,8 @@
  * The input is the current placement, a forecast of each expert's share of tokens,
  * the speeds and failure domains of the ranks, and weights from the manifest. In
  * lock-step, a pass takes as long as its most loaded rank, so the search minimizes
- * skew: the greatest rank load over the mean. Each copy of an expert's weights
- * counts as a cost.
+ * skew: the maximum rank load divided by the mean load. Each copy of an expert's
+ * weights counts as a cost.
  *
  * A plan lists copies in stages. Within a stage, a slot is overwritten only if
  * its expert has another replica, so that no rank needs memory for two maps and
@@ -39,9 +39,9 @@
  * @forecast_shares: expected share of tokens of each expert, [@n_experts], any unit
  * @speed: speed of each rank, [@n_ranks]; 1 is nominal, 0 marks a lost rank
  * @failure_domain: failure domain of each rank, [@n_ranks]
- * @skew_weight: weight of step-time skew in the objective
+ * @skew_weight: weight of skew in the objective
  * @cost_weight: weight of copies in the objective
- * @copy_cost: step time that one copy costs, as a fraction of the mean step time
+ * @copy_cost: time that one copy adds to a pass, as a fraction of the mean pass duration
  * @max_copies: maximum copies of the plan: what the weight store delivers in one interval
  * @max_rank_copies: maximum copies to each rank, [@n_ranks]; NULL for no limit
  */
@@ -92,15 +92,15 @@
  * copy is worth its cost and the plan is empty.
  *
  * Return: false if there are too many ranks, or if an expert has no live replica
- * and the copies allowed can't restore it; @plan then has only the experts that
- * could be restored.
+ * and can't be restored, for lack of slots or of copies. In the last case @plan has
+ * the copies of the experts that could be restored.
  */
 bool skh_rebalance_compute_plan(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan);
 
 /**
- * skh_rebalance_skew() - compute the greatest rank load over the mean
- * @input: gives the sizes and the speeds of the ranks
- * @placement: placement to rate, in place of the one in @input
+ * skh_rebalance_skew() - compute the maximum rank load divided by the mean load
+ * @input: dimensions and rank speeds; its placement is not read
+ * @placement: placement to evaluate, [n_ranks][n_slots]
  * @shares: share of tokens of each expert, [n_experts], any unit
  */
 double skh_rebalance_skew(const skh_rebalance_input_t *input, const uint32_t *placement,
--- a/test/demand_test.cc
+++ b/test/demand_test.cc
@@ -20,7 +20,7 @@
 struct GroupProfile {
 	uint32_t sets;
 	uint32_t experts;
-	double skew;
+	double zipf_exponent;
 };
 
 constexpr GroupProfile kManySimilarExperts = { 8, 252, 0.66 };
@@ -43,10 +43,10 @@
 	{
 		for (uint32_t set = 0; set < profile.sets; set++)
 			common_shares.push_back(
-				zipf(profile.experts, profile.skew, seed * 100 + set));
+				zipf(profile.experts, profile.zipf_exponent, seed * 100 + set));
 		for (uint32_t i = 0; i < 40; i++)
 			prompt_shares.push_back(
-				zipf(profile.experts, profile.skew, seed * 1000 + i));
+				zipf(profile.experts, profile.zipf_exponent, seed * 1000 + i));
 	}
 
 	// Permutes the popularity of a random part of the experts.
@@ -224,7 +224,8 @@
 	EXPECT_LT(tokens.distance(skh_demand_shares(fixture.demand)), 0.25);
 }
 
-// In a sample of several passes a shift is certain, but not which counts are from after it.
+// A shift within a sample of several passes is detected, but it is unknown which of its counts are
+// from after the shift.
 TEST_P(DemandByProfile, SampleThatSpansAShiftIsDropped)
 {
 	Demand fixture(GetParam());
@@ -338,7 +339,8 @@
 						0);
 				}
 			}
-			// In the first pass with a prompt; without one after 0.16 s.
+			// The report is sent in the first pass with a prompt, or after 0.16 s
+			// without one.
 			EXPECT_GE(passes, 1) << "seed " << seed;
 			EXPECT_LE(passes, 4) << "seed " << seed;
 		}
--- a/test/greedy_rebalance_test.cc
+++ b/test/greedy_rebalance_test.cc
@@ -301,6 +301,7 @@
 		  SKH_RANKRELAY_STATUS_NO_BASE);
 	g_free(engine);
 	ASSERT_NE(skh_map_cache_find(&cache, 5), nullptr);
+	// The hash detects a cached base map with other content; version 6 must not be cached.
 	cache.entries[0].map[0] = 3;
 	cache.entries[1].version = 7;
 	EXPECT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&packed), &cache, &unpacked, &engine),
--- a/test/mapchange_test.cc
+++ b/test/mapchange_test.cc
@@ -59,7 +59,7 @@
 	int64_t lease = 0;
 	bool is_alive = true;
 	int64_t frozen_until_us = 0;
-	int64_t lease_until_us = 0; // as the coordinator knows it
+	int64_t lease_expires_us = 0; // as the coordinator knows it
 	bool is_changing = false;
 	bool repair = false;
 	int64_t fence_offset = 0;
@@ -361,7 +361,7 @@
 	// A frozen instance processes the received orders when it resumes.
 	void receive_order(const Event &event)
 	{
-		Event reply = event;
+		Event response = event;
 		uint32_t rank = event.order.rank;
 		uint32_t sender_rank = event.order.sender_rank;
 
@@ -371,9 +371,9 @@
 				 event);
 			return;
 		}
-		reply.kind = 1;
-		reply.status = execute_order(event.order);
-		if (event.order.order.op == SKH_ENGINE_HOLD && reply.status == 202 &&
+		response.kind = 1;
+		response.status = execute_order(event.order);
+		if (event.order.order.op == SKH_ENGINE_HOLD && response.status == 202 &&
 		    proxy_freezes) {
 			proxy_freezes = false;
 			proxy_frozen_since_us = now_us;
@@ -381,7 +381,7 @@
 			return;
 		}
 		if (event.order.has_response)
-			schedule(now_us + random_between(1, 15) * kMs, reply);
+			schedule(now_us + random_between(1, 15) * kMs, response);
 	}
 
 	void receive_response(const Event &event)
@@ -449,7 +449,7 @@
 
 	void elect_coordinator()
 	{
-		bool held = false;
+		bool is_lease_held = false;
 
 		for (auto &coordinator : coordinators) {
 			if (inject_faults && coordinator->is_alive && random_bool(0.0015))
@@ -458,16 +458,16 @@
 			if (inject_faults && coordinator->is_alive && random_bool(0.0008))
 				coordinator->is_alive = false;
 			if (coordinator->is_alive && now_us >= coordinator->frozen_until_us &&
-			    now_us < coordinator->lease_until_us)
-				coordinator->lease_until_us = now_us + 1000 * kMs;
-			held = held || now_us < coordinator->lease_until_us;
+			    now_us < coordinator->lease_expires_us)
+				coordinator->lease_expires_us = now_us + 1000 * kMs;
+			is_lease_held = is_lease_held || now_us < coordinator->lease_expires_us;
 		}
-		if (held)
+		if (is_lease_held)
 			return;
 		auto coordinator = std::make_unique<Coordinator>();
 
 		coordinator->lease = ++n_leases;
-		coordinator->lease_until_us = now_us + 1000 * kMs;
+		coordinator->lease_expires_us = now_us + 1000 * kMs;
 		coordinator->own_rank =
 			static_cast<uint32_t>(random_between(0, engines.size() - 1));
 		coordinator->reports.resize(engines.size());
@@ -550,13 +550,13 @@
 	void run_coordinator(Coordinator &coordinator)
 	{
 		size_t index = 0;
-		bool woke = now_us >= coordinator.frozen_until_us &&
-			    now_us < coordinator.frozen_until_us + 50 * kMs;
+		bool has_just_resumed = now_us >= coordinator.frozen_until_us &&
+					now_us < coordinator.frozen_until_us + 50 * kMs;
 
 		while (coordinators[index].get() != &coordinator)
 			index++;
 		if (!coordinator.is_alive || now_us < coordinator.frozen_until_us ||
-		    (now_us >= coordinator.lease_until_us && !woke))
+		    (now_us >= coordinator.lease_expires_us && !has_just_resumed))
 			return;
 		if (!coordinator.is_changing) {
 			if (has_complete_reports(coordinator) && random_bool(0.05))
--- a/test/rebalance_test.cc
+++ b/test/rebalance_test.cc
@@ -205,15 +205,15 @@
 {
 	Group group = generate_group();
 	skh_rebalance_plan_t plan;
-	skh_rebalance_plan_t again;
+	skh_rebalance_plan_t second_plan;
 	skh_rebalance_input_t input = group.input();
 
 	RC_ASSERT(skh_rebalance_compute_plan(&input, &plan));
 	RC_PRE(plan.n_copies + 8 < group.max_copies);
 	RC_ASSERT(apply_plan(group, plan));
 	input = group.input();
-	RC_ASSERT(skh_rebalance_compute_plan(&input, &again));
-	RC_ASSERT(again.n_copies == 0u);
+	RC_ASSERT(skh_rebalance_compute_plan(&input, &second_plan));
+	RC_ASSERT(second_plan.n_copies == 0u);
 }
 
 RC_GTEST_PROP(Rebalance, ExpertsOfLostRankAreReplacedOrPlanIsIncomplete, ())
