--- a/src/count_reporter.c
+++ b/src/count_reporter.c
@@ -36,7 +36,7 @@
 	int64_t budget_updated_us; /* time at which @budget_bytes was computed */
 	int64_t jitter_us;	   /* random offset of this rank, less than MAX_JITTER_US */
 	int64_t last_report_us;
-	int64_t shift_us;
+	int64_t shift_us; /* time of the last shift or change of epoch */
 	int64_t due_us; /* next report, from STEADY_INTERVAL_US or skh_count_reporter_expedite() */
 };
 
--- a/src/demand.c
+++ b/src/demand.c
@@ -57,7 +57,7 @@
 	double *set_totals;	 /* sum of the weighted counts of each set, [sets] */
 	double *shares;		 /* result of skh_demand_shares(), [sets][experts] */
 	double typical_distance; /* smoothed distance of samples without a shift */
-	uint32_t n_samples;
+	uint32_t n_samples;	 /* since the last shift */
 	int64_t epoch;
 	int64_t from_pass;	   /* samples that begin earlier are ignored */
 	int64_t counting_since_us; /* time of the last shift or first sample of the epoch */
@@ -110,10 +110,11 @@
 	double sum = 0.0;
 
 	for (uint32_t i = 0; i < n_experts; i++) {
-		double root = sqrt(counts[i] * scale / n_choices + ANSCOMBE_OFFSET) -
-			      sqrt(earlier_counts[i] * scale / earlier_choices + ANSCOMBE_OFFSET);
+		double difference =
+			sqrt(counts[i] * scale / n_choices + ANSCOMBE_OFFSET) -
+			sqrt(earlier_counts[i] * scale / earlier_choices + ANSCOMBE_OFFSET);
 
-		sum += root * root;
+		sum += difference * difference;
 	}
 	return 0.5 * sum / scale -
 	       (double)n_experts / 8.0 * (1.0 / n_choices + 1.0 / earlier_choices);
--- a/test/demand_test.cc
+++ b/test/demand_test.cc
@@ -85,6 +85,7 @@
 		}
 	}
 
+	// Sum of the absolute differences between @shares and the common shares of the first set.
 	double distance(const double *shares) const
 	{
 		double sum = 0.0;
--- a/test/greedy_rebalance_test.cc
+++ b/test/greedy_rebalance_test.cc
@@ -301,7 +301,8 @@
 		  SKH_RANKRELAY_STATUS_NO_BASE);
 	g_free(engine);
 	ASSERT_NE(skh_map_cache_find(&cache, 5), nullptr);
-	// The hash detects a cached base map with other content; version 6 must not be cached.
+	// The hash of the order detects a base map with other content. Version 6 is removed from the
+	// cache, as an order for a cached version doesn't need the base map.
 	cache.entries[0].map[0] = 3;
 	cache.entries[1].version = 7;
 	EXPECT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&packed), &cache, &unpacked, &engine),
