--- a/src/count_reporter.c
+++ b/src/count_reporter.c
@@ -13,7 +13,10 @@
 #define SHIFT_WINDOW_US (700 * SKH_US_PER_MS)
 /* Minimum interval of reports within the shift window: about one pass. */
 #define MIN_SHIFT_INTERVAL_US (60 * SKH_US_PER_MS)
-/* A rank with fewer choices per expert delays its report until it has read a first prompt. */
+/*
+ * After a shift, a rank with fewer choices per expert delays its report until it has read a
+ * first prompt.
+ */
 #define MIN_CHOICES_PER_EXPERT 12.0
 /*
  * Limit of the delay for a first prompt, plus a random offset for each rank: the
@@ -33,7 +36,7 @@
 	int64_t budget_updated_us; /* time at which @budget_bytes was computed */
 	int64_t jitter_us;	   /* random offset of this rank, less than MAX_JITTER_US */
 	int64_t last_report_us;
-	int64_t shift_us;
+	int64_t shift_us; /* time of the last shift or change of epoch */
 	int64_t due_us; /* next report, from STEADY_INTERVAL_US or skh_count_reporter_expedite() */
 };
 
--- a/src/mapswitch.h
+++ b/src/mapswitch.h
@@ -5,10 +5,11 @@
  * DOC: Stepwise switch of an expert map
  *
  * Coordinator side of a switch in which every rank must confirm a step before any
- * rank is sent the next one; rank.h is the side of the ranks. A coordinator that
- * crashes leaves the group running or held; its successor starts again from the
- * first step under a higher fencing token (fence). Sends nothing itself and takes no
- * locks: the caller sends the orders and serialises access.
+ * rank is sent the next one; rank.h is the side of the ranks. For engines that switch
+ * at a pass given in advance, see mapchange.h instead. A coordinator that crashes
+ * leaves the group running or held; its successor starts again from the first step
+ * under a higher fencing token (fence). Sends nothing itself and takes no locks: the
+ * caller sends the orders and serialises access.
  */
 
 #include "rank.h"
@@ -46,7 +47,8 @@
  * skh_mapswitch_record_reply() - process a rank's reply to an order
  * @mapswitch: switch in progress
  * @rank: rank that replied
- * @order: order that the reply is for; one of an earlier step only counts when fenced
+ * @order: order that the reply is for; of the replies to earlier steps, only a fenced
+ *	outcome counts
  * @outcome: outcome that the rank reported
  * @is_running_version: the rank's engine is not held and uses the new map. When this
  *	is so for all ranks in the first step, the switch is done and the group is not held.
