--- a/src/attempt.c
+++ b/src/attempt.c
@@ -125,7 +125,11 @@
 					skh_exchange_header_name(exchange, SKH_HEADER_NOT_RUN)));
 }
 
-/* A stream resumed at another server keeps the head of its first response. */
+/*
+ * Stores the head for the caller, unless a stream resumes at another server: it keeps the head of
+ * its first response. A successful response is rejected without a signature or with a
+ * Content-Encoding.
+ */
 static bool on_head(void *context, const skh_http_message_t *response)
 {
 	skh_exchange_t *exchange = context;
@@ -284,7 +288,7 @@
 
 	exchange->upstream = NULL;
 	if (!request_written) {
-		/* A failed connect counts as a crash, in which the server lost earlier requests. */
+		/* A failed connect counts as a crash, for the requests lost at this server before. */
 		skh_crash_suspects_record_crash(gateway->crash_suspects,
 						exchange->target->server->id, skh_clock_boot_us(),
 						report_crash, gateway->gossip);
--- a/src/attempt.h
+++ b/src/attempt.h
@@ -23,7 +23,7 @@
 typedef enum skh_exchange_stage {
 	SKH_EXCHANGE_WAITING,	 /* in the queue */
 	SKH_EXCHANGE_SENT,	 /* sent to a server */
-	SKH_EXCHANGE_RESPONDING, /* response head sent to the caller */
+	SKH_EXCHANGE_RESPONDING, /* response head sent, also while queued to resume the stream */
 	SKH_EXCHANGE_ENDED
 } skh_exchange_stage_t;
 
@@ -47,7 +47,7 @@
 	int64_t first_byte_us;	/* time of the first event or the response; 0 before */
 	double expected_tokens; /* estimated work */
 	skh_queued_request_t queued_request;
-	GPtrArray *tried_targets; /* skh_target_t; counted references */
+	GPtrArray *tried_targets; /* skh_target_t not to retry at; counted references */
 	skh_target_t *target;	  /* server of the current attempt, or NULL */
 	skh_upstream_t *upstream; /* connection of the current attempt, or NULL */
 	uint32_t sends;		  /* attempts so far */
@@ -89,7 +89,7 @@
 
 /* --- exchange.c --- */
 
-/** skh_exchange_header_name() - the platform's name of a header */
+/** skh_exchange_header_name() - name of a header in the gateway's dialect */
 const char *skh_exchange_header_name(const skh_exchange_t *exchange, skh_header_name_t name);
 
 /** skh_exchange_customer() - customer of the request, or "-" if unknown */
@@ -105,12 +105,18 @@
 void skh_exchange_log_end(const skh_exchange_t *exchange, const char *outcome, int32_t status,
 			  const char *reason);
 
-/** skh_exchange_end() - leave the queue and the gateway's list; freed once the timer is closed */
+/**
+ * skh_exchange_end() - remove the request from its queue and the gateway's list of exchanges
+ *
+ * @exchange is freed once its timer is closed.
+ */
 void skh_exchange_end(skh_exchange_t *exchange);
 
 /**
  * skh_exchange_reject() - end the exchange with a response of the gateway's own
  * @retry_after_ms: 0 for no Retry-After header
+ *
+ * To be called only while the caller still waits for the head of a response.
  */
 void skh_exchange_reject(skh_exchange_t *exchange, skh_error_kind_t kind, int64_t retry_after_ms,
 			 const char *text);
--- a/src/downstream.c
+++ b/src/downstream.c
@@ -15,7 +15,7 @@
 #define WRITE_BACKLOG_BYTES (256 << 10)
 /* A caller that sends more bytes before the response to its request ends is disconnected. */
 #define MAX_PIPELINED_BYTES (64 << 10)
-/* Limits until a configuration is loaded. */
+/* Limits until a configuration is loaded; the timeout also replaces one that is set to 0. */
 #define DEFAULT_MAX_HEADER_BYTES (16 << 10)
 #define DEFAULT_MAX_BODY_BYTES	 (4 << 20)
 #define DEFAULT_TIMEOUT_US	 (15 * SKH_US_PER_S)
@@ -251,7 +251,7 @@
 				     .headers = "Content-Type: text/plain\r\n" };
 	skh_chunk_t text = skh_chunk_from_string(err->text);
 
-	skh_log(SKH_LOG_INFO, PART, "Request refused: it is invalid, too large or too slow.",
+	skh_log(SKH_LOG_INFO, PART, "Request rejected: it is invalid, too large or too slow.",
 		"kind=%s reason=%s", skh_error_kind_name(err->kind), err->text);
 	head.content_length = text.len;
 	conn->keep_alive = false;
--- a/src/downstream.h
+++ b/src/downstream.h
@@ -73,13 +73,17 @@
 /** skh_listener_count_connections() - number of open connections */
 uint32_t skh_listener_count_connections(const skh_listener_t *listener);
 
-/** skh_listener_free() - free a closed listener, after its handles have left the loop */
+/** skh_listener_free() - free a closed listener, after the loop has closed its handles */
 void skh_listener_free(skh_listener_t *listener);
 
 /** skh_caller_conn_set_exchange() - set the @exchange of on_disconnect() and on_writable() */
 void skh_caller_conn_set_exchange(skh_caller_conn_t *conn, void *exchange);
 
-/** skh_caller_conn_received_us() - time when the request's first byte was read; boot clock */
+/**
+ * skh_caller_conn_received_us() - time when parsing of the request began; boot clock
+ *
+ * A pipelined request is parsed after the response to the request before it.
+ */
 int64_t skh_caller_conn_received_us(const skh_caller_conn_t *conn);
 
 /** struct skh_response_head - status line and headers of a response */
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -360,7 +360,7 @@
 	skh_exchange_dispatch(gateway);
 }
 
-static void check_ranks(skh_target_pool_t *pool, void *context)
+static void abandon_lost_ranks(skh_target_pool_t *pool, void *context)
 {
 	int64_t now_us = skh_clock_boot_us();
 
@@ -374,7 +374,7 @@
 
 void skh_exchange_tick(skh_gateway_t *gateway)
 {
-	skh_backends_for_each_pool(gateway->backends, check_ranks, gateway);
+	skh_backends_for_each_pool(gateway->backends, abandon_lost_ranks, gateway);
 	skh_backends_for_each_pool(gateway->backends, end_expired_in_pool, NULL);
 	skh_exchange_dispatch(gateway);
 }
@@ -399,7 +399,7 @@
 	} else {
 		skh_attempt_release(exchange, SKH_OUTCOME_FAILED, 0);
 		skh_exchange_reject(exchange, SKH_TIMED_OUT, 0,
-				    "the server did not answer before the deadline");
+				    "the server did not respond before the deadline");
 	}
 	skh_exchange_dispatch(gateway);
 }
@@ -509,7 +509,10 @@
 						 exchange->request->request_target->str);
 	if ((!exchange->route || exchange->route->needs_key) &&
 	    !skh_gateway_can_trust_keys(gateway, now_us)) {
-		/* Other gateways may have current keys; a retry opens a new connection. */
+		/*
+		 * Other gateways may have current keys. The listener closes this connection after
+		 * the response, so that a retry opens a new one and can reach another gateway.
+		 */
 		skh_exchange_reject(exchange, SKH_STALE, STALE_RETRY_AFTER_MS,
 				    "the configuration may be out of date");
 		return false;
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -29,7 +29,11 @@
  */
 void skh_exchange_tick(skh_gateway_t *gateway);
 
-/** skh_exchange_move_off_slow_ranks() - retry requests of slow ranks at other servers */
+/**
+ * skh_exchange_move_off_slow_ranks() - retry requests of slow ranks at other servers
+ *
+ * Called when ranks have become slow or normal again. Also dispatches the queues.
+ */
 void skh_exchange_move_off_slow_ranks(skh_gateway_t *gateway);
 
 #ifdef __cplusplus
--- a/src/forward.c
+++ b/src/forward.c
@@ -11,7 +11,8 @@
 	return forwarded->dialect->headers[name];
 }
 
-static bool is_replaced(const skh_forwarded_request_t *forwarded, const char *name)
+/* True for a caller's header that the gateway replaces with its own, and for the caller's key. */
+static bool is_omitted(const skh_forwarded_request_t *forwarded, const char *name)
 {
 	static const skh_header_name_t replaced_headers[] = { SKH_HEADER_DEADLINE,
 							      SKH_HEADER_CUSTOMER,
@@ -71,7 +72,7 @@
 		const skh_header_t *header = &g_array_index(request->headers, skh_header_t, i);
 
 		if (!skh_header_is_hop_by_hop(header->name) &&
-		    !is_replaced(forwarded, header->name) &&
+		    !is_omitted(forwarded, header->name) &&
 		    !is_listed_in_connection(connection, header->name))
 			skh_buffer_printf(out, "%s: %s\r\n", header->name, header->value);
 	}
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -16,8 +16,8 @@
 /* Interval for checking queued requests, reports and signals. */
 #define TICK_INTERVAL_MS 20
 /*
- * A planned stop closes the listening socket only after this time: the balancer checks readiness
- * every second and sends callers elsewhere after two failed checks.
+ * A planned stop closes the listening socket only after this time: the platform's balancer checks
+ * readiness every second and sends callers elsewhere after two failed checks.
  */
 #define STOP_ACCEPT_DELAY_US (2600 * SKH_US_PER_MS)
 /*
@@ -42,10 +42,10 @@
 	skh_admin_t *admin;
 	skh_store_t *store;
 	skh_settings_watcher_t *settings_watcher;
-	uint64_t seen_peers_mark;   /* mark for skh_feed_get_gateways() */
-	uint64_t seen_notices_mark; /* mark for skh_feed_get_rank_notices() */
-	gint is_ready;		    /* atomic; read by the administration's threads */
-	int64_t stop_started_us;    /* time of SIGTERM or SIGINT; 0 before */
+	uint64_t last_peers_change;   /* newest change that skh_feed_get_gateways() returned */
+	uint64_t last_notices_change; /* newest change that skh_feed_get_rank_notices() returned */
+	gint is_ready;		      /* atomic; read by the administration listener's threads */
+	int64_t stop_started_us;      /* time of SIGTERM or SIGINT; 0 before */
 	int64_t stop_deadline_us;
 	bool is_closed;
 } gateway_process_t;
@@ -124,7 +124,7 @@
 static void update_peers(gateway_process_t *process)
 {
 	skh_gateway_t *gateway = &process->gateway;
-	GPtrArray *peers = skh_feed_get_gateways(gateway->feed, &process->seen_peers_mark);
+	GPtrArray *peers = skh_feed_get_gateways(gateway->feed, &process->last_peers_change);
 
 	if (!peers)
 		return;
@@ -137,7 +137,7 @@
 static void update_slowdowns(gateway_process_t *process)
 {
 	g_autofree char *notices =
-		skh_feed_get_rank_notices(process->gateway.feed, &process->seen_notices_mark);
+		skh_feed_get_rank_notices(process->gateway.feed, &process->last_notices_change);
 
 	if (!notices)
 		return;
@@ -147,22 +147,22 @@
 
 /*
  * A gateway without the store becomes not ready well before it stops trusting its keys: the
- * balancer takes two seconds to send new callers elsewhere. Connections that are kept alive
- * would stay, so they are closed after their response.
+ * platform's balancer takes two seconds to send new callers elsewhere. Connections that are kept
+ * alive would stay, so they are closed after their response.
  */
 static void update_ready(gateway_process_t *process, int64_t now_us)
 {
 	skh_gateway_t *gateway = &process->gateway;
 	bool is_config_fresh = skh_gateway_config_age_us(gateway, now_us) < MAX_READY_CONFIG_AGE_US;
-	bool is_ready = process->stop_started_us == 0 && gateway->routing && gateway->roster &&
-			is_config_fresh;
+	bool is_ready_now = process->stop_started_us == 0 && gateway->routing && gateway->roster &&
+			    is_config_fresh;
 
-	if (is_ready != (g_atomic_int_get(&process->is_ready) != 0))
-		skh_log(SKH_LOG_INFO, PART, is_ready ? "Ready." : "Not ready.",
+	if (is_ready_now != (g_atomic_int_get(&process->is_ready) != 0))
+		skh_log(SKH_LOG_INFO, PART, is_ready_now ? "Ready." : "Not ready.",
 			"config_age_ms=%" PRId64 " leaving=%d",
 			skh_gateway_config_age_us(gateway, now_us) / SKH_US_PER_MS,
 			process->stop_started_us != 0);
-	g_atomic_int_set(&process->is_ready, is_ready);
+	g_atomic_int_set(&process->is_ready, is_ready_now);
 	skh_listener_set_close_after_response(gateway->listener, !is_config_fresh);
 }
 
--- a/src/http_message.c
+++ b/src/http_message.c
@@ -233,6 +233,10 @@
 
 bool skh_header_is_hop_by_hop(const char *name)
 {
+	/*
+	 * Content-Length and Expect are end-to-end, but the gateway writes its own Content-Length and
+	 * responds to Expect itself.
+	 */
 	static const char *const hop_by_hop_names[] = { "connection",
 							"keep-alive",
 							"proxy-authenticate",
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -181,8 +181,8 @@
 			SKH_US_PER_S;
 
 		/*
-		 * Half of the announced timeout: the server closes the connection first and the
-		 * close is noticed with a delay.
+		 * Half of the announced timeout, because the server closes the connection when its
+		 * timeout ends and the pool notices the close only after a delay.
 		 */
 		timeout_us = MIN(timeout_us, server_timeout_us / 2);
 	}
--- a/src/upstream.h
+++ b/src/upstream.h
@@ -46,9 +46,9 @@
 typedef struct skh_upstream_pool_options {
 	const char *attempt_id_header; /* request header that the server echoes */
 	int64_t connect_timeout_us;
-	int64_t unacked_timeout_us;    /* longest time that sent bytes stay unacknowledged */
-	int64_t idle_timeout_us;       /* longest idle time before reuse */
-	uint32_t max_idle_connections; /* the connection idle for longest is closed beyond it */
+	int64_t unacked_timeout_us;    /* sent bytes unacknowledged this long end the connection */
+	int64_t idle_timeout_us;       /* a connection idle for this long is not reused */
+	uint32_t max_idle_connections; /* if exceeded, the longest idle connection is closed */
 } skh_upstream_pool_options_t;
 
 /**
--- a/test/forward_test.cc
+++ b/test/forward_test.cc
@@ -87,7 +87,8 @@
 	EXPECT_EQ(written.substr(written.size() - 7), "\r\n\r\nxyz");
 }
 
-// Guards against a caller that sends another customer's name to be served on its account.
+// Guards against a caller that sends another customer's name to be served on that customer's
+// account.
 TEST(Forward, RequestHasGatewaysCustomerAndDeadline)
 {
 	std::string written = write_request(kPostRequest);
--- a/test/upstream_test.cc
+++ b/test/upstream_test.cc
@@ -46,10 +46,10 @@
 constexpr int64_t kHangTimeoutUs = 60 * SKH_US_PER_S;
 
 // A pool and its server on loopback; the test drives the server between iterations of the loop.
-class LoopbackServer
+class LoopbackHarness
 {
       public:
-	LoopbackServer()
+	LoopbackHarness()
 	{
 		sockaddr_in address = {};
 		socklen_t len = sizeof(address);
@@ -68,7 +68,7 @@
 		pool = skh_upstream_pool_new(&loop, "127.0.0.1", ntohs(address.sin_port), &options);
 	}
 
-	~LoopbackServer()
+	~LoopbackHarness()
 	{
 		uv_close(reinterpret_cast<uv_handle_t *>(&hang_timer), nullptr);
 		skh_upstream_pool_free(pool);
@@ -79,7 +79,7 @@
 		uv_loop_close(&loop);
 	}
 
-	void send(RequestResult *result, const char *id)
+	void send_request(RequestResult *result, const char *id)
 	{
 		static const char request_bytes[] = "GET / HTTP/1.1\r\n\r\n";
 		skh_upstream_request_t request = {};
@@ -89,7 +89,7 @@
 		(void)skh_upstream_pool_send(pool, &request, &ops, result);
 		if (peer < 0)
 			peer = accept(listener, nullptr, nullptr);
-		receive();
+		receive_request();
 	}
 
 	void respond(const std::string &text)
@@ -98,7 +98,7 @@
 	}
 
 	// Closes with a reset, which arrives together with the last bytes.
-	void reset()
+	void reset_connection()
 	{
 		const linger close_with_reset = { 1, 0 };
 
@@ -108,7 +108,7 @@
 		peer = -1;
 	}
 
-	// Closes without a reset, as receive() has left no byte of the request unread.
+	// Closes without a reset, as receive_request() has left no byte of the request unread.
 	void close_cleanly()
 	{
 		close(peer);
@@ -124,7 +124,7 @@
 
       private:
 	// Reads a complete request while running the loop.
-	void receive()
+	void receive_request()
 	{
 		std::string request;
 		char bytes[256];
@@ -147,7 +147,7 @@
 	static void on_hang(uv_timer_t *timer)
 	{
 		ADD_FAILURE() << "no progress before the timeout";
-		static_cast<LoopbackServer *>(timer->data)->is_hung = true;
+		static_cast<LoopbackHarness *>(timer->data)->is_hung = true;
 	}
 
 	uv_loop_t loop = {};
@@ -163,68 +163,68 @@
 
 TEST(Upstream, ResponseWithoutLengthIsIncompleteAfterReset)
 {
-	LoopbackServer server;
+	LoopbackHarness harness;
 	RequestResult result;
 
-	server.send(&result, "a");
-	server.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nhalf of it");
-	server.reset();
-	server.run_until_done(result);
+	harness.send_request(&result, "a");
+	harness.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nhalf of it");
+	harness.reset_connection();
+	harness.run_until_done(result);
 	EXPECT_FALSE(result.ended);
 	EXPECT_TRUE(result.failed);
 }
 
 TEST(Upstream, ResponseWithoutLengthEndsWithItsConnection)
 {
-	LoopbackServer server;
+	LoopbackHarness harness;
 	RequestResult result;
 
-	server.send(&result, "a");
-	server.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nall of it");
-	server.close_cleanly();
-	server.run_until_done(result);
+	harness.send_request(&result, "a");
+	harness.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nall of it");
+	harness.close_cleanly();
+	harness.run_until_done(result);
 	EXPECT_TRUE(result.ended);
 	EXPECT_EQ(result.body, "all of it");
 }
 
 TEST(Upstream, ResponseToAnotherRequestIsSkipped)
 {
-	LoopbackServer server;
+	LoopbackHarness harness;
 	RequestResult result;
 
-	server.send(&result, "b");
-	server.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 3\r\n\r\nold"
-		       "HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 3\r\n\r\nnew");
-	server.run_until_done(result);
+	harness.send_request(&result, "b");
+	harness.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 3\r\n\r\nold"
+			"HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 3\r\n\r\nnew");
+	harness.run_until_done(result);
 	EXPECT_TRUE(result.ended);
 	EXPECT_EQ(result.body, "new");
 }
 
 TEST(Upstream, ConnectionWithLeftoverBytesIsNotReused)
 {
-	LoopbackServer server;
+	LoopbackHarness harness;
 	RequestResult first;
 	RequestResult second;
 
-	server.send(&first, "a");
-	server.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200");
-	server.run_until_done(first);
+	harness.send_request(&first, "a");
+	harness.respond("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200");
+	harness.run_until_done(first);
 	EXPECT_TRUE(first.ended);
-	server.close_cleanly();
-	server.send(&second, "b");
-	server.respond("HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 2\r\n\r\nhi");
-	server.run_until_done(second);
+	harness.close_cleanly();
+	harness.send_request(&second, "b");
+	harness.respond("HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 2\r\n\r\nhi");
+	harness.run_until_done(second);
 	EXPECT_EQ(second.body, "hi");
 }
 
 TEST(Upstream, MalformedResponseFailsTheRequest)
 {
-	LoopbackServer server;
+	LoopbackHarness harness;
 	RequestResult result;
 
-	server.send(&result, "a");
-	server.respond("HTP/9 nonsense\r\n\r\n");
-	server.run_until_done(result);
+	harness.send_request(&result, "a");
+	harness.respond("HTP/9 nonsense\r\n\r\n");
+	harness.run_until_done(result);
 	EXPECT_TRUE(result.failed);
 	EXPECT_FALSE(result.ended);
 }
