--- a/src/backends.c
+++ b/src/backends.c
@@ -10,7 +10,7 @@
 /* Weight of the newest response in a server's moving averages. */
 #define LATENCY_EWMA_GAIN 0.2
 #define FAILURE_EWMA_GAIN 0.15
-/* An unreachable server is avoided for this long, doubled with each failure in a row. */
+/* How long record_failure() avoids a server, doubled with each failure in a row. */
 #define AVOID_BASE_US	    (200 * SKH_US_PER_MS)
 #define AVOID_MAX_DOUBLINGS 5
 /* A server that rejected a request as full has room again after about this time. */
@@ -18,9 +18,13 @@
 /* The list names a stopped instance until its entry expires after three missed heartbeats. */
 #define WRONG_INSTANCE_PAUSE_US (4 * SKH_US_PER_S)
 #define RATE_SLOT_US		(500 * SKH_US_PER_MS)
-/* Requests sent beyond a server's slots, because responses take a moment to arrive. */
-#define OVERCOMMIT_PLAIN_REQUESTS    2
-#define OVERCOMMIT_RANK_REQUESTS     1
+/*
+ * Requests sent beyond the slots of a server, or of a rank of a lock-step group, because responses
+ * take a moment to arrive.
+ */
+#define OVERCOMMIT_PLAIN_REQUESTS 2
+#define OVERCOMMIT_RANK_REQUESTS  1
+/* For services with an engine (RANK) and without one (PLAIN). */
 #define TYPICAL_FIRST_EVENT_RANK_MS  150
 #define TYPICAL_FIRST_EVENT_PLAIN_MS 80
 
@@ -306,7 +310,7 @@
 	int64_t slot = now_us / RATE_SLOT_US;
 	double completed = 0.0;
 
-	/* The current slot is left out: it has counted only part of its time. */
+	/* The current slot is left out because its time is not over. */
 	for (int64_t i = 1; i < SKH_TARGET_POOL_RATE_SLOTS; i++) {
 		int64_t past_slot = slot - i;
 
@@ -354,7 +358,10 @@
 
 	target->failure_ratio += FAILURE_EWMA_GAIN * (1.0 - target->failure_ratio);
 	target->consecutive_failures++;
-	/* A server that fails some requests is used less; an unreachable one is not used at all. */
+	/*
+	 * A server that fails some requests is selected less often. One that is unreachable or
+	 * fails three requests in a row is avoided for a while.
+	 */
 	if (outcome == SKH_OUTCOME_UNREACHABLE || target->consecutive_failures > 2)
 		target->avoid_until_us = now_us + (AVOID_BASE_US << doublings);
 }
--- a/src/backends.h
+++ b/src/backends.h
@@ -39,8 +39,8 @@
 	bool listed;		  /* the server is in the roster */
 	uint32_t own_running;	  /* requests of this gateway in flight at the server */
 	uint32_t own_streaming;	  /* requests in flight whose response has begun */
-	int64_t busy_since_us;	  /* start of the time with requests in flight */
-	int64_t last_received_us; /* last response bytes */
+	int64_t busy_since_us;	  /* time since which requests have been in flight */
+	int64_t last_received_us; /* time of the last response bytes */
 	double expected_tokens;	  /* expected tokens of the requests in flight */
 	uint32_t peers_running;	  /* requests of the other gateways, by their reports */
 	double mean_latency_ms;
@@ -64,7 +64,7 @@
 	bool lock_step;
 	skh_group_breaker_t gate; /* circuit breaker of a lock-step group */
 	uint32_t max_connections;
-	int64_t typical_first_event_ms;		      /* up to the first event or the response */
+	int64_t typical_first_event_ms; /* time to the first event or the complete response */
 	double completed[SKH_TARGET_POOL_RATE_SLOTS]; /* successful requests by time slot */
 	int64_t completed_slot;			      /* newest time slot in @completed */
 };
@@ -76,7 +76,7 @@
 void skh_backends_free(skh_backends_t *backends);
 
 /**
- * skh_backends_sync() - updates the servers to the roster and the services to the routing table
+ * skh_backends_sync() - applies the roster to the servers and the routing table to the services
  * @roster: listed servers; NULL leaves the servers as they are
  * @routing: routing table; NULL leaves the services as they are
  *
@@ -104,7 +104,7 @@
 				     int64_t now_us);
 
 /**
- * skh_backends_set_slowdowns() - sets the slowdown of all listed and later servers
+ * skh_backends_set_slowdowns() - sets the slowdown of all servers, also of those listed later
  * @text: one line "address slowdown" per slow rank; all other servers get 1
  */
 void skh_backends_set_slowdowns(skh_backends_t *backends, const char *text);
@@ -132,7 +132,7 @@
 	SKH_OUTCOME_UNREACHABLE,
 	SKH_OUTCOME_FULL,	    /* the server rejected the request for lack of room */
 	SKH_OUTCOME_WRONG_INSTANCE, /* another instance responded at the address */
-	SKH_OUTCOME_CANCELED	    /* the caller disconnected; no verdict on the server */
+	SKH_OUTCOME_CANCELED /* the caller disconnected; the server's statistics stay as they are */
 } skh_outcome_t;
 
 /** struct skh_target_result - result of one request at a server */
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -23,7 +23,7 @@
 
 /** enum skh_header_name - HTTP headers that the gateway reads or sets */
 typedef enum skh_header_name {
-	SKH_HEADER_ATTEMPT_ID,	      /* id of one attempt of a request; echoed by the server */
+	SKH_HEADER_ATTEMPT_ID,	      /* caller's id of its attempt; echoed by the server */
 	SKH_HEADER_DEADLINE,	      /* milliseconds left until the deadline */
 	SKH_HEADER_LAST_EVENT,	      /* event after which a stream resumes */
 	SKH_HEADER_SIGNATURE,	      /* signature of the backend server that made the response */
@@ -57,7 +57,7 @@
 
 /** enum skh_engine_op - orders of a map switch */
 typedef enum skh_engine_op {
-	SKH_ENGINE_PREPARE, /* copy what the map needs */
+	SKH_ENGINE_PREPARE, /* copy the experts' weights that the map needs */
 	SKH_ENGINE_ARM,	    /* switch at the beginning of the pass */
 	SKH_ENGINE_DISARM,  /* cancel the switch */
 	SKH_ENGINE_HOLD,    /* do not begin the pass */
@@ -107,7 +107,7 @@
 	skh_server_t *(*read_server)(const char *id, skh_chunk_t text, skh_error_t *err);
 	bool (*read_report)(skh_chunk_t text, skh_engine_report_t *report, skh_error_t *err);
 	bool (*read_counts)(skh_chunk_t text, skh_engine_counts_t *counts, skh_error_t *err);
-	/* Parses the rank's part of the map in use: expert + 1 by [set][slot]; 0 for an empty slot. */
+	/* Parses the rank's part of the map in use: expert + 1 by [set][slot], 0 if empty. */
 	bool (*read_map)(skh_chunk_t text, uint32_t sets, uint32_t slots, uint32_t *map,
 			 int64_t *version, skh_error_t *err);
 	/* Returns the order as JSON; free with free(). */
--- a/src/engine.c
+++ b/src/engine.c
@@ -26,9 +26,9 @@
 	GMutex lock; /* guards the view and the queue */
 	skh_engine_view_t view;
 	GQueue orders; /* skh_backend_order_t, owned */
-	bool order_pending;
-	bool load_pending;
-	bool events_pending;
+	bool is_order_pending;
+	bool is_load_pending;
+	bool are_events_pending;
 	skh_buffer_t load_text;
 	skh_buffer_t events_text;
 	uint64_t transfer_count; /* number of transfers so far */
@@ -56,7 +56,7 @@
 	json_int_t sequence = json_integer_value(json_object_get(event, "seq"));
 	const char *kind = json_string_value(json_object_get(event, "event"));
 
-	/* Ignores events that were applied before or have no sequence number. */
+	/* Ignores events that were applied before or lack a sequence number or a kind. */
 	if (sequence <= 0 || (uint64_t)sequence < view->next_event || !kind)
 		return;
 	view->events_missed += (uint64_t)sequence - view->next_event;
@@ -107,21 +107,21 @@
 
 static void finish_load_report(skh_engine_t *engine, bool succeeded)
 {
-	engine->load_pending = false;
+	engine->is_load_pending = false;
 	if (succeeded && skh_engine_read_load(skh_buffer_chunk(&engine->load_text), &engine->view))
 		engine->view.reported_at_us = skh_clock_now_us();
 }
 
 static void finish_events(skh_engine_t *engine, bool succeeded)
 {
-	engine->events_pending = false;
+	engine->are_events_pending = false;
 	if (succeeded)
 		(void)skh_engine_read_events(skh_buffer_chunk(&engine->events_text), &engine->view);
 }
 
 static void finish_order(skh_engine_t *engine, bool succeeded)
 {
-	engine->order_pending = false;
+	engine->is_order_pending = false;
 	if (succeeded)
 		engine->view.orders_done++;
 	else
@@ -156,14 +156,14 @@
 	if (now_us < engine->next_report_us)
 		return;
 	engine->next_report_us = now_us + REPORT_INTERVAL_US;
-	if (!engine->load_pending) {
-		engine->load_pending = true;
+	if (!engine->is_load_pending) {
+		engine->is_load_pending = true;
 		skh_buffer_clear(&engine->load_text);
 		ops->request_load_report(engine->backend, engine->fetch,
 					 next_transfer_id(engine, TRANSFER_LOAD), now_us);
 	}
-	if (!engine->events_pending) {
-		engine->events_pending = true;
+	if (!engine->are_events_pending) {
+		engine->are_events_pending = true;
 		skh_buffer_clear(&engine->events_text);
 		ops->request_cache_events(engine->backend, engine->fetch,
 					  next_transfer_id(engine, TRANSFER_EVENTS),
@@ -177,10 +177,10 @@
 	skh_backend_order_t *order = NULL;
 
 	g_mutex_lock(&engine->lock);
-	if (!engine->order_pending)
+	if (!engine->is_order_pending)
 		order = g_queue_pop_head(&engine->orders);
 	if (order)
-		engine->order_pending = true;
+		engine->is_order_pending = true;
 	g_mutex_unlock(&engine->lock);
 	if (order)
 		engine->backend->ops->send_backend_order(engine->backend, engine->fetch,
--- a/src/engine.h
+++ b/src/engine.h
@@ -45,7 +45,7 @@
 /** skh_engine_get_view() - copies the engine's state into @view; from any thread */
 void skh_engine_get_view(skh_engine_t *engine, skh_engine_view_t *view);
 
-/** skh_engine_enqueue_order() - queues a copy of @order, sent in queue order; from any thread */
+/** skh_engine_enqueue_order() - queues a copy of @order, first in first out; from any thread */
 void skh_engine_enqueue_order(skh_engine_t *engine, const skh_backend_order_t *order);
 
 /**
--- a/src/engine_client.c
+++ b/src/engine_client.c
@@ -68,12 +68,12 @@
 	finish_call(call, (int32_t)response->parser.status_code);
 }
 
-static void on_upstream_error(void *context, skh_upstream_error_t error, bool handed_over)
+static void on_upstream_error(void *context, skh_upstream_error_t error, bool request_written)
 {
 	call_t *call = context;
 
 	(void)error;
-	(void)handed_over;
+	(void)request_written;
 	call->upstream = NULL;
 	finish_call(call, 0);
 }
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -43,8 +43,8 @@
 
 /**
  * skh_engine_client_get() - send GET @path
- * @timeout_us: limit on the whole call, rounded down to milliseconds
- * @tag: passed to @fn, to tell calls apart
+ * @timeout_us: time limit of the call, rounded down to milliseconds
+ * @tag: passed to @fn, to distinguish calls
  * @fn: called once after the return of skh_engine_client_get(), unless the client is
  *	freed before the call ends; NULL ignores the result
  * @context: passed to @fn
--- a/src/feed.c
+++ b/src/feed.c
@@ -28,7 +28,7 @@
 	uint64_t notice_changes;  /* counted from 1; guarded by the lock */
 	/* Used by the feed's thread alone: */
 	skh_roster_builder_t *builder;
-	int64_t read_revision; /* revision up to which changes were read; 0 for a full read */
+	int64_t read_revision; /* revision read so far; 0 when a full read is due */
 	int64_t config_revision;
 	int64_t last_response_us; /* boot clock; 0 before the first response */
 	int64_t recovered_us;	  /* end of the store's last outage; 0 for none */
@@ -206,7 +206,7 @@
 		feed->roster_changed = true;
 }
 
-/* Before a full read: notices deleted meanwhile are no longer in the store. */
+/* Called before a full read, which can't show which notices were deleted since the last poll. */
 static void clear_rank_notices(skh_feed_t *feed)
 {
 	g_mutex_lock(&feed->lock);
@@ -357,7 +357,7 @@
 			continue;
 		}
 		publish(feed, previous_revision);
-		/* The board, now published, was current when the poll started. */
+		/* Set only after publishing: now the board is as new as the store at poll start. */
 		if (feed->read_revision != 0)
 			__atomic_store_n(&feed->fresh_as_of_us, poll_started_us, __ATOMIC_RELEASE);
 		renew_registration(feed);
--- a/src/feed.h
+++ b/src/feed.h
@@ -11,8 +11,8 @@
  * functions below may be called from any thread. Times are microseconds of the
  * boot clock.
  *
- * A single rate-limited long poll covers all keys, because every store call has
- * a price and the list of servers changes several times a second. Failed calls
+ * A single rate-limited long poll covers all keys, because the store charges for
+ * each call and the list of servers changes several times a second. Failed calls
  * are retried with a jittered exponential backoff; the last state stays in use.
  */
 
@@ -60,7 +60,7 @@
 
 /**
  * skh_feed_get_gateways() - returns the addresses of the other gateways after a change
- * @last_change: in: the change that the caller has read last, 0 at first; out: the newest change
+ * @last_change: change counter; in: from the previous call, 0 at first; out: the current one
  * Return: texts "address:port", to be freed with g_ptr_array_unref(); NULL when unchanged.
  */
 GPtrArray *skh_feed_get_gateways(skh_feed_t *feed, uint64_t *last_change);
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -18,7 +18,7 @@
 
 /**
  * skh_fleet_read_members() - reads the platform's list of instances from the store
- * @instances_prefix: leading part of the keys of instances
+ * @instances_prefix: prefix of the keys of instances
  * Return: the list, to be freed with skh_instances_free(); NULL with @err.
  */
 skh_instances_t *skh_fleet_read_members(skh_store_t *store, const char *instances_prefix,
--- a/src/gossip.c
+++ b/src/gossip.c
@@ -16,16 +16,19 @@
 #define DATAGRAM_OVERHEAD_BYTES 42 /* Ethernet, IP and UDP headers */
 #define MIN_INTERVAL_US		(80 * SKH_US_PER_MS)
 #define MAX_INTERVAL_US		(1 * SKH_US_PER_S)
-/* A gateway that sends nothing for this long has stopped, or its requests have ended. */
+/*
+ * Age at which a report is dropped: its sender has stopped, or the requests that it counted have
+ * ended. A running gateway sends a report at least every MAX_INTERVAL_US.
+ */
 #define REPORT_EXPIRY_US   (2500 * SKH_US_PER_MS)
 #define MAX_SERVERS	   400
 #define MAX_CRASH_SUSPECTS 16
-#define SUSPECT_REPORTS	   8   /* reports that carry one suspect, as reports may be lost */
+#define SUSPECT_REPORTS	   8   /* limit on the reports that carry one suspect; some may be lost */
 #define MAX_RUNNING	   255 /* one byte per server in the report */
 #define MAX_REPORT_BYTES   4096
 
 typedef struct peer_report {
-	uint64_t number;
+	uint64_t number; /* sequence number of the report */
 	int64_t received_us;
 	GHashTable *running; /* hash of the server id -> requests in flight */
 } peer_report_t;
@@ -33,7 +36,7 @@
 typedef struct crash_suspect {
 	uint64_t content;
 	uint64_t crash;
-	uint32_t reports_left; /* number of reports still to carry the suspect */
+	uint32_t reports_left; /* limit on the further reports that carry the suspect */
 } crash_suspect_t;
 
 struct skh_gossip {
@@ -44,7 +47,7 @@
 	GArray *peers;	     /* struct sockaddr_in */
 	GHashTable *reports; /* sender -> peer_report_t */
 	int64_t next_send_us;
-	uint64_t last_sent_hash; /* hash of the report last sent */
+	uint64_t last_sent_hash; /* see hash_report() */
 	int64_t last_sent_us;
 	crash_suspect_t suspects[MAX_CRASH_SUSPECTS];
 };
@@ -248,6 +251,7 @@
 	}
 }
 
+/* Hashes what shows a change: servers, their counts and the number of crash suspects. */
 static uint64_t hash_report(const outgoing_report_t *outgoing)
 {
 	uint64_t hash =
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -30,11 +30,11 @@
  * skh_gossip_set_peers() - replaces the list of the other gateways
  * @peers: texts "address:port"; ownership passes to the function
  *
- * Datagrams from the IP address of any other host are ignored.
+ * Datagrams from IP addresses that are not in @peers are ignored; ports are not compared.
  */
 void skh_gossip_set_peers(skh_gossip_t *gossip, GPtrArray *peers);
 
-/** skh_gossip_count_peers() - returns the number of known gateways without this one */
+/** skh_gossip_count_peers() - returns the number of known gateways, not counting this one */
 uint32_t skh_gossip_count_peers(const skh_gossip_t *gossip);
 
 /** skh_gossip_tick() - sends a report when one is due and drops reports that are too old */
--- a/src/peers.c
+++ b/src/peers.c
@@ -162,6 +162,7 @@
 
 bool skh_peers_schedule_hello(skh_peers_t *peers, skh_peer_t *peer, int64_t now_us)
 {
+	/* No frame has arrived for longer than HELLO_BUSY_INTERVAL_US. */
 	bool is_silent = now_us + HELLO_BUSY_INTERVAL_US > peer->silence_deadline_us -
 								   SILENCE_TIMEOUT_US +
 								   2 * HELLO_BUSY_INTERVAL_US;
@@ -174,11 +175,11 @@
 		peer->next_hello_us = now_us + HELLO_BUSY_INTERVAL_US;
 	else
 		peer->next_hello_us = now_us + idle_interval_us(peers);
-	/* Running requests send frames, so a reachable busy sidecar gets a hello only when silent. */
+	/* A busy sidecar sends frames anyway, so a reachable one gets a hello only when silent. */
 	return !peer->reachable || peer->own_in_flight == 0 || is_silent;
 }
 
-/* Adds the entry's requests that began, less those that ended, since the last status. */
+/* Corrects the last status by the entry's requests that began or ended since, which it lacks. */
 uint32_t skh_peers_estimate_load(const skh_peer_t *peer)
 {
 	int64_t reported_load = (int64_t)peer->running + peer->queued;
--- a/src/peers.h
+++ b/src/peers.h
@@ -4,10 +4,10 @@
 /**
  * DOC: Peers
  *
- * Table of the sidecars as one entry sees them: the platform's listing, the
- * last status of each sidecar, and the requests that the entry has in flight
- * there. Pure state without I/O: callers pass the current time in microseconds.
- * The owner serialises calls.
+ * Table of the sidecars as one entry sees them: the platform's list of
+ * instances, the last status of each sidecar, and the requests that the entry
+ * has in flight there. Pure state without I/O: callers pass the current time in
+ * microseconds. The owner serialises calls.
  */
 
 #include "instances.h"
@@ -36,7 +36,7 @@
 	int64_t reported_clock_us;   /* the sidecar's clock in its last status */
 	int64_t last_received_us;    /* local clock when the last status arrived */
 	int64_t next_hello_us;	     /* time at which the next hello is due */
-	int64_t silence_deadline_us; /* lost when silent until then with requests in flight */
+	int64_t silence_deadline_us; /* when a silent sidecar with requests counts as lost */
 	uint32_t running;
 	uint32_t queued;
 	uint32_t capacity;
@@ -57,7 +57,7 @@
 skh_peer_t *skh_peers_find(const skh_peers_t *peers, const char *id);
 
 /**
- * skh_peers_sync() - updates the table to the platform's list of instances
+ * skh_peers_sync() - makes the table match the platform's list of instances
  * @instances: all instances; only sidecars are added
  *
  * A sidecar that is no longer listed is removed once nothing is in flight there.
@@ -76,7 +76,7 @@
 			    int64_t now_us);
 
 /**
- * skh_peers_schedule_hello() - schedules the next hello when one is due
+ * skh_peers_schedule_hello() - when a hello is due, schedules the next one
  * Return: true when a hello must be sent to @peer now.
  */
 bool skh_peers_schedule_hello(skh_peers_t *peers, skh_peer_t *peer, int64_t now_us);
--- a/src/roster.h
+++ b/src/roster.h
@@ -30,10 +30,10 @@
 	char *host; /* IP address */
 	uint16_t port;
 	char *failure_domain;
-	uint32_t slots;		  /* requests that the server runs concurrently */
+	uint32_t slots;		  /* maximum number of concurrent requests */
 	bool leaving;		  /* gets no new requests */
 	int64_t started_unix_ms;  /* Unix time of the server's start; 0 when unknown */
-	int64_t grace_expires_us; /* end of use after the entry expired; 0 while listed */
+	int64_t grace_expires_us; /* removal time once the entry may have expired; 0 while listed */
 } skh_server_t;
 
 /** struct skh_roster - snapshot of the backend servers, sorted by id */
--- a/test/platform_test.cc
+++ b/test/platform_test.cc
@@ -17,14 +17,14 @@
 
 struct Counts {
 	skh_engine_counts_t counts = {};
-	bool read;
+	bool is_valid;
 
 	explicit Counts(const std::string &text)
 	{
 		skh_error_t err;
 
-		read = find_dialect()->read_counts(skh_chunk_make(text.data(), text.size()),
-						   &counts, &err);
+		is_valid = find_dialect()->read_counts(skh_chunk_make(text.data(), text.size()),
+						       &counts, &err);
 	}
 	~Counts()
 	{
@@ -36,7 +36,7 @@
 {
 	Counts by_set(R"({"step":812,"epoch":3,"counts":[[5120,88],[940,0.5]]})");
 
-	ASSERT_TRUE(by_set.read);
+	ASSERT_TRUE(by_set.is_valid);
 	EXPECT_EQ(by_set.counts.pass, 812);
 	EXPECT_EQ(by_set.counts.epoch, 3);
 	ASSERT_EQ(by_set.counts.n, 4U);
@@ -46,7 +46,7 @@
 	// One list for all sets, among unknown fields.
 	Counts flat(R"({"counts":[1,2,3],"other":[7,[8]],"step":4,"epoch":1,"x":{"y":9}})");
 
-	ASSERT_TRUE(flat.read);
+	ASSERT_TRUE(flat.is_valid);
 	EXPECT_EQ(flat.counts.n, 3U);
 	EXPECT_EQ(flat.counts.pass, 4);
 }
@@ -57,7 +57,7 @@
 				  R"({"counts":[1,2]} and more)", "\xff\xfe" }) {
 		Counts counts(text);
 
-		EXPECT_FALSE(counts.read) << text;
+		EXPECT_FALSE(counts.is_valid) << text;
 		EXPECT_EQ(counts.counts.counts, nullptr) << text;
 	}
 }
