--- a/src/backend.h
+++ b/src/backend.h
@@ -7,8 +7,8 @@
  * The HTTP protocol between a sidecar and its backend server, behind a vtable:
  * one implementation for model engines (the OpenAI API plus resume, cancel and
  * orders) and one for plain services. All calls run on the sidecar's event loop
- * thread. They only start transfers; results and errors arrive through the
- * callbacks of the skh_fetch_t.
+ * thread and do not block: a request is only started, and its result or error
+ * arrives through the callbacks of the skh_fetch_t.
  */
 
 #include "buffer.h"
@@ -27,7 +27,7 @@
 typedef struct skh_response_parser {
 	bool is_stream;		    /* the response is an event stream */
 	bool end_marker_seen;	    /* the protocol's end marker has arrived */
-	skh_buffer_t partial_event; /* start of an event that is not complete yet */
+	skh_buffer_t partial_event; /* start of an event that is not complete yet; owned */
 } skh_response_parser_t;
 
 typedef enum skh_backend_order_kind {
@@ -49,16 +49,16 @@
 /**
  * struct skh_backend_ops - operations that a protocol implements
  *
- * @fetch carries out the transfers, @id is the number of the new transfer, and
- * times are monotonic microseconds.
+ * @fetch carries out the transfers, @id is the id of the new transfer, and times
+ * are in microseconds on the monotonic clock.
  */
 typedef struct skh_backend_ops {
-	/* Send one attempt's request; its transfer has the attempt's number. */
+	/* Send one attempt's request; the id of its transfer is the attempt's id. */
 	void (*start)(skh_backend_t *backend, skh_fetch_t *fetch, const Skh__Start *start,
 		      int64_t deadline_us, int64_t now_us);
 	/*
 	 * Append to @out what may be forwarded now, keeping back an incomplete
-	 * event; returns the number of complete events appended.
+	 * event; returns the number of events appended, not counting the end marker.
 	 */
 	uint32_t (*parse_chunk)(skh_response_parser_t *parser, const char *content_type,
 				skh_chunk_t chunk, skh_buffer_t *out);
@@ -67,7 +67,10 @@
 	/* Make the backend server stop work on @attempt, whose transfer was closed. */
 	void (*cancel)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t attempt, uint64_t id,
 		       int64_t now_us);
-	/* Send one step of a map switch to the engine; NULL if the protocol has no orders. */
+	/*
+	 * Send one step of a map switch to the engine; @placement is the new map as
+	 * JSON, or "" for none. NULL if the protocol has no orders.
+	 */
 	void (*send_map_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 			       const skh_order_t *order, const char *placement, int64_t now_us);
 	/* Load a model or adapter, or change role; NULL if the protocol has no orders. */
@@ -76,12 +79,12 @@
 	/* Request the load report; NULL if the protocol has none. */
 	void (*request_load_report)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 				    int64_t now_us);
-	/* Request cache events, starting at sequence number @from. */
+	/* Request cache events from sequence number @from on; NULL if the protocol has none. */
 	void (*request_cache_events)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 				     uint64_t from, int64_t now_us);
 } skh_backend_ops_t;
 
-/** struct skh_backend - base of every implementation, as its first member */
+/** struct skh_backend - a backend server; first member of an implementation with more state */
 struct skh_backend {
 	const skh_backend_ops_t *ops;
 	char *url; /* base URL, owned */
--- a/src/batch.c
+++ b/src/batch.c
@@ -50,7 +50,10 @@
 	}
 }
 
-/* Compares the stored values with the pending writes; a retryable write stays pending. */
+/*
+ * Sets pending writes to done or conflict according to the stored values. A write whose key still
+ * has the expected revision stays pending.
+ */
 static void resolve_pending(skh_write_t *writes, size_t n_writes, const skh_kv_pairs_t *pairs)
 {
 	for (size_t i = 0; i < n_writes; i++) {
@@ -84,7 +87,10 @@
 	return true;
 }
 
-/* Returns false when neither the transaction nor a read-back succeeded, so retrying is useless. */
+/*
+ * Returns false when no further round is to be tried now: the transaction failed without effect, or
+ * its outcome is unknown and reading back failed.
+ */
 static bool run_round(skh_store_t *store, skh_write_t *writes, size_t n_writes,
 		      const round_t *round, skh_error_t *err)
 {
@@ -130,7 +136,10 @@
 		if (!can_retry)
 			break;
 	}
-	/* After a round of unknown outcome, any pending write may have been stored. */
+	/*
+	 * After a round of unknown outcome, any pending write may have been stored. Writes that are
+	 * still pending after the last round are reported in the same way.
+	 */
 	if (has_unknown_outcome || err.kind == SKH_OK)
 		(void)skh_error_set(&err, SKH_STORE_UNKNOWN,
 				    "could not determine whether the write was stored");
--- a/src/batch.h
+++ b/src/batch.h
@@ -6,10 +6,10 @@
  *
  * Commits many independent compare-and-swap writes in one transaction of the
  * key-value service. A write whose comparison fails does not fail the others.
- * When the response to a transaction is lost, the keys are read back: each
- * value is unique to its writer, so a stored value that equals a write's value
- * proves that the write was done. The caller owns the writes; calls block
- * their thread.
+ * When the response to a transaction is lost, the keys are read back: no other
+ * writer stores the same value, so a stored value that equals a write's value
+ * proves that the write was done. The caller owns the writes; calls block the
+ * calling thread.
  */
 
 #include "store.h"
@@ -30,7 +30,7 @@
 /** struct skh_write - one write of a batch; the keys of a batch are distinct */
 typedef struct skh_write {
 	const char *key;
-	const char *value;	   /* unique to this write */
+	const char *value;	   /* stored by no other writer */
 	int64_t expected_revision; /* required mod revision of the key; 0 if it must be absent */
 	int64_t lease_id;
 	skh_write_state_t state;
--- a/src/claim.c
+++ b/src/claim.c
@@ -95,11 +95,11 @@
 }
 
 skh_claim_decision_t skh_claim_decide(const skh_claim_t *found, const char *owner,
-				      uint64_t body_hash)
+				      uint64_t request_hash)
 {
 	if (strcmp(found->owner, owner) == 0)
 		return SKH_CLAIM_DECISION_OWN_CLAIM;
-	if (found->body_hash != body_hash)
+	if (found->body_hash != request_hash)
 		return SKH_CLAIM_DECISION_KEY_REUSED;
 	switch (found->state) {
 	case SKH_CLAIM_DONE:
--- a/src/claim.h
+++ b/src/claim.h
@@ -20,21 +20,21 @@
 #endif
 
 #define SKH_CLAIM_MAX_KEY_AGE_MS     ((int64_t)24 * 3600 * 1000)
-#define SKH_CLAIM_MAX_CLOCK_SKEW_MS  ((int64_t)5 * 60 * 1000)
+#define SKH_CLAIM_MAX_CLOCK_SKEW_MS  ((int64_t)5 * 60 * 1000) /* of a key's timestamp */
 #define SKH_CLAIM_MAX_RESPONSE_BYTES (64U << 10) /* longest response that is recorded */
 
 typedef enum skh_claim_state {
 	SKH_CLAIM_CLAIMED, /* the request may be running or may have run */
-	SKH_CLAIM_DONE,	   /* the request ran; the record has its response */
+	SKH_CLAIM_DONE,	   /* the request ran; its response is recorded unless it was too long */
 	SKH_CLAIM_NOT_RUN  /* the owner states that the request did not and will not run */
 } skh_claim_state_t;
 
 /** struct skh_claim - one record; owns its texts, clear with skh_claim_clear() */
 typedef struct skh_claim {
 	skh_claim_state_t state;
-	char *owner; /* attempt that wrote the record */
-	uint64_t body_hash;
-	int32_t status; /* HTTP status of the response */
+	char *owner;	    /* attempt that wrote the record */
+	uint64_t body_hash; /* skh_wire_hash_request() of the request */
+	int32_t status;	    /* HTTP status of the response */
 	char *content_type;
 	skh_buffer_t response;
 	bool has_response; /* false if the response was too long to record */
@@ -55,23 +55,23 @@
  */
 bool skh_claim_decode(const char *text, skh_claim_t *claim, skh_error_t *err);
 
-/** enum skh_claim_decision - what a request may do given an existing record */
+/** enum skh_claim_decision - what an attempt may do given an existing record */
 typedef enum skh_claim_decision {
-	SKH_CLAIM_DECISION_OWN_CLAIM,	    /* the request itself wrote the record */
+	SKH_CLAIM_DECISION_OWN_CLAIM,	    /* the attempt itself wrote the record */
 	SKH_CLAIM_DECISION_REPLACE,	    /* nothing ran: the record may be replaced */
 	SKH_CLAIM_DECISION_REPLAY,	    /* return the recorded response */
 	SKH_CLAIM_DECISION_OUTCOME_UNKNOWN, /* another attempt may be running or have run */
-	SKH_CLAIM_DECISION_KEY_REUSED	    /* the key was used with another body */
+	SKH_CLAIM_DECISION_KEY_REUSED	    /* the key was used with another request */
 } skh_claim_decision_t;
 
 /**
- * skh_claim_decide() - decide what a request may do
+ * skh_claim_decide() - decide what an attempt may do
  * @found: existing record of the request's key
  * @owner: attempt that wants to run the request
- * @body_hash: hash of the request
+ * @request_hash: skh_wire_hash_request() of the request
  */
 skh_claim_decision_t skh_claim_decide(const skh_claim_t *found, const char *owner,
-				      uint64_t body_hash);
+				      uint64_t request_hash);
 
 /**
  * skh_claim_check_key() - check that an idempotency key may be claimed
@@ -80,7 +80,8 @@
  * @err: SKH_BAD_REQUEST or SKH_KEY_EXPIRED
  *
  * A key older than SKH_CLAIM_MAX_KEY_AGE_MS is rejected, because its record may
- * have expired and the request could run twice.
+ * have expired and the request could run twice. A key whose timestamp is ahead
+ * by more than SKH_CLAIM_MAX_CLOCK_SKEW_MS is rejected, too.
  * Return: false with @err when the key is rejected.
  */
 bool skh_claim_check_key(const char *key, int64_t now_unix_ms, skh_error_t *err);
--- a/src/claim_writer.c
+++ b/src/claim_writer.c
@@ -97,7 +97,8 @@
 	g_mutex_unlock(&writer->lock);
 	if (write(writer->event_fd, &signal, sizeof(signal)) != (ssize_t)sizeof(signal))
 		skh_log(SKH_LOG_ERROR, PART,
-			"Signalling claim results failed; they wait for the next wake-up.",
+			"Signalling claim results failed; the event loop handles them when it next "
+			"wakes up.",
 			"errno=%d", errno);
 }
 
--- a/src/claim_writer.h
+++ b/src/claim_writer.h
@@ -6,10 +6,10 @@
  *
  * A thread of a sidecar that writes claim records in batches. Writes queue up
  * while a transaction is in flight and during a fixed interval after it, so
- * that several hundred transactions a second carry thousands of claims. Records
- * are attached to leases that are granted once per period and never renewed, so
- * that they expire without a delete for each. The other functions are called
- * from the sidecar's event loop thread.
+ * that several hundred transactions a second, of all sidecars together, carry
+ * thousands of claims. Records are attached to leases that are granted once per
+ * period and never renewed, so that they expire without a delete for each. The
+ * functions below are called from the sidecar's event loop thread.
  */
 
 #include "batch.h"
@@ -44,7 +44,7 @@
  * skh_claim_writer_submit() - queue one compare-and-swap write
  * @id: returned in the result
  * @key: store key; copied
- * @value: unique to this write; copied
+ * @value: stored by no other writer; copied
  * @expected_revision: required mod revision of @key; 0 if it must be absent
  */
 void skh_claim_writer_submit(skh_claim_writer_t *writer, uint64_t id, const char *key,
@@ -56,8 +56,8 @@
 /**
  * skh_claim_writer_poll_result() - next result; does not block
  *
- * Return: a result that the caller frees, or NULL when there is none, which
- * also resets skh_claim_writer_fd().
+ * Return: a result that the caller frees, or NULL when there is none. In that
+ * case the descriptor is also reset, so that it is not readable.
  */
 skh_claim_result_t *skh_claim_writer_poll_result(skh_claim_writer_t *writer);
 void skh_claim_result_free(skh_claim_result_t *result);
--- a/src/frame_sender.h
+++ b/src/frame_sender.h
@@ -5,9 +5,10 @@
  * DOC: Frame sender
  *
  * Builds the frames that a sidecar sends to entries; each function sends one.
- * Every frame carries the revision of the active configuration and every frame
- * except Data the sidecar's status. All calls run on the sidecar's event loop
- * thread and do not block. A frame to an entry that is not connected is dropped.
+ * Every frame contains the revision of the active configuration, and every frame
+ * except Data also contains the sidecar's status. All calls run on the sidecar's
+ * event loop thread and do not block. A frame to an entry that is not connected
+ * is dropped.
  */
 
 #include "board.h"
@@ -26,7 +27,7 @@
 	skh_board_t *board;
 	skh_sidecar_link_t *port;
 	skh_gate_t *gate;
-	uint64_t incarnation; /* random number of this sidecar process */
+	uint64_t incarnation; /* random id of this sidecar process */
 	skh_engine_t *engine; /* NULL if the backend server sends no load reports */
 } skh_frame_sender_t;
 
@@ -36,12 +37,12 @@
 /**
  * skh_frame_sender_send_rejected() - report that an attempt did not start and never will
  * @entry: routing id of the entry
- * @err: reason; the entry may retry at its retry time, or after a default delay if that is 0
+ * @err: reason; the entry may retry at @err->retry_at_us, or after 1 s if that is 0
  */
 void skh_frame_sender_send_rejected(const skh_frame_sender_t *sender, const char *entry,
 				    uint64_t attempt, const skh_error_t *err);
 
-/** skh_frame_sender_send_started() - report that the backend server was sent @attempt */
+/** skh_frame_sender_send_started() - report that @attempt was sent to the backend server */
 void skh_frame_sender_send_started(const skh_frame_sender_t *sender, const char *entry,
 				   uint64_t attempt);
 
@@ -50,7 +51,7 @@
 				Skh__Data *data);
 
 /**
- * struct skh_attempt_result - result of an attempt that was started
+ * struct skh_attempt_result - result of an attempt that was not rejected
  * @n_data_frames: data frames sent for the attempt
  * @err: NULL when the response is complete
  * @replayed: the response was recorded by an earlier run
--- a/src/http.c
+++ b/src/http.c
@@ -51,7 +51,7 @@
 	return 1;
 }
 
-/* Responds with problem+json also to requests that CivetWeb rejects, such as oversize headers. */
+/* Sends problem+json for requests that CivetWeb rejects, such as those with oversize headers. */
 static int respond_to_library_error(struct mg_connection *connection, int status,
 				    const char *message)
 {
@@ -69,7 +69,8 @@
 	if (kind == SKH_BAD_REQUEST)
 		message = "the request is malformed, or its headers are over " MAX_HEADERS_BYTES
 			  " bytes";
-	(void)skh_error_set(&err, kind, "%s", message && *message ? message : "refused");
+	(void)skh_error_set(&err, kind, "%s",
+			    message && *message ? message : "no cause was reported");
 	err.run_state = SKH_RUN_NOT_RUN;
 	skh_http_disable_keep_alive(&request);
 	skh_http_respond_problem(&request, &err);
@@ -90,18 +91,19 @@
 						struct mg_callbacks *callbacks,
 						skh_http_server_t *server)
 {
-	pthread_attr_t old;
-	pthread_attr_t sized;
+	pthread_attr_t default_attr;
+	pthread_attr_t stack_size_attr;
 	struct mg_context *context;
 
-	(void)pthread_getattr_default_np(&old);
-	(void)pthread_attr_init(&sized);
-	(void)pthread_attr_setstacksize(&sized, (size_t)options->stack_kib * BYTES_PER_KIB);
-	(void)pthread_setattr_default_np(&sized);
+	(void)pthread_getattr_default_np(&default_attr);
+	(void)pthread_attr_init(&stack_size_attr);
+	(void)pthread_attr_setstacksize(&stack_size_attr,
+					(size_t)options->stack_kib * BYTES_PER_KIB);
+	(void)pthread_setattr_default_np(&stack_size_attr);
 	context = mg_start(callbacks, server, civetweb_options);
-	(void)pthread_setattr_default_np(&old);
-	(void)pthread_attr_destroy(&sized);
-	(void)pthread_attr_destroy(&old);
+	(void)pthread_setattr_default_np(&default_attr);
+	(void)pthread_attr_destroy(&stack_size_attr);
+	(void)pthread_attr_destroy(&default_attr);
 	return context;
 }
 
@@ -263,7 +265,7 @@
 	json_decref(problem);
 }
 
-/* Seconds until the retry time, rounded up so that the client does not retry too early. */
+/* The delay is rounded up to seconds, so that the client does not retry too early. */
 static void add_retry_after(skh_http_request_t *request, const skh_error_t *err)
 {
 	int64_t delay_us = err->retry_at_us - skh_clock_now_us();
--- a/src/http.h
+++ b/src/http.h
@@ -60,7 +60,7 @@
  */
 bool skh_http_read_body(skh_http_request_t *request, skh_buffer_t *body, skh_error_t *err);
 
-/** skh_http_add_header() - add a header to the response; call before responding */
+/** skh_http_add_header() - add a header to the response to come; both texts are copied */
 void skh_http_add_header(skh_http_request_t *request, const char *name, const char *value);
 
 /** skh_http_respond() - send a complete response; false when the connection is closed */
@@ -74,8 +74,8 @@
 void skh_http_append_problem(const skh_error_t *err, skh_buffer_t *out);
 
 /*
- * A streamed response: begin, any number of writes, then end or abort. Each
- * returns false when the connection is closed.
+ * A streamed response: begin, any number of writes, then end or abort. The first
+ * three return false when the connection is closed.
  */
 bool skh_http_stream_begin(skh_http_request_t *request, int32_t status, const char *content_type);
 bool skh_http_stream_write(skh_http_request_t *request, skh_chunk_t bytes);
--- a/src/inbox.c
+++ b/src/inbox.c
@@ -39,7 +39,7 @@
 	g_mutex_unlock(&inbox->lock);
 }
 
-/* g_cond_wait_until() takes a time of the monotonic clock, as all deadlines here are. */
+/* g_cond_wait_until() uses the monotonic clock, like @deadline_us. */
 skh_attempt_event_t *skh_inbox_pop(skh_inbox_t *inbox, int64_t deadline_us)
 {
 	skh_attempt_event_t *event;
--- a/src/sidecar.c
+++ b/src/sidecar.c
@@ -37,12 +37,12 @@
 
 static bool is_marked_leaving(const sidecar_t *sidecar)
 {
-	const skh_instances_t *members = skh_board_acquire_instances(sidecar->board);
+	const skh_instances_t *instances = skh_board_acquire_instances(sidecar->board);
 	const skh_instance_t *self =
-		members ? skh_instances_find(members, sidecar->settings->id) : NULL;
+		instances ? skh_instances_find(instances, sidecar->settings->id) : NULL;
 	bool leaving = self && self->leaving;
 
-	skh_board_release(members);
+	skh_board_release(instances);
 	return leaving;
 }
 
@@ -56,12 +56,12 @@
 	return known;
 }
 
-static void begin_planned_stop(sidecar_t *sidecar, int64_t now_us)
+static void begin_stop_if_requested(sidecar_t *sidecar, int64_t now_us)
 {
 	if (skh_process_stop_requests() == 0 || sidecar->stop_deadline_us != 0)
 		return;
 	sidecar->stop_deadline_us = now_us + sidecar->settings->drain_ms * SKH_US_PER_MS;
-	skh_log(SKH_LOG_INFO, PART, "Planned stop began; attempts are draining.", "attempts=%zu",
+	skh_log(SKH_LOG_INFO, PART, "Planned stop begins.", "attempts=%zu",
 		skh_attempt_runner_attempt_count(sidecar->runner));
 }
 
@@ -85,7 +85,7 @@
 	if (now_us < sidecar->next_tick_us)
 		return;
 	sidecar->next_tick_us = now_us + TICK_US;
-	begin_planned_stop(sidecar, now_us);
+	begin_stop_if_requested(sidecar, now_us);
 	leaving = sidecar->stop_deadline_us != 0 || g_atomic_int_get(&sidecar->drain_requested) ||
 		  is_marked_leaving(sidecar);
 	skh_attempt_runner_tick(sidecar->runner, is_service_known(sidecar), leaving, now_us);
@@ -102,7 +102,7 @@
  * Returns true once the process may exit. Attempts that still run at the stop
  * deadline are failed, so that entries resume them elsewhere.
  */
-static bool finish_planned_stop(sidecar_t *sidecar)
+static bool finish_stop_if_due(sidecar_t *sidecar)
 {
 	if (sidecar->stop_deadline_us == 0)
 		return false;
@@ -114,7 +114,7 @@
 	return true;
 }
 
-static void dispatch_frame(sidecar_t *sidecar, const char *peer, Skh__Frame *frame)
+static void handle_frame(sidecar_t *sidecar, const char *peer, Skh__Frame *frame)
 {
 	bool is_order = frame->body_case == SKH__FRAME__BODY_ORDER ||
 			frame->body_case == SKH__FRAME__BODY_ORDER_REPLY;
@@ -133,11 +133,11 @@
 	char peer[SKH_SIDECAR_LINK_PEER_BYTES];
 	Skh__Frame *frame;
 
-	while (!finish_planned_stop(sidecar)) {
+	while (!finish_stop_if_due(sidecar)) {
 		tick(sidecar);
 		/* ZeroMQ's descriptor is edge-triggered, so all pending frames are read. */
 		while ((frame = skh_sidecar_link_receive(sidecar->link, peer)) != NULL)
-			dispatch_frame(sidecar, peer, frame);
+			handle_frame(sidecar, peer, frame);
 		skh_attempt_runner_poll(sidecar->runner, sidecar->next_tick_us);
 	}
 }
@@ -275,8 +275,7 @@
 		skh_log(SKH_LOG_INFO, PART, "Sidecar has stopped.", "id=%s", settings->id);
 		skh_admin_stop(admin);
 	} else {
-		skh_log(SKH_LOG_ERROR, PART, "Start of the sidecar failed; the process exits.",
-			"reason=%s", err.text);
+		skh_log(SKH_LOG_ERROR, PART, "Start failed.", "reason=%s", err.text);
 	}
 	close_sidecar(&sidecar);
 	return admin ? 0 : 1;
--- a/src/sidecar_link.c
+++ b/src/sidecar_link.c
@@ -72,7 +72,7 @@
 	return zmq_msg_recv(body, link->router, ZMQ_DONTWAIT) >= 0;
 }
 
-/* Discards message parts after the frame, which are not part of the protocol. */
+/* The protocol has one frame per message; any further message parts are discarded. */
 static void discard_extra_parts(skh_sidecar_link_t *link, zmq_msg_t *body)
 {
 	while (zmq_msg_more(body)) {
@@ -111,6 +111,7 @@
 	if (zmq_send(link->router, link->packed.data, link->packed.len, ZMQ_DONTWAIT) < 0)
 		return false;
 	skh_metrics_add(SKH_COUNT_FRAMES_OUT, 1);
+	/* A frame without a body carries only the status. */
 	if (frame->body_case == SKH__FRAME__BODY__NOT_SET)
 		skh_metrics_add(SKH_COUNT_CONTROL_BYTES_OUT, link->packed.len);
 	return true;
--- a/src/wire.h
+++ b/src/wire.h
@@ -5,10 +5,10 @@
  * DOC: Wire frames
  *
  * Packing and validated unpacking of the protobuf messages between processes
- * (proto/wire.proto). An unpacked frame is safe to use: its texts are present,
+ * (proto/wire.proto). An unpacked frame is safe to use: no text in it is NULL,
  * its sizes are bounded and its version is supported by this process. The
- * functions keep no state and may be called from any thread; a socket belongs to
- * its caller's thread.
+ * functions keep no state and may be called from any thread, those with a socket
+ * from the thread that owns it.
  */
 
 #include "buffer.h"
@@ -19,10 +19,11 @@
 extern "C" {
 #endif
 
-#define SKH_WIRE_VERSION	    1
-#define SKH_WIRE_MAX_FRAME_BYTES    (80U << 20)
-#define SKH_WIRE_MAX_NAME_BYTES	    256
-#define SKH_WIRE_LOCAL_TRANSFER_BIT (1ULL << 63) /* set in ids of a sidecar's own transfers */
+#define SKH_WIRE_VERSION	 1
+#define SKH_WIRE_MAX_FRAME_BYTES (80U << 20)
+#define SKH_WIRE_MAX_NAME_BYTES	 256
+#define SKH_WIRE_LOCAL_TRANSFER_BIT                                                                \
+	(1ULL << 63) /* set in a sidecar's own ids, clear in attempt ids */
 
 /** enum skh_phase - phase that a sidecar reports in its status */
 typedef enum skh_phase {
--- a/test/claim_test.cc
+++ b/test/claim_test.cc
@@ -197,9 +197,9 @@
 	EXPECT_TRUE(store.values.empty());
 }
 
-// Compares batches with a map of the reported winners: whichever responses or
-// transactions are lost, each key is won once, and the store holds the value
-// of the writer that was told it won.
+// Compares batches with a map of the writes that were reported as done:
+// whichever responses or transactions are lost, at most one write of each key
+// is reported as done, and conflicts and the store show the value of this write.
 RC_GTEST_PROP(Batch, EachKeyHasOneWinnerWhateverIsLost, ())
 {
 	FakeStore store;
--- a/test/wire_test.cc
+++ b/test/wire_test.cc
@@ -95,7 +95,7 @@
 		std::vector<uint8_t> prefix(packed.begin(),
 					    packed.begin() + static_cast<long>(len));
 
-		/* The version is packed first, so a prefix may be a frame without a body, but no Start. */
+		/* The version is packed first, so a prefix may unpack, but only without a body. */
 		skh_error_t err = {};
 		Skh__Frame *frame =
 			skh_wire_unpack(skh_chunk_make(prefix.data(), prefix.size()), &err);
@@ -106,7 +106,7 @@
 	}
 }
 
-TEST(Wire, RejectsOversizeNamesAndReservedNumbers)
+TEST(Wire, RejectsOversizeNamesAndReservedAttemptIds)
 {
 	StartFrame sent;
 	std::string name(SKH_WIRE_MAX_NAME_BYTES + 1, 'x');
