--- a/src/wire.h
+++ b/src/wire.h
@@ -22,8 +22,8 @@
 #define SKH_WIRE_VERSION	 1
 #define SKH_WIRE_MAX_FRAME_BYTES (80U << 20)
 #define SKH_WIRE_MAX_NAME_BYTES	 256
-#define SKH_WIRE_LOCAL_TRANSFER_BIT                                                                \
-	(1ULL << 63) /* set in a sidecar's own ids, clear in attempt ids */
+/* Set in the ids that a sidecar makes for its own use, clear in attempt ids. */
+#define SKH_WIRE_LOCAL_TRANSFER_BIT (1ULL << 63)
 
 /** enum skh_phase - phase that a sidecar reports in its status */
 typedef enum skh_phase {
