--- a/src/admin.c
+++ b/src/admin.c
@@ -152,7 +152,7 @@
 	if (!content) {
 		json_decref(json);
 		return skh_error_set(err, SKH_BAD_REQUEST,
-				     "the body must be a JSON object with a text \"content\"");
+				     "the body must be a JSON object with a string \"content\"");
 	}
 	was_suspect = call->admin->ops->clear_suspect(call->admin->context, content);
 	json_decref(json);
--- a/src/admin.h
+++ b/src/admin.h
@@ -5,9 +5,10 @@
  * DOC: Administration listener
  *
  * HTTP server for the health, readiness, metrics, status and configuration
- * routes of one process, on an address separate from the one for requests. Each
- * request is handled on a thread of the listener, several at a time, so the
- * functions of &skh_admin_ops_t must be safe to call concurrently.
+ * routes of one process. Its address is separate from the one that receives the
+ * customers' requests. The listener's threads handle several administration
+ * requests at a time, so the functions of &skh_admin_ops_t must be safe to call
+ * concurrently.
  */
 
 #include "access.h"
--- a/src/apply.c
+++ b/src/apply.c
@@ -6,17 +6,17 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define PARTS_PER_TXN 32
+#define MAX_PARTS_PER_TXN 32
 
 /* Inputs and intermediate results of one skh_apply_manifest() call. */
 typedef struct apply_state {
 	skh_store_t *store;
 	const char *prefix;
 	char *head_key;
-	skh_config_head_t *current; /* NULL before the first configuration */
-	int64_t head_mod_revision;
-	skh_config_head_t *next;
-	GHashTable *part_texts; /* hash -> text of the parts of @next */
+	skh_config_head_t *current; /* stored head; NULL before the first configuration */
+	int64_t head_mod_revision;  /* store revision of @current, compared by the swap */
+	skh_config_head_t *next;    /* head to write */
+	GHashTable *part_texts;	    /* hash -> text of the parts of @next */
 } apply_state_t;
 
 static bool read_head(apply_state_t *state, skh_config_head_t **head, int64_t *mod_revision,
@@ -103,7 +103,7 @@
 				g_strconcat(state->prefix, SKH_CONFIG_PARTS_PREFIX, hash, NULL));
 		g_ptr_array_add(values, text);
 		(*n_written)++;
-		if (keys->len < PARTS_PER_TXN)
+		if (keys->len < MAX_PARTS_PER_TXN)
 			continue;
 		if (!write_batch(state, keys, values, err))
 			return false;
--- a/src/cmd.c
+++ b/src/cmd.c
@@ -85,7 +85,7 @@
 int skh_cmd_sidecar(int argc, char **argv)
 {
 	return run_role(argc, argv, SKH_ROLE_SIDECAR,
-			"Run the process beside a backend server until SIGTERM.", skh_sidecar_main);
+			"Run the sidecar of a backend server until SIGTERM.", skh_sidecar_main);
 }
 
 int skh_cmd_gateway(int argc, char **argv)
--- a/src/cmd.h
+++ b/src/cmd.h
@@ -20,8 +20,8 @@
  * @argc: number of arguments, with the command's name
  * @argv: arguments; the first is the command's name
  * @table: argtable2 table of the command
- * @help: entry of @table for --help
- * @end: last entry of @table, which collects the errors
+ * @help: element of @table for --help
+ * @end: last element of @table, which collects the errors
  * @summary: one line that --help prints
  * @status: receives the exit status when the command must not run
  *
@@ -33,10 +33,10 @@
 		   struct arg_end *end, const char *summary, int *status);
 
 /**
- * skh_cmd_print_validation_errors() - print one line per error: FILE:LINE: KEY: REASON
+ * skh_cmd_print_validation_errors() - print the errors as FILE:LINE: KEY: REASON, by line
  * @out: stream to print to
  * @file: name of the validated file
- * @errors: errors to print; sorted by line
+ * @errors: errors to print; the function sorts the list
  */
 void skh_cmd_print_validation_errors(FILE *out, const char *file, skh_validation_errors_t *errors);
 
--- a/src/cmd_apply.c
+++ b/src/cmd_apply.c
@@ -41,24 +41,27 @@
 	return manifest;
 }
 
-static size_t count_at_revision(const skh_instances_t *instances, int64_t revision)
+static size_t count_with_min_revision(const skh_instances_t *instances, int64_t min_revision)
 {
 	json_t **statuses = skh_fleet_get_statuses(instances);
 	size_t count = 0;
 
 	for (size_t i = 0; i < instances->count; i++)
-		count += json_integer_value(json_object_get(statuses[i], "revision")) >= revision;
+		count += json_integer_value(json_object_get(statuses[i], "revision")) >=
+			 min_revision;
 	skh_fleet_free_statuses(statuses, instances->count);
 	return count;
 }
 
-/* Newest revision in force at any listed instance; 0 when no instance responds. */
+/*
+ * Returns the newest revision in force at any listed instance, or 0 when the list can't be read or
+ * no instance responds.
+ */
 static int64_t find_max_revision_in_force(skh_store_t *store, const char *instances_prefix)
 {
 	skh_error_t err;
 	skh_instances_t *instances = skh_fleet_read_members(store, instances_prefix, &err);
 	int64_t max_revision = 0;
-
 	json_t **statuses;
 
 	if (!instances)
@@ -80,7 +83,7 @@
 		skh_error_t err;
 		skh_instances_t *instances =
 			skh_fleet_read_members(store, options->instances_prefix, &err);
-		size_t count = instances ? count_at_revision(instances, revision) : 0;
+		size_t count = instances ? count_with_min_revision(instances, revision) : 0;
 		size_t total = instances ? instances->count : 0;
 
 		skh_instances_free(instances);
@@ -147,12 +150,12 @@
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_str *store = arg_str1(NULL, "store", "URL", "key-value service");
 	struct arg_int *base_revision = arg_int0(
-		NULL, "base", "REVISION", "refuse the change unless this revision is in force");
+		NULL, "base", "REVISION", "reject the change unless this is the accepted revision");
 	struct arg_int *wait_s =
 		arg_int0(NULL, "wait", "SECONDS", "how long to wait for all instances (30)");
 	struct arg_str *prefix = arg_str0(NULL, "prefix", "KEY", "key prefix of the system");
-	struct arg_str *instances =
-		arg_str0(NULL, "instances", "KEY", "key prefix of the platform's list");
+	struct arg_str *instances = arg_str0(NULL, "instances", "KEY",
+					     "key prefix of the platform's list of instances");
 	struct arg_file *file = arg_file1(NULL, NULL, "MANIFEST", "manifest to put in force");
 	struct arg_end *end = arg_end(6);
 	void *table[] = { store, base_revision, wait_s, prefix, instances, file, help, end };
--- a/src/cmd_status.c
+++ b/src/cmd_status.c
@@ -61,8 +61,8 @@
 {
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help");
 	struct arg_str *url = arg_str1(NULL, "store", "URL", "key-value service");
-	struct arg_str *prefix =
-		arg_str0(NULL, "instances", "KEY", "key prefix of the platform's list");
+	struct arg_str *prefix = arg_str0(NULL, "instances", "KEY",
+					  "key prefix of the platform's list of instances");
 	struct arg_end *end = arg_end(4);
 	void *table[] = { url, prefix, help, end };
 	int status = SKH_EXIT_OK;
--- a/src/config_admin.c
+++ b/src/config_admin.c
@@ -40,7 +40,7 @@
 		const skh_validation_error_t *first_error = skh_validation_errors_at(errors, 0);
 
 		(void)skh_error_set(err, SKH_CONFIG_INVALID,
-				    "the manifest has %zu faults; line %u: %s: %s",
+				    "the manifest has %zu validation errors; line %u: %s: %s",
 				    skh_validation_errors_count(errors), first_error->line,
 				    first_error->key, first_error->reason);
 	}
--- a/src/config_admin.h
+++ b/src/config_admin.h
@@ -4,10 +4,11 @@
 /**
  * DOC: Configuration API
  *
- * Operations of the administration that any entry serves for the whole system:
- * reading and applying the configuration, listing its history and reporting its
- * rollout. The module keeps no state; the key-value service stores everything.
- * The functions block their thread and may be called on several threads.
+ * Operations of the administration API that concern the whole system and that
+ * every entry serves: reading and applying the configuration, listing its
+ * history and reporting its rollout. The module keeps no state; the key-value
+ * service stores everything. The functions block their thread and may be called
+ * on several threads.
  */
 
 #include "access.h"
--- a/src/config_parts.c
+++ b/src/config_parts.c
@@ -61,7 +61,7 @@
 	}
 }
 
-static GHashTable *split_into_parts(const skh_doc_node_t *tree)
+static GHashTable *build_part_trees(const skh_doc_node_t *tree)
 {
 	GHashTable *trees = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_node);
 
@@ -83,7 +83,7 @@
 GHashTable *skh_config_parts_split(const skh_doc_node_t *tree, GHashTable *texts)
 {
 	GHashTable *parts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	g_autoptr(GHashTable) trees = split_into_parts(tree);
+	g_autoptr(GHashTable) trees = build_part_trees(tree);
 	GHashTableIter iter;
 	gpointer name;
 	gpointer part;
--- a/src/config_parts.h
+++ b/src/config_parts.h
@@ -32,7 +32,7 @@
 /**
  * skh_config_parts_split() - split a manifest into parts
  * @tree: tree of a valid manifest; borrowed
- * @texts: receives hash -> canonical JSON of each part; must own its texts
+ * @texts: receives hash -> canonical JSON of each part; must free its keys and values with g_free()
  *
  * Return: new hash table, part name -> hash.
  */
--- a/src/config_watcher.c
+++ b/src/config_watcher.c
@@ -21,8 +21,9 @@
 	skh_board_t *board;
 	skh_mirror_t *config_mirror;
 	skh_mirror_t *instances_mirror;
-	int64_t next_hint_read_us;
-	GHashTable *texts; /* hash -> text of the parts in force; used by @config_mirror's thread */
+	int64_t next_hint_read_us; /* hints of peers cause no read before this time */
+	/* hash -> text of the parts in force; used by @config_mirror's thread only */
+	GHashTable *texts;
 };
 
 skh_store_t *skh_settings_open_store(const skh_settings_t *settings)
@@ -70,7 +71,7 @@
 static bool collect_parts(skh_config_watcher_t *watcher, const skh_config_head_t *head,
 			  GHashTable *texts, skh_error_t *err)
 {
-	g_autoptr(GPtrArray) missing_hashes = g_ptr_array_new();
+	g_autoptr(GPtrArray) hashes_to_read = g_ptr_array_new();
 	GHashTableIter iter;
 	gpointer hash;
 
@@ -81,12 +82,12 @@
 		if (known_text)
 			g_hash_table_insert(texts, g_strdup(hash), g_strdup(known_text));
 		else
-			g_ptr_array_add(missing_hashes, hash);
+			g_ptr_array_add(hashes_to_read, hash);
 	}
-	for (size_t offset = 0; offset < missing_hashes->len; offset += MAX_PARTS_PER_READ) {
-		size_t n = MIN(missing_hashes->len - offset, MAX_PARTS_PER_READ);
+	for (size_t offset = 0; offset < hashes_to_read->len; offset += MAX_PARTS_PER_READ) {
+		size_t n = MIN(hashes_to_read->len - offset, MAX_PARTS_PER_READ);
 
-		if (!fetch_parts(watcher, (char *const *)&missing_hashes->pdata[offset], n, texts,
+		if (!fetch_parts(watcher, (char *const *)&hashes_to_read->pdata[offset], n, texts,
 				 err))
 			return false;
 	}
@@ -103,6 +104,7 @@
 	skh_doc_node_t *change;
 	skh_doc_node_t *tree;
 
+	/* The array holds the hashes; each is replaced by the text of its part. */
 	for (guint i = 0; i < n; i++)
 		part_texts[i] = g_hash_table_lookup(texts, part_texts[i]);
 	tree = skh_config_parts_merge((const char *const *)part_texts, n, err);
@@ -137,8 +139,8 @@
 		head->revision, head->author);
 }
 
-static bool apply_head(skh_config_watcher_t *watcher, const skh_config_head_t *head,
-		       skh_error_t *err)
+static bool put_in_force(skh_config_watcher_t *watcher, const skh_config_head_t *head,
+			 skh_error_t *err)
 {
 	GHashTable *texts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	skh_manifest_t *manifest = NULL;
@@ -185,7 +187,7 @@
 	/* A revision that is not newer is ignored, so that no process returns to an older one. */
 	if (head && head->revision > skh_board_config_revision(watcher->board)) {
 		sleep_read_jitter(watcher);
-		succeeded = apply_head(watcher, head, &err);
+		succeeded = put_in_force(watcher, head, &err);
 	}
 	if (!head || !succeeded) {
 		skh_metrics_add(SKH_COUNT_CONFIG_FAILED, 1);
--- a/src/manifest.c
+++ b/src/manifest.c
@@ -18,21 +18,23 @@
 	GArray *customers;
 	GArray *groups;
 	GArray *operators;
-	GHashTable *operator_index_by_hash; /* SHA-256 text -> index + 1 of the operator */
-	GHashTable *customer_index_by_hash; /* SHA-256 text -> index + 1 of the customer */
+	/* SHA-256 of a bearer key in hexadecimal -> index + 1 of the operator or customer */
+	GHashTable *operator_index_by_hash;
+	GHashTable *customer_index_by_hash;
 };
 
-#define TEXT(key, type, member, required)                                                          \
+#define TEXT(key, struct_type, member, required)                                                   \
 	{                                                                                          \
-		key, SKH_FIELD_TEXT, required, offsetof(type, member), 1, MAX_NAME_BYTES, NULL     \
+		key, SKH_FIELD_TEXT, required, offsetof(struct_type, member), 1, MAX_NAME_BYTES,   \
+			NULL                                                                       \
 	}
-#define TEXTS(key, type, member, required)                                                         \
+#define TEXTS(key, struct_type, member, required)                                                  \
 	{                                                                                          \
-		key, SKH_FIELD_TEXT_ARRAY, required, offsetof(type, member), 0, 0, NULL            \
+		key, SKH_FIELD_TEXT_ARRAY, required, offsetof(struct_type, member), 0, 0, NULL     \
 	}
-#define NUMBER(key, kind, type, member, required, min, max)                                        \
+#define NUMBER(key, field_type, struct_type, member, required, min, max)                           \
 	{                                                                                          \
-		key, kind, required, offsetof(type, member), min, max, NULL                        \
+		key, field_type, required, offsetof(struct_type, member), min, max, NULL           \
 	}
 
 static const char *const service_kinds[] = { "model", "plain", NULL };
@@ -106,7 +108,7 @@
 static const skh_operator_t operator_default = { .team = "" };
 static const skh_group_t group_default = { .service = "" };
 
-/* Schema of one repeated table of the manifest. */
+/* Schema of one array of tables of the manifest, such as [[service]]. */
 typedef struct collection {
 	const char *key;
 	const skh_field_t *fields;
@@ -175,7 +177,7 @@
 		return;
 	if (skh_doc_node_type(list) != SKH_DOC_NODE_ARRAY) {
 		skh_validation_errors_add(errors, skh_doc_node_line(list), collection->key,
-					  "expected repeated tables [[%s]]", collection->key);
+					  "expected an array of tables [[%s]]", collection->key);
 		return;
 	}
 	for (size_t i = 0; i < skh_doc_node_count(list); i++)
@@ -222,7 +224,10 @@
 	       strspn(text, "0123456789abcdef") == SKH_KEY_HASH_CHARS;
 }
 
-/* Maps each key hash of a customer or an operator to its index + 1. */
+/*
+ * Maps the key hashes of the customer or operator with number @index to @index + 1; a lookup
+ * returns 0 for an unknown hash. Adds an error for each hash that is malformed or listed twice.
+ */
 static void index_keys(GHashTable *index_by_hash, const skh_doc_node_t *hashes, size_t index,
 		       const char *error_key, skh_validation_errors_t *errors)
 {
--- a/src/manifest.h
+++ b/src/manifest.h
@@ -158,7 +158,7 @@
 const skh_customer_t *skh_manifest_customer_by_key(const skh_manifest_t *manifest,
 						   const char *bearer_key);
 
-/** skh_manifest_count_operators() - number of operators; 0 leaves the administration open */
+/** skh_manifest_count_operators() - number of operators; with 0, every action is allowed */
 size_t skh_manifest_count_operators(const skh_manifest_t *manifest);
 
 /** skh_manifest_operator_by_key() - operator that owns @bearer_key, or NULL */
--- a/src/mirror.c
+++ b/src/mirror.c
@@ -19,7 +19,7 @@
 	GMutex lock;
 	GCond wake;
 	bool is_stopping;
-	bool interrupt_watch;
+	bool interrupt_watch; /* ends the watch and the back-off */
 	bool callback_failed; /* @callback asked for another read */
 	GHashTable *pairs;    /* used by the mirror's thread only */
 	int64_t backoff_us;
@@ -33,7 +33,7 @@
 	if (!mirror->store->ops->range(mirror->store, mirror->prefix, true, &pairs, &err)) {
 		skh_metrics_add(SKH_COUNT_STORE_FAILED, 1);
 		skh_log(SKH_LOG_WARNING, PART,
-			"The key-value service did not answer a read; the last copy is kept.",
+			"A read from the key-value service failed; the last copy is kept.",
 			"prefix=%s reason=%s", mirror->prefix, err.text);
 		return false;
 	}
--- a/src/mirror.h
+++ b/src/mirror.h
@@ -42,7 +42,10 @@
 skh_mirror_t *skh_mirror_start(skh_store_t *store, const char *prefix, skh_mirror_fn callback,
 			       void *context);
 
-/** skh_mirror_refresh() - interrupt the watch or the back-off; all keys are read again */
+/**
+ * skh_mirror_refresh() - interrupt the watch or the back-off; all keys are read again
+ * @mirror: mirror whose copy is known to be out of date
+ */
 void skh_mirror_refresh(skh_mirror_t *mirror);
 
 /** skh_mirror_stop() - end the thread, wait for its end and free @mirror */
--- a/src/schema.h
+++ b/src/schema.h
@@ -51,7 +51,7 @@
 /** skh_validation_errors_count() - number of errors */
 size_t skh_validation_errors_count(const skh_validation_errors_t *errors);
 
-/** skh_validation_errors_at() - error number @index, sorted by line and key; sorts the list */
+/** skh_validation_errors_at() - sort the list by line and key and get error number @index */
 const skh_validation_error_t *skh_validation_errors_at(skh_validation_errors_t *errors,
 						       size_t index);
 
@@ -93,7 +93,8 @@
  * @line: line of a missing table
  * @fields: schema of the table
  * @n_fields: length of @fields
- * @base: struct to fill; members of absent or mistyped keys keep their values
+ * @base: struct to fill; a member keeps its value when its key is absent or the value has the wrong
+ *	type or is an unknown choice, but receives an out-of-range value
  * @errors: receives the validation errors
  */
 void skh_schema_read(const skh_doc_node_t *table, const char *path, uint32_t line,
