--- a/src/board.h
+++ b/src/board.h
@@ -28,7 +28,7 @@
 	SKH_BOARD_SECTION_COUNT
 } skh_board_section_t;
 
-/** struct skh_config - configuration in force, published by the configuration controller */
+/** struct skh_config - configuration in force, published by the configuration watcher */
 typedef struct skh_config {
 	int64_t revision;
 	skh_manifest_t *manifest;
--- a/src/clock.h
+++ b/src/clock.h
@@ -4,10 +4,10 @@
 /**
  * DOC: Clocks and random numbers
  *
- * Reads the system clocks and the kernel's random source, from any thread. Only
- * I/O threads call these functions; decision modules never read a clock and take
- * the time as a parameter, @now_us. Deadlines are stored as points on the
- * monotonic clock.
+ * Reads the system clocks and the kernel's random source. The functions can be
+ * called from any thread, but only threads that do I/O call them: decision modules
+ * never read a clock and take the time as a parameter, @now_us. A process stores
+ * its deadlines as points in time on one of the monotonic clocks.
  */
 
 #include <stdbool.h>
@@ -27,7 +27,8 @@
 /**
  * skh_clock_boot_us() - monotonic clock that includes suspended time, in microseconds
  *
- * Used for the age of received data: the length of a suspension adds to the age.
+ * Used for the age of received data, because the length of a suspension adds to
+ * the age. The gateway and the balancer use this clock for all times.
  */
 int64_t skh_clock_boot_us(void);
 
--- a/src/doc_node.h
+++ b/src/doc_node.h
@@ -49,7 +49,7 @@
 skh_doc_node_t *skh_doc_node_new_integer(int64_t value, uint32_t line);
 /** skh_doc_node_new_real() - create a real number */
 skh_doc_node_t *skh_doc_node_new_real(double value, uint32_t line);
-/** skh_doc_node_new_bool() - create a truth value */
+/** skh_doc_node_new_bool() - create a boolean */
 skh_doc_node_t *skh_doc_node_new_bool(bool value, uint32_t line);
 /** skh_doc_node_copy() - copy @node with all its children, but without its own key */
 skh_doc_node_t *skh_doc_node_copy(const skh_doc_node_t *node);
@@ -85,7 +85,7 @@
 int64_t skh_doc_node_integer(const skh_doc_node_t *node);
 /** skh_doc_node_real() - value of a real number or an integer; 0 for other types */
 double skh_doc_node_real(const skh_doc_node_t *node);
-/** skh_doc_node_bool() - value of a truth value; false for other types */
+/** skh_doc_node_bool() - value of a boolean; false for other types */
 bool skh_doc_node_bool(const skh_doc_node_t *node);
 
 /**
--- a/src/doc_node_toml.cc
+++ b/src/doc_node_toml.cc
@@ -44,7 +44,10 @@
 		return skh_doc_node_new_real(real->get(), line);
 	if (const auto *boolean = source.as_boolean())
 		return skh_doc_node_new_bool(boolean->get(), line);
-	/* No schema has dates; schema validation rejects the empty text that replaces a date. */
+	/*
+	 * No schema has dates, so a date becomes an empty text. Schema validation
+	 * rejects it, except as an element of a text array.
+	 */
 	return skh_doc_node_new_text("", line);
 }
 
--- a/src/error.h
+++ b/src/error.h
@@ -27,28 +27,28 @@
 	SKH_METHOD_NOT_ALLOWED,
 	SKH_TOO_LARGE,
 	SKH_HEADERS_TOO_LARGE,
-	SKH_REQUEST_TIMEOUT,
-	SKH_KEY_EXPIRED,
-	SKH_KEY_REUSED,
-	SKH_CONFLICT,
-	SKH_LIMITED,
-	SKH_OVERLOADED,
-	SKH_NO_BACKEND,
-	SKH_LEAVING,
-	SKH_STALE,
-	SKH_NOT_READY,
-	SKH_DEADLINE_PASSED,
-	SKH_TIMED_OUT,
-	SKH_STORE_UNAVAILABLE,
-	SKH_STORE_UNKNOWN,
-	SKH_STORE_COMPACTED,
-	SKH_OUTCOME_UNKNOWN,
-	SKH_ALREADY_RAN,
-	SKH_CUT_OFF,
-	SKH_BACKEND_FAILED,
-	SKH_BACKEND_LOST,
-	SKH_QUARANTINED,
-	SKH_CANCELLED,
+	SKH_REQUEST_TIMEOUT, /* the caller did not send the complete request in time */
+	SKH_KEY_EXPIRED,     /* the idempotency key is older than claim records are kept */
+	SKH_KEY_REUSED,	     /* the idempotency key was used before with a different request */
+	SKH_CONFLICT,	     /* the configuration was changed concurrently */
+	SKH_LIMITED,	     /* a rate, concurrency or crash limit of the customer or the request */
+	SKH_OVERLOADED,	     /* no backend server has capacity now or in time */
+	SKH_NO_BACKEND,	     /* no backend server is available, or it could not be reached */
+	SKH_LEAVING,	     /* this instance or the backend server is leaving */
+	SKH_STALE, /* attempt too late or for another process; or the configuration may be outdated */
+	SKH_NOT_READY,	       /* the process is starting or stopping, or has no configuration */
+	SKH_DEADLINE_PASSED,   /* at an entry: the response was not complete at the deadline */
+	SKH_TIMED_OUT,	       /* at a gateway: no response from a server before the deadline */
+	SKH_STORE_UNAVAILABLE, /* store unavailable; a store operation had no effect */
+	SKH_STORE_UNKNOWN,     /* unknown whether a store operation had an effect */
+	SKH_STORE_COMPACTED,   /* the store no longer has the requested revisions */
+	SKH_OUTCOME_UNKNOWN,   /* unknown whether the request ran or the change took effect */
+	SKH_ALREADY_RAN,       /* the request ran earlier and its response was not recorded */
+	SKH_CUT_OFF, /* a streamed response failed after a part was forwarded to the caller */
+	SKH_BACKEND_FAILED, /* the backend server failed or sent an incomplete response */
+	SKH_BACKEND_LOST,   /* the connection to the backend server failed during the request */
+	SKH_QUARANTINED,    /* backend servers crashed while they ran this request */
+	SKH_CANCELLED,	    /* the caller closed the connection, or the attempt was cancelled */
 	SKH_CONFIG_INVALID,
 	SKH_INTERNAL,
 	SKH_ERROR_KIND_COUNT
--- a/src/fetch.c
+++ b/src/fetch.c
@@ -32,8 +32,8 @@
 	skh_fetch_t *fetch;
 	CURL *curl;
 	struct curl_slist *headers;
-	bool cancelled;
-	bool paused;
+	bool is_cancelled;
+	bool is_paused;
 	bool has_framing; /* the response has Content-Length or Transfer-Encoding */
 	bool has_body;
 } transfer_t;
@@ -64,6 +64,7 @@
 	if (epoll_ctl(fetch->epoll_fd, registered ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd, &event) != 0)
 		(void)epoll_ctl(fetch->epoll_fd, registered ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, fd,
 				&event);
+	/* Any non-NULL value: later calls for @fd receive it as @registered. */
 	curl_multi_assign(fetch->multi, fd, fetch);
 	return 0;
 }
@@ -146,9 +147,9 @@
 	const char *content_type;
 	int32_t status;
 
-	if (transfer->cancelled)
+	if (transfer->is_cancelled)
 		return 0;
-	if (transfer->paused)
+	if (transfer->is_paused)
 		return CURL_WRITEFUNC_PAUSE;
 	status = get_status(transfer->curl, &content_type);
 	transfer->has_body = true;
@@ -159,7 +160,10 @@
 	return size * n;
 }
 
-/* A response that ends with its connection and has no framing may be incomplete. */
+/*
+ * Records whether the response has framing. Without it, the response ends when the
+ * connection closes and may be incomplete.
+ */
 static size_t on_header(char *data, size_t size, size_t n, void *context)
 {
 	transfer_t *transfer = context;
@@ -182,7 +186,7 @@
 	return g_ptr_array_steal_index_fast(fetch->idle_handles, fetch->idle_handles->len - 1);
 }
 
-static void set_body(CURL *curl, const skh_fetch_request_t *request)
+static void set_method_and_body(CURL *curl, const skh_fetch_request_t *request)
 {
 	if (strcmp(request->method, "GET") == 0)
 		return;
@@ -217,7 +221,7 @@
 	curl_easy_setopt(transfer->curl, CURLOPT_TIMEOUT_MS, (long)(timeout_us / SKH_US_PER_MS));
 	/* libcurl resends a request when a reused connection closes without a response. */
 	curl_easy_setopt(transfer->curl, CURLOPT_FRESH_CONNECT, request->at_most_once ? 1L : 0L);
-	set_body(transfer->curl, request);
+	set_method_and_body(transfer->curl, request);
 	g_hash_table_insert(fetch->transfers, &transfer->id, transfer);
 	/* Adding a handle fails inside a libcurl callback; nothing has been sent then. */
 	if (curl_multi_add_handle(fetch->multi, transfer->curl) != CURLM_OK)
@@ -231,7 +235,7 @@
 	if (!transfer)
 		return;
 	g_hash_table_remove(fetch->transfers, &id);
-	transfer->cancelled = true;
+	transfer->is_cancelled = true;
 	g_ptr_array_add(fetch->cancelled, transfer);
 	if (!fetch->in_callback)
 		reap_cancelled(fetch);
@@ -241,9 +245,9 @@
 {
 	transfer_t *transfer = g_hash_table_lookup(fetch->transfers, &id);
 
-	if (!transfer || transfer->paused == paused)
+	if (!transfer || transfer->is_paused == paused)
 		return;
-	transfer->paused = paused;
+	transfer->is_paused = paused;
 	/* To pause, the next write callback returns CURL_WRITEFUNC_PAUSE. */
 	if (!paused)
 		curl_easy_pause(transfer->curl, CURLPAUSE_CONT);
@@ -283,7 +287,7 @@
 				    curl_easy_strerror(code));
 	else if (!complete)
 		(void)skh_error_set(&err, SKH_BACKEND_FAILED,
-				    "backend server: answer without Content-Length or "
+				    "backend server: response without Content-Length or "
 				    "Transfer-Encoding; it may be incomplete");
 	fetch->ops->on_done(fetch->context, transfer->id, status, content_type,
 			    complete ? NULL : &err);
@@ -296,7 +300,7 @@
 		transfer_t *transfer = g_ptr_array_remove_index(fetch->failed_starts,
 								fetch->failed_starts->len - 1);
 
-		if (!transfer->cancelled)
+		if (!transfer->is_cancelled)
 			finish(fetch, transfer, CURLE_COULDNT_CONNECT);
 	}
 }
@@ -313,7 +317,7 @@
 		if (message->msg != CURLMSG_DONE)
 			continue;
 		curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, (char **)&transfer);
-		if (!transfer->cancelled)
+		if (!transfer->is_cancelled)
 			finish(fetch, transfer, code);
 	}
 	reap_cancelled(fetch);
--- a/src/fetch.h
+++ b/src/fetch.h
@@ -57,7 +57,9 @@
  * skh_fetch_start() - start a transfer
  * @fetch: the set
  * @request: the request; copied
- * @now_us: current time on the monotonic clock; a deadline already passed gives 1 ms
+ * @now_us: current time on the monotonic clock
+ *
+ * A request whose deadline has passed is still started, with a timeout of 1 ms.
  */
 void skh_fetch_start(skh_fetch_t *fetch, const skh_fetch_request_t *request, int64_t now_us);
 
@@ -73,7 +75,9 @@
 /**
  * skh_fetch_poll() - wait for events, process them and run the callbacks
  * @fetch: the set
- * @deadline_us: latest return without an event, on the monotonic clock; waits 1 s at most
+ * @deadline_us: time of the monotonic clock until which to wait for an event
+ *
+ * Waits for at most 1 s, also when @deadline_us is later.
  */
 void skh_fetch_poll(skh_fetch_t *fetch, int64_t deadline_us);
 
--- a/src/log.c
+++ b/src/log.c
@@ -28,20 +28,20 @@
 };
 
 static skh_log_level_t min_log_level = SKH_LOG_INFO;
-static bool write_json;
+static bool use_json;
 static bool to_stdout;
 
 /* Rate limiter, updated without a lock: races between threads miscount a few lines. */
-static int64_t window_s;
+static int64_t window_start_s;
 static uint32_t lines_in_window;
-static uint64_t n_dropped;
+static uint64_t n_dropped; /* since the start; also lines that could not be written */
 
 static bool admit_line(void)
 {
 	int64_t now_s = skh_clock_boot_us() / SKH_US_PER_S;
 
-	if (now_s != window_s) {
-		window_s = now_s;
+	if (now_s != window_start_s) {
+		window_start_s = now_s;
 		lines_in_window = 0;
 	}
 	if (++lines_in_window <= MAX_LINES_PER_S)
@@ -52,8 +52,8 @@
 
 /*
  * Writes each line in one call, so that lines of several threads do not interleave.
- * Standard output is non-blocking: a line that does not fit is dropped, so that
- * logging never blocks the caller.
+ * Standard output is non-blocking: a line that does not fit is dropped, or truncated
+ * when a part of it fits, so that logging never blocks the caller.
  */
 static void output_line(const char *text, size_t len)
 {
@@ -118,8 +118,8 @@
 	json_decref(line);
 }
 
-static GLogWriterOutput write_line(GLogLevelFlags flag, const GLogField *fields, gsize n,
-				   gpointer user_data)
+static GLogWriterOutput write_message(GLogLevelFlags flag, const GLogField *fields, gsize n,
+				      gpointer user_data)
 {
 	const char *part = "glib";
 	const char *message = "";
@@ -134,7 +134,7 @@
 		else if (strcmp(fields[i].key, "SKH_FIELDS") == 0)
 			field_text = fields[i].value;
 	}
-	if (write_json)
+	if (use_json)
 		output_json(level_name(flag), part, message, field_text);
 	else {
 		g_autofree char *output =
@@ -149,8 +149,8 @@
 void skh_log_setup(skh_log_level_t min_level, bool json)
 {
 	min_log_level = min_level;
-	write_json = json;
-	g_log_set_writer_func(write_line, NULL, NULL);
+	use_json = json;
+	g_log_set_writer_func(write_message, NULL, NULL);
 }
 
 void skh_log_to_stdout(void)
--- a/src/log.h
+++ b/src/log.h
@@ -36,7 +36,8 @@
  * skh_log_to_stdout() - log to standard output instead of standard error
  *
  * Makes standard output non-blocking. Lines that cannot be written at once and
- * lines above the rate limit are dropped and counted.
+ * lines above the rate limit are dropped and counted; JSON lines report the count
+ * since the start as "lines_dropped".
  */
 void skh_log_to_stdout(void);
 
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -10,12 +10,12 @@
 #define FIRST_BOUND_US ((int64_t)128)
 #define N_BUCKETS      24
 
-typedef struct counter_row {
+typedef struct metric_row {
 	const char *name;
 	const char *help;
-} counter_row_t;
+} metric_row_t;
 
-static const counter_row_t counter_table[SKH_COUNTER_COUNT] = {
+static const metric_row_t counter_table[SKH_COUNTER_COUNT] = {
 	[SKH_COUNT_REQUESTS] = { "requests", "Requests accepted from callers" },
 	[SKH_COUNT_ANSWERS_WHOLE] = { "answers_whole", "Answers delivered whole" },
 	[SKH_COUNT_ANSWERS_FAILED] = { "answers_failed", "Requests answered with an error" },
@@ -51,7 +51,7 @@
 	[SKH_COUNT_CLAIM_REPLAYS] = { "claim_replays", "Recorded answers given again" },
 };
 
-static const counter_row_t histogram_table[SKH_HISTOGRAM_COUNT] = {
+static const metric_row_t histogram_table[SKH_HISTOGRAM_COUNT] = {
 	[SKH_HIST_FIRST_BYTE] = { "first_byte_us", "Time to the first byte of the answer" },
 	[SKH_HIST_ANSWER] = { "answer_us", "Time to the last byte of the answer" },
 };
@@ -153,7 +153,7 @@
 
 static void write_histogram(skh_buffer_t *out, skh_histogram_t histogram)
 {
-	const counter_row_t *row = &histogram_table[histogram];
+	const metric_row_t *row = &histogram_table[histogram];
 	GHashTableIter iter;
 	gpointer series;
 
@@ -166,7 +166,7 @@
 		write_series(out, row->name, series);
 }
 
-static void write_counter(skh_buffer_t *out, const counter_row_t *row, uint64_t value)
+static void write_counter(skh_buffer_t *out, const metric_row_t *row, uint64_t value)
 {
 	skh_buffer_printf(out,
 			  "# HELP skylarkhead_%s_total %s\n# TYPE skylarkhead_%s_total counter\n"
@@ -176,8 +176,8 @@
 
 void skh_metrics_write(skh_buffer_t *out)
 {
-	static const counter_row_t store_row = { "store_calls",
-						 "Calls made to the key-value service" };
+	static const metric_row_t store_row = { "store_calls",
+						"Calls made to the key-value service" };
 
 	for (int32_t i = 0; i < SKH_COUNTER_COUNT; i++)
 		write_counter(out, &counter_table[i], skh_metrics_get((skh_counter_t)i));
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -5,9 +5,10 @@
  * DOC: Metrics
  *
  * Process-wide counters, and latency histograms per customer and class, exported
- * in the Prometheus text format. Any thread can call these functions. Counters
- * take no lock. An observation takes a shared lock, and the first one of a
- * customer and class an exclusive lock.
+ * in the Prometheus text format. The class is a request's priority at an entry and
+ * its route at a gateway. Any thread can call these functions. Counters take no
+ * lock. An observation takes a shared lock, and the first one of a customer and
+ * class an exclusive lock.
  */
 
 #include "buffer.h"
@@ -72,7 +73,7 @@
  * skh_metrics_observe() - record one latency
  * @histogram: the histogram
  * @customer: customer of the request; copied
- * @class_name: class of the request; copied
+ * @class_name: name of the priority or the route; copied
  * @value_us: latency in microseconds
  */
 void skh_metrics_observe(skh_histogram_t histogram, const char *customer, const char *class_name,
--- a/src/settings.c
+++ b/src/settings.c
@@ -97,8 +97,8 @@
 	const char *name;
 	const skh_field_t *fields;
 	size_t n_fields;
-	uint32_t roles;
-	bool optional; /* required keys are only required when the section is present */
+	uint32_t role_bits;
+	bool is_optional; /* required keys are only required when the section is present */
 } section_t;
 
 static const section_t sections[] = {
@@ -153,7 +153,7 @@
 
 		for (size_t s = 0; s < G_N_ELEMENTS(sections); s++) {
 			if (strcmp(sections[s].name, skh_doc_node_key(child)) == 0)
-				known = sections[s].roles & ROLE_BIT(role);
+				known = sections[s].role_bits & ROLE_BIT(role);
 		}
 		if (!known)
 			skh_validation_errors_add(errors, skh_doc_node_line(child),
@@ -179,7 +179,8 @@
 	for (size_t s = 0; s < G_N_ELEMENTS(sections); s++) {
 		const skh_doc_node_t *table = skh_doc_node_find(settings->tree, sections[s].name);
 
-		if (!(sections[s].roles & ROLE_BIT(role)) || (!table && sections[s].optional))
+		if (!(sections[s].role_bits & ROLE_BIT(role)) ||
+		    (!table && sections[s].is_optional))
 			continue;
 		skh_schema_read(table, sections[s].name, 1, sections[s].fields,
 				sections[s].n_fields, settings, errors);
--- a/src/settings.h
+++ b/src/settings.h
@@ -34,8 +34,8 @@
 /**
  * struct skh_settings - all settings of a process, grouped by section of the file
  *
- * Texts point into @tree. Settings of sections that the role does not have keep
- * their defaults.
+ * Texts point into @tree, except for defaults, which are constants. Settings of
+ * sections that the role does not have keep their defaults.
  */
 typedef struct skh_settings {
 	/* [instance] */
@@ -65,8 +65,8 @@
 	const char *backend_service; /* also "service" of [balancer] */
 	const char *backend_group;
 	int64_t backend_rank;
-	int64_t backend_capacity; /* concurrent attempts */
-	int64_t backend_queue;	  /* queued attempts */
+	int64_t backend_capacity; /* maximum number of concurrent attempts */
+	int64_t backend_queue;	  /* maximum number of queued attempts */
 	/* [gateway]: entry that sends requests to backend servers without sidecars */
 	const char *dialect;	   /* protocol variant for callers, servers and the store */
 	const char *gossip_listen; /* also "listen" of [balancer] */
@@ -77,12 +77,15 @@
 	int64_t retry_percent; /* retries per 100 requests, for all gateways together */
 	int64_t retry_least;   /* retries always allowed in a window, for all gateways together */
 	int64_t retry_window_ms;
-	/* [balancer]: runs beside a rank and takes part in placing its group's experts */
+	/*
+	 * [balancer]: runs beside a rank and takes part in placing its group's experts.
+	 * The objective of the weights is that of rebalance.h.
+	 */
 	const char *engine_address;
 	int64_t skew_weight; /* weight of step-time skew in the objective */
-	int64_t cost_weight; /* weight of orders and copies in the objective */
+	int64_t cost_weight; /* weight of copies in the objective */
 	/* [stop] */
-	int64_t drain_ms;
+	int64_t drain_ms; /* time that requests in flight get after a stop signal */
 	/* [log] */
 	int32_t log_level;  /* skh_log_level_t */
 	int32_t log_format; /* 0: text, 1: JSON */
--- a/src/settings_watcher.c
+++ b/src/settings_watcher.c
@@ -38,6 +38,7 @@
 	skh_settings_watcher_t *watcher = g_new0(skh_settings_watcher_t, 1);
 
 	watcher->settings = settings;
+	/* Stores the present state of the file, for comparison at the next poll. */
 	(void)detect_file_change(watcher);
 	return watcher;
 }
--- a/src/skylarkhead.h
+++ b/src/skylarkhead.h
@@ -12,9 +12,12 @@
  * Documents: doc_node.h, schema.h, settings.h, manifest.h, config_parts.h.
  * Decisions (no I/O): request_fsm.h, gate.h, peers.h, peer_selection.h, admission.h, claim.h,
  * rank.h, mapswitch.h.
- * I/O: board.h, store.h, mirror.h, config_watcher.h, link.h, sidecar_link.h, fetch.h,
+ * State shared between threads: board.h.
+ * I/O: store.h, mirror.h, config_watcher.h, link.h, sidecar_link.h, fetch.h,
  * backend.h, engine.h, claim_writer.h, leader.h, group_member.h, curve_auth.h, http.h.
- * Roles: entry.h (with caller_api.h, serve.h), sidecar.h (with attempt_runner.h, frame_sender.h).
+ * Roles: entry.h (with caller_api.h, serve.h), sidecar.h (with attempt_runner.h, frame_sender.h),
+ * gateway.h (with downstream.h, exchange.h, attempt.h, feed.h), balancer.h (with coordinator.h,
+ * rank_poller.h).
  */
 
 #ifdef __cplusplus
@@ -40,7 +43,7 @@
 int skh_cmd_sidecar(int argc, char **argv);
 /** skh_cmd_gateway() - run an entry that sends requests to backend servers without sidecars */
 int skh_cmd_gateway(int argc, char **argv);
-/** skh_cmd_balancer() - run the expert balancer of a model server */
+/** skh_cmd_balancer() - run the expert balancer of a rank */
 int skh_cmd_balancer(int argc, char **argv);
 /** skh_cmd_check() - validate settings or a manifest and print every error */
 int skh_cmd_check(int argc, char **argv);
--- a/src/store.h
+++ b/src/store.h
@@ -37,7 +37,7 @@
 typedef struct skh_kv_pairs {
 	skh_kv_pair_t *list;
 	size_t count;
-	int64_t store_revision;
+	int64_t store_revision; /* revision of the store when the pairs were read */
 } skh_kv_pairs_t;
 
 /** skh_kv_pairs_clear() - free the contents of @pairs and reset it */
@@ -114,7 +114,7 @@
 typedef struct skh_kv_changes {
 	skh_kv_change_t *list;
 	size_t count;
-	int64_t store_revision; /* start of the next poll */
+	int64_t store_revision; /* @after_revision of the next poll */
 } skh_kv_changes_t;
 
 /** skh_kv_changes_clear() - free the contents of @changes and reset it */
@@ -187,7 +187,7 @@
  * @n: number of elements
  * @context: skh_buffer_t to append to
  *
- * Return: the bytes taken; 0, which ends the transfer, for a response above
+ * Return: the number of bytes taken; 0, which ends the transfer, for a response above
  * SKH_STORE_MAX_RESPONSE_BYTES.
  */
 size_t skh_store_append_response(char *data, size_t size, size_t n, void *context);
--- a/src/store_etcd.c
+++ b/src/store_etcd.c
@@ -15,7 +15,11 @@
 	skh_store_t base;
 	char **endpoints;
 	size_t n_endpoints;
-	gint preferred; /* index of the endpoint to try first; atomic */
+	/*
+	 * Index of the endpoint to try first: the last one that responded, or the next
+	 * one after a failed watch. Atomic.
+	 */
+	gint preferred;
 	int64_t timeout_ms;
 } etcd_store_t;
 
@@ -24,7 +28,7 @@
 	return g_base64_encode((const guchar *)text, strlen(text));
 }
 
-/* The gateway encodes 64-bit integers as strings. */
+/* etcd's JSON gateway encodes 64-bit integers as strings. */
 static int64_t get_integer(const json_t *object, const char *key)
 {
 	const json_t *value = json_object_get(object, key);
@@ -45,7 +49,7 @@
 	return end;
 }
 
-static void set_encoded(json_t *object, const char *key, const char *text)
+static void set_base64(json_t *object, const char *key, const char *text)
 {
 	g_autofree char *encoded = encode_base64(text);
 
@@ -61,8 +65,8 @@
 	return SKH_STORE_UNKNOWN;
 }
 
-static CURL *new_request(etcd_store_t *store, size_t endpoint, const char *path, const char *body,
-			 struct curl_slist **headers)
+static CURL *new_curl_handle(etcd_store_t *store, size_t endpoint, const char *path,
+			     const char *body, struct curl_slist **headers)
 {
 	CURL *curl = curl_easy_init();
 	g_autofree char *url = g_strconcat(store->endpoints[endpoint], path, NULL);
@@ -81,7 +85,7 @@
 			  skh_buffer_t *response, long *status)
 {
 	struct curl_slist *headers;
-	CURL *curl = new_request(store, endpoint, path, body, &headers);
+	CURL *curl = new_curl_handle(store, endpoint, path, body, &headers);
 	CURLcode code;
 
 	skh_store_count_call();
@@ -157,11 +161,11 @@
 	json_t *response;
 
 	*pairs = (skh_kv_pairs_t){ 0 };
-	set_encoded(request, "key", key);
+	set_base64(request, "key", key);
 	if (prefix) {
 		g_autofree char *end = range_end(key);
 
-		set_encoded(request, "range_end", end);
+		set_base64(request, "range_end", end);
 	}
 	response = post((etcd_store_t *)base, "/v3/kv/range", request, err);
 	if (!response)
@@ -177,7 +181,7 @@
 	json_t *json = json_object();
 	g_autofree char *revision = g_strdup_printf("%" G_GINT64_FORMAT, compare->mod_revision);
 
-	set_encoded(json, "key", compare->key);
+	set_base64(json, "key", compare->key);
 	json_object_set_new(json, "target", json_string("MOD"));
 	json_object_set_new(json, "result", json_string("EQUAL"));
 	json_object_set_new(json, "mod_revision", json_string(revision));
@@ -194,9 +198,9 @@
 	json_t *json = json_object();
 	json_t *inner = json_object();
 
-	set_encoded(inner, "key", op->key);
+	set_base64(inner, "key", op->key);
 	if (op->type == SKH_TXN_OP_PUT)
-		set_encoded(inner, "value", op->value);
+		set_base64(inner, "value", op->value);
 	if (op->lease != 0) {
 		g_autofree char *lease = g_strdup_printf("%" G_GINT64_FORMAT, op->lease);
 
@@ -276,7 +280,7 @@
 	skh_buffer_t line;
 	skh_watch_fn fn;
 	void *context;
-	bool ended;
+	bool has_ended;
 } watch_stream_t;
 
 static void handle_event(watch_stream_t *stream, const json_t *event)
@@ -288,7 +292,7 @@
 
 	read_pair(kv, &pair);
 	if (!stream->fn(stream->context, pair.key, deleted ? NULL : pair.value, pair.mod_revision))
-		stream->ended = true;
+		stream->has_ended = true;
 	g_free(pair.key);
 	g_free(pair.value);
 }
@@ -301,7 +305,7 @@
 	size_t index;
 
 	if (json_is_true(json_object_get(result, "canceled")))
-		stream->ended = true;
+		stream->has_ended = true;
 	json_array_foreach(json_object_get(result, "events"), index, event)
 		handle_event(stream, event);
 	json_decref(json);
@@ -322,7 +326,7 @@
 		handle_line(stream, (const char *)stream->line.data, len);
 		skh_buffer_consume(&stream->line, len + 1);
 	}
-	return stream->ended ? 0 : size * n;
+	return stream->has_ended ? 0 : size * n;
 }
 
 /* Runs until the connection closes, the callback ends the watch or *@stop is set. */
@@ -357,8 +361,8 @@
 	char *encoded;
 	char *body;
 
-	set_encoded(create, "key", prefix);
-	set_encoded(create, "range_end", end);
+	set_base64(create, "key", prefix);
+	set_base64(create, "range_end", end);
 	json_object_set_new(create, "start_revision", json_string(revision));
 	json_object_set_new(request, "create_request", create);
 	encoded = json_dumps(request, JSON_COMPACT);
@@ -376,7 +380,7 @@
 	g_autofree char *body = new_watch_body(prefix, from_revision);
 	size_t endpoint = (size_t)g_atomic_int_get(&store->preferred);
 	struct curl_slist *headers;
-	CURL *curl = new_request(store, endpoint, "/v3/watch", body, &headers);
+	CURL *curl = new_curl_handle(store, endpoint, "/v3/watch", body, &headers);
 	CURLcode code;
 
 	skh_store_count_call();
@@ -390,7 +394,7 @@
 	curl_slist_free_all(headers);
 	curl_easy_cleanup(curl);
 	skh_buffer_free(&stream.line);
-	if (stream.ended)
+	if (stream.has_ended)
 		return true;
 	if (code != CURLE_OK)
 		g_atomic_int_set(&store->preferred, (gint)((endpoint + 1) % store->n_endpoints));
--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -27,6 +27,8 @@
 	EXPECT_EQ(skh_error_kind_from_name("no such kind"), SKH_INTERNAL);
 }
 
+// NOT_RUN tells the caller that a retry is safe, so a kind of error that is possible after the
+// request has run must not have it.
 TEST(Error, KindsThatCanFollowARunAreNotMarkedNotRun)
 {
 	skh_error_t err;
