--- a/bench/bench_claims.sh
+++ b/bench/bench_claims.sh
@@ -33,6 +33,6 @@
 	rate=$(field "$line" per_s)
 	printf '%10s %8s %8s %10s %10s %10s %14s %10s\n' "$concurrency" "$n" "$(field "$line" good)" "$rate" \
 		"$(field "$line" p50)" "$(field "$line" p99)" \
-		"$(awk -v u="$n_txns" -v n="$n" -v r="$rate" 'BEGIN {printf "%.0f", u * r / n}')" \
-		"$(awk -v u="$n_txns" -v n="$n" 'BEGIN {printf "%.2f", u / n}')"
+		"$(awk -v txns="$n_txns" -v n="$n" -v rate="$rate" 'BEGIN {printf "%.0f", txns * rate / n}')" \
+		"$(awk -v txns="$n_txns" -v n="$n" 'BEGIN {printf "%.2f", txns / n}')"
 done
--- a/bench/bench_path.sh
+++ b/bench/bench_path.sh
@@ -34,7 +34,7 @@
 echo "start-up of an entry until it answers: $(((end_ns - start_ns) / 1000000)) ms (polled each 100 ms)"
 echo "memory at rest: entry $(get_rss_kib entry-1) KiB, sidecar $(get_rss_kib sidecar-1) KiB"
 
-# A one-token response has no delay between tokens, which would hide the added latency.
+# The delay between tokens would hide the added latency, so each response has one token.
 echo
 echo "added latency of a whole answer of one token, in turn direct and through, microseconds"
 line=$("$BUILD/bench/load" latency "$direct" "$through" 2000) || exit 1
@@ -58,8 +58,9 @@
 	wait $load_pid
 	line=$(cat "$WORK/load.out")
 	tokens=$((n * 200))
-	entry_us=$(awk -v t=$(($(get_cpu_ticks entry-1) - entry_before)) -v n=$tokens 'BEGIN {printf "%.1f", t * 10000 / n}')
-	sidecar_us=$(awk -v t=$(($(get_cpu_ticks sidecar-1) - sidecar_before)) -v n=$tokens 'BEGIN {printf "%.1f", t * 10000 / n}')
+	# A clock tick is 10000 microseconds of CPU time.
+	entry_us=$(awk -v ticks=$(($(get_cpu_ticks entry-1) - entry_before)) -v n=$tokens 'BEGIN {printf "%.1f", ticks * 10000 / n}')
+	sidecar_us=$(awk -v ticks=$(($(get_cpu_ticks sidecar-1) - sidecar_before)) -v n=$tokens 'BEGIN {printf "%.1f", ticks * 10000 / n}')
 	printf '%8s %8s %12s %12s %12s %12s %14s %14s %10s %10s\n' "$n" "$(field "$line" whole)" \
 		"$(field "$line_direct" lag_p50)" "$(field "$line_direct" lag_p99)" \
 		"$(field "$line" lag_p50)" "$(field "$line" lag_p99)" "$entry_us" "$sidecar_us" \
--- a/bench/capacity.sh
+++ b/bench/capacity.sh
@@ -17,6 +17,7 @@
 sidecar_admin_port() { echo $(($(sidecar_port "$1") + 1)); }
 
 # Prints CPU time, control traffic and memory of entry 1 and sidecar 1 without requests.
+# A clock tick is 10 ms, so ticks per second are percent of one CPU.
 print_idle_row() { # label
 	local entry_ticks sidecar_ticks entry_bytes sidecar_bytes
 	entry_ticks=$(get_cpu_ticks entry-1) sidecar_ticks=$(get_cpu_ticks sidecar-1)
@@ -24,11 +25,13 @@
 	sidecar_bytes=$(($(get_metric "$(sidecar_admin_port 1)" control_bytes_in) + $(get_metric "$(sidecar_admin_port 1)" control_bytes_out)))
 	sleep "$REST_S"
 	awk -v label="$1" -v s="$REST_S" \
-		-v e=$(($(get_cpu_ticks entry-1) - entry_ticks)) -v d=$(($(get_cpu_ticks sidecar-1) - sidecar_ticks)) \
-		-v ea=$(($(get_metric "$(entry_admin_port 1)" control_bytes_in) + $(get_metric "$(entry_admin_port 1)" control_bytes_out) - entry_bytes)) \
-		-v da=$(($(get_metric "$(sidecar_admin_port 1)" control_bytes_in) + $(get_metric "$(sidecar_admin_port 1)" control_bytes_out) - sidecar_bytes)) \
-		-v er="$(get_rss_kib entry-1)" -v dr="$(get_rss_kib sidecar-1)" \
-		'BEGIN {printf "%-22s %9.2f%% %8.0f %9d %9.2f%% %8.0f %9d\n", label, e / s, ea / s, er, d / s, da / s, dr}'
+		-v entry_ticks=$(($(get_cpu_ticks entry-1) - entry_ticks)) -v sidecar_ticks=$(($(get_cpu_ticks sidecar-1) - sidecar_ticks)) \
+		-v entry_bytes=$(($(get_metric "$(entry_admin_port 1)" control_bytes_in) + $(get_metric "$(entry_admin_port 1)" control_bytes_out) - entry_bytes)) \
+		-v sidecar_bytes=$(($(get_metric "$(sidecar_admin_port 1)" control_bytes_in) + $(get_metric "$(sidecar_admin_port 1)" control_bytes_out) - sidecar_bytes)) \
+		-v entry_rss="$(get_rss_kib entry-1)" -v sidecar_rss="$(get_rss_kib sidecar-1)" \
+		'BEGIN {printf "%-22s %9.2f%% %8.0f %9d %9.2f%% %8.0f %9d\n", label,
+			entry_ticks / s, entry_bytes / s, entry_rss,
+			sidecar_ticks / s, sidecar_bytes / s, sidecar_rss}'
 }
 
 print_header() {
--- a/bench/load.c
+++ b/bench/load.c
@@ -33,7 +33,7 @@
 	bool is_done;
 	int64_t first_token_us;
 	int64_t started_us;
-	samples_t *token_lag_us;
+	samples_t *token_lag_us; /* shared by all streams; from sending to receipt of a token */
 } stream_t;
 
 static void add_sample(samples_t *samples, int64_t value)
--- a/bench/naive_balance.c
+++ b/bench/naive_balance.c
@@ -46,7 +46,8 @@
 
 /*
  * Places each replica, heaviest first, on the least loaded rank that has a free slot
- * and no replica of the same expert; if all such ranks have one, on the least loaded rank.
+ * and no replica of the same expert. If every rank with a free slot holds a replica of
+ * the expert, the least loaded of these ranks receives another one.
  */
 static void place_replicas(const skh_rebalance_input_t *input, const replica_t *replicas,
 			   uint32_t n_replicas, uint32_t *rows)
@@ -87,7 +88,8 @@
 }
 
 /*
- * Assigns each row to the rank that shares the most experts with it, best pairs first,
+ * A row holds the experts that one rank is to hold; its index is not yet a rank number.
+ * Assigns each row to the rank that now holds the most of its experts, best pairs first,
  * so that few experts are copied.
  */
 static void match_rows_to_ranks(const skh_rebalance_input_t *input, const uint32_t *rows,
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -21,7 +21,7 @@
 
 typedef struct replay_clock {
 	GSequence *events;
-	uint64_t n_events;
+	uint64_t n_events; /* scheduled so far; the order of the next event */
 	int64_t now_us;
 } replay_clock_t;
 
--- a/bench/replay_admit.c
+++ b/bench/replay_admit.c
@@ -26,7 +26,7 @@
 #define NETWORK_DELAY_US	 (1 * SKH_US_PER_MS)
 #define EXPIRY_CHECK_INTERVAL_US (50 * SKH_US_PER_MS)
 #define REQUEST_TIMEOUT_US	 (20 * SKH_US_PER_S)
-#define START_TIMEOUT_US	 (10 * SKH_US_PER_S) /* half of REQUEST_TIMEOUT_US, as in serve.c */
+#define START_TIMEOUT_US	 (10 * SKH_US_PER_S) /* serve.c: half of the remaining time */
 #define MAX_RETRIES		 3
 #define BURST_START_US		 (40 * SKH_US_PER_S)
 #define BURST_END_US		 (100 * SKH_US_PER_S)
@@ -57,16 +57,16 @@
 	uint32_t server;
 	uint64_t attempt;
 	int64_t first_arrived_us; /* first submission by the caller */
-	int64_t arrived_us;
+	int64_t arrived_us;	  /* latest submission */
 	int64_t deadline_us;
 	int64_t run_us;
 } request_t;
 
 typedef enum event_type {
-	EVENT_ARRIVE,
-	EVENT_DELIVER,
+	EVENT_ARRIVE,  /* a caller submits a new request or a retry */
+	EVENT_DELIVER, /* a request arrives at its server */
 	EVENT_FINISH,
-	EVENT_EXPIRE
+	EVENT_EXPIRE /* periodic removal of queued requests that can no longer start */
 } event_type_t;
 
 typedef struct server {
@@ -126,6 +126,10 @@
 	dispatch_request(sim, request);
 }
 
+/*
+ * Creates and submits a request, then schedules the next one of @customer. The event carries
+ * an unsubmitted request that only names the customer; see handle_event().
+ */
 static void create_request(sim_t *sim, uint32_t customer)
 {
 	double load_factor = customer == 0 ? sim->scenario->first_customer_factor
@@ -213,6 +217,10 @@
 	start_queued(sim, server);
 }
 
+/*
+ * Like the request state machine, counts only rejections of attempts that could queue: any
+ * server without free capacity rejects the others.
+ */
 static void handle_rejection(sim_t *sim, request_t *request, const skh_error_t *err,
 			     bool could_queue)
 {
@@ -347,6 +355,7 @@
 
 static void run_scenario(const scenario_t *scenario, bool is_naive)
 {
+	/* Requests that the servers can finish in the burst. */
 	const double capacity = SERVERS * SLOTS / MEAN_RUN_S *
 				(double)(BURST_END_US - BURST_START_US) / SKH_US_PER_S;
 	replay_event_t event;
--- a/bench/replay_balance.c
+++ b/bench/replay_balance.c
@@ -20,11 +20,11 @@
 #define RANKS		      32
 #define SLOTS		      9
 #define EXPERTS		      256
-#define INTERVALS	      48
+#define INTERVALS	      48 /* two periods of the daily cycle */
 #define SEEDS		      4
 #define POPULARITY_SIGMA      0.9	/* standard deviation of log popularity */
 #define RANDOM_WALK_STEP      0.055	/* sigma of the step of log popularity in an interval */
-#define HITS_PER_INTERVAL     2500000.0 /* tokens routed to the experts of one layer */
+#define HITS_PER_INTERVAL     2500000.0 /* (token, expert) pairs of one layer */
 #define MISSING_COUNT_PERCENT 5
 #define FAILURE_DOMAINS	      4
 
@@ -169,7 +169,7 @@
 	memcpy(placement, next, sizeof(next));
 }
 
-/* A missing count keeps its value from the previous interval. */
+/* An expert whose count is missing keeps its last known count. */
 static void update_last_counts(const double *counts, double *last_counts)
 {
 	for (int32_t e = 0; e < EXPERTS; e++) {
@@ -271,7 +271,10 @@
 		for (uint32_t seed = 1; seed <= SEEDS; seed++) {
 			generate_workload(&traces[i], seed, workload);
 			for (policy_t p = POLICY_STATIC; p < POLICY_COUNT; p++) {
-				/* These policies ignore rank speeds and would use a lost rank. */
+				/*
+				 * Static and full recomputation ignore rank speeds and would
+				 * use a lost rank.
+				 */
 				if (p < POLICY_LOW_SKEW && traces[i].rank_lost_from >= 0)
 					continue;
 				replay_trace(&traces[i], p, workload, copy_cost, &results[p]);
--- a/bench/replay_route.c
+++ b/bench/replay_route.c
@@ -1,6 +1,6 @@
 /*
  * Compares the routing of src/peer_selection.h with other policies, in virtual time with
- * fixed seeds. Entries do not communicate, load reports are seconds late, and servers run
+ * a fixed seed. Entries do not communicate, load reports are seconds late, and servers run
  * continuous batching with a fixed number of slots and a prefix cache. Prints one row per
  * policy and number of entries.
  *
@@ -68,7 +68,8 @@
 	int64_t prefill_free_us;
 	int64_t prefix_used_us[PREFIXES]; /* last use; 0 if not cached */
 	uint32_t n_cached;
-	uint32_t load_history[MAX_SNAPSHOTS]; /* running and queued requests, ring of snapshots */
+	/* Ring of snapshots of get_load(), one for each SNAPSHOT_INTERVAL_US. */
+	uint32_t load_history[MAX_SNAPSHOTS];
 	double slowdown;
 } server_t;
 
@@ -88,8 +89,8 @@
 	GRand *random;
 	replay_clock_t clock;
 	server_t *servers;
-	skh_peers_t **peers; /* one for each entry; NULL unless POLICY_PEER_SELECTION */
-	skh_prefix_share_t **prefix_shares; /* likewise */
+	skh_peers_t **peers;		    /* [n_entries]; NULL unless POLICY_PEER_SELECTION */
+	skh_prefix_share_t **prefix_shares; /* [n_entries]; NULL unless POLICY_PEER_SELECTION */
 	double cumulative_popularity[PREFIXES];
 	uint32_t next_turn;
 	/* Results: */
@@ -133,6 +134,7 @@
 	return low;
 }
 
+/* The lowest bit is set because 0 means that a request has no prefix. */
 static uint64_t prefix_hash(uint32_t prefix)
 {
 	return skh_chunk_hash(skh_chunk_make(&prefix, sizeof(prefix)), 1) | 1;
@@ -215,7 +217,7 @@
 	return best;
 }
 
-static uint32_t select_of_two(sim_t *sim)
+static uint32_t select_two_choices(sim_t *sim)
 {
 	uint32_t a = (uint32_t)g_rand_int_range(sim->random, 0, SERVERS);
 	uint32_t b = (uint32_t)g_rand_int_range(sim->random, 0, SERVERS);
@@ -255,7 +257,7 @@
 	case POLICY_LEAST_LOADED:
 		return select_least_loaded(sim);
 	case POLICY_TWO_CHOICES:
-		return select_of_two(sim);
+		return select_two_choices(sim);
 	case POLICY_PEER_SELECTION:
 		return select_with_peers(sim, request);
 	case POLICY_ORACLE:
@@ -378,7 +380,12 @@
 	g_free(request);
 }
 
-/* Delivers each server's load report, REPORT_INTERVAL_US old, to every entry in a rotation. */
+/*
+ * Delivers load reports that are REPORT_INTERVAL_US old. At each snapshot an entry receives
+ * the reports of one group of servers, and within REPORT_INTERVAL_US those of every group.
+ * Consecutive entries start with different groups. The report of a server is omitted if the
+ * entry received a status of it within REPORT_INTERVAL_US.
+ */
 static void send_reports(sim_t *sim)
 {
 	uint32_t n_groups = REPORT_INTERVAL_US / SNAPSHOT_INTERVAL_US;
@@ -537,7 +544,7 @@
 	       table_header);
 	for (size_t i = 0; i < G_N_ELEMENTS(entries); i++) {
 		for (policy_t p = POLICY_RANDOM; p < POLICY_COUNT; p++) {
-			/* All policies are compared with 40 entries only. */
+			/* The other policies run with 40 entries only. */
 			if (entries[i] == 40 || p == POLICY_PEER_SELECTION ||
 			    p == POLICY_LEAST_LOADED)
 				run_policy(p, entries[i], load, 0);
--- a/fuzz/fuzz_fleet.c
+++ b/fuzz/fuzz_fleet.c
@@ -1,4 +1,4 @@
-/* Input from the fleet dialect: configuration, servers, engine responses. */
+/* Input in the fleet dialect: configuration, servers, engine responses. */
 #include "dialect.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
--- a/fuzz/fuzz_http.c
+++ b/fuzz/fuzz_http.c
@@ -1,5 +1,5 @@
 /*
- * HTTP requests and responses, event streams and packed rank orders. The first byte selects
+ * HTTP requests and responses, event streams and packed engine orders. The first byte selects
  * the parser and the offset at which the rest is split in two. An HTTP message must have the
  * same validity and body length for every split.
  */
--- a/test/fake_store.h
+++ b/test/fake_store.h
@@ -26,10 +26,10 @@
 	std::map<std::string, FakeValue> values;
 	int64_t revision = 1;
 	int64_t next_lease = 1;
-	// Transactions are numbered from 1; 0 disables a fault.
 	int n_txns = 0;
 	int n_ranges = 0;
-	bool down = false;
+	bool down = false; /* every call fails with SKH_STORE_UNAVAILABLE */
+	// Faults in one transaction, by its number from 1; 0 disables a fault.
 	int lose_response_of_txn = 0; /* applied, but the caller gets SKH_STORE_UNKNOWN */
 	int drop_txn = 0;	      /* not applied, the caller gets SKH_STORE_UNKNOWN */
 	bool down_after_loss = false; /* down from a lost response on */
--- a/test/standin/engine.c
+++ b/test/standin/engine.c
@@ -98,7 +98,7 @@
 static bool send_token(struct mg_connection *connection, const char *body, int64_t index)
 {
 	g_autofree char *text = make_token(body, index);
-	/* Only on request, for the benches: a token depends on the body alone. */
+	/* Only if the body asks for it, as in benches: other events depend on the body alone. */
 	g_autofree char *timestamp =
 		strstr(body, "\"stamp\":true")
 			? g_strdup_printf(",\"sent_us\":%" PRId64, g_get_monotonic_time())
@@ -204,7 +204,7 @@
 	return standin_answer(connection, 200, json_object());
 }
 
-static int handle_orders(struct mg_connection *connection)
+static int handle_list_orders(struct mg_connection *connection)
 {
 	json_t *copy;
 
@@ -248,7 +248,7 @@
 }
 
 /* Every run stores its prefix. Each fifth event is missing, since engines lose events too. */
-static int handle_events(struct mg_connection *connection)
+static int handle_cache_events(struct mg_connection *connection)
 {
 	const char *query = mg_get_request_info(connection)->query_string;
 	int64_t from_seq = query ? g_ascii_strtoll(query + strlen("from="), NULL, 10) : 1;
@@ -264,7 +264,7 @@
 	return standin_answer(connection, 200, list);
 }
 
-static int64_t get_fault(const json_t *request, const char *key)
+static int64_t get_fault_value(const json_t *request, const char *key)
 {
 	const json_t *value = json_object_get(request, key);
 
@@ -276,11 +276,11 @@
 	json_t *request = standin_read_json(connection);
 
 	g_mutex_lock(&lock);
-	cut_after = get_fault(request, "cut_after");
-	exit_after = get_fault(request, "exit_after");
-	stall_after = get_fault(request, "stall_after");
-	stall_ms = get_fault(request, "ms");
-	order_ms = get_fault(request, "order_ms");
+	cut_after = get_fault_value(request, "cut_after");
+	exit_after = get_fault_value(request, "exit_after");
+	stall_after = get_fault_value(request, "stall_after");
+	stall_ms = get_fault_value(request, "ms");
+	order_ms = get_fault_value(request, "order_ms");
 	g_mutex_unlock(&lock);
 	json_decref(request);
 	return standin_answer(connection, 200, json_object());
@@ -298,11 +298,11 @@
 	if (strcmp(path, "/v1/load") == 0)
 		return handle_load(connection);
 	if (strcmp(path, "/v1/cache_events") == 0)
-		return handle_events(connection);
+		return handle_cache_events(connection);
 	if (strcmp(path, "/v1/orders") == 0)
 		return handle_order(connection);
 	if (strcmp(path, "/orders") == 0)
-		return handle_orders(connection);
+		return handle_list_orders(connection);
 	if (strcmp(path, "/runs") == 0)
 		return handle_runs(connection);
 	if (strcmp(path, "/fault") == 0)
--- a/test/standin/fleet_servers.c
+++ b/test/standin/fleet_servers.c
@@ -4,8 +4,10 @@
  * store, with its port plus OFFSET, where a proxy may listen.
  *
  * The servers count violations: requests under /once/ that ran twice, requests without a
- * customer or deadline or with the caller's key, requests to a server that left more than
- * LEAVE_GRACE_US ago, and passes in which ranks have different expert maps.
+ * customer or deadline or with the caller's Authorization header, requests to a server that
+ * left more than LEAVE_GRACE_US ago, and passes in which ranks have different expert maps.
+ *
+ * A request path with /stream/ gets an event stream, one with /slowN a response after N ms.
  *
  *   GET /seen                    counters of all servers
  *   GET /ran                     ids of all attempts that ran
@@ -13,11 +15,22 @@
  *     {"draining":true}          announce that the server drains
  *     {"gone":true}              remove the server from the store
  *     {"back":true}              register the server again
- *     {"fault":F,"count":N}      apply a fault to the next N requests: not_run, error, reset,
- *                                garble, half, extra, unframed, cut or mute
- *     {"order":F,"count":N}      on a rank, apply a fault to the next N orders and close the
- *                                connection: lose (execute), late (execute after a delay) or
- *                                drop (ignore)
+ *     {"fault":F,"count":N}      apply a fault to the next N requests:
+ *       "not_run"                don't count the request, respond with status 503 and
+ *                                Skylarkhead-Not-Executed
+ *       "error"                  respond with status 500
+ *       "reset"                  close the connection without a response
+ *       "garble"                 send an invalid status line, then close
+ *       "half"                   send a part of the body, then close
+ *       "extra"                  send a second response after the first
+ *       "unframed"               send a body without a length, then close
+ *       "cut"                    close a stream within its third event
+ *       "mute"                   wait MUTE_DELAY_US, then close
+ *     {"order":F,"count":N}      on a rank, apply a fault to the next N orders, then close the
+ *                                connection without a response:
+ *       "lose"                   execute the order
+ *       "late"                   execute the order after LATE_ORDER_DELAY_US
+ *       "drop"                   don't execute the order
  */
 #define _GNU_SOURCE
 #include "standin.h"
@@ -60,12 +73,12 @@
 	int64_t n_order_faults;
 	/* Used by ranks only: */
 	int64_t fencing_token;
-	int64_t max_version;
+	int64_t max_version; /* highest version prepared so far */
 	int64_t prepared_version;
 	int64_t ready_us; /* time when the copies of @prepared_map are done */
 	int64_t armed_version;
-	int64_t armed_pass;
-	int64_t held_pass;
+	int64_t armed_pass; /* switches to @prepared_map at this pass */
+	int64_t held_pass;  /* the group does not start this pass; 0 if none */
 	int64_t map_version;
 	json_t *prepared_map; /* of all ranks, like @map */
 	json_t *map;
@@ -86,7 +99,7 @@
 static double expert_counts[MAX_EXPERT_COUNTS];
 static GHashTable *once_attempts; /* attempt ids of requests under /once/ */
 static GHashTable *all_attempts;  /* attempt ids of all requests that ran */
-static int listed_port_offset;
+static int registered_port_offset;
 
 static server_t *find_server(struct mg_connection *connection)
 {
@@ -121,11 +134,11 @@
 	(void)curl_easy_perform(curl);
 }
 
-static void list_server(CURL *curl, const server_t *server)
+static void register_server(CURL *curl, const server_t *server)
 {
 	g_autofree char *key = g_strdup_printf("servers/%s", server->id);
 	g_autofree char *address =
-		g_strdup_printf("127.0.0.1:%d", server->port + listed_port_offset);
+		g_strdup_printf("127.0.0.1:%d", server->port + registered_port_offset);
 	json_t *record = json_pack("{s:s, s:s, s:s, s:s, s:i, s:s, s:i, s:i}", "service",
 				   server->is_engine ? "model" : "ledger", "address", address,
 				   "zone", "a", "version", "v1", "slots", 8, "state",
@@ -155,7 +168,7 @@
 			if (servers[i].is_gone)
 				call_store(curl, "DELETE", path, "");
 			else
-				list_server(curl, &servers[i]);
+				register_server(curl, &servers[i]);
 		}
 		(void)usleep(HEARTBEAT_INTERVAL_US);
 	}
@@ -347,6 +360,7 @@
 			 "sequence", 1);
 }
 
+/* With "lists" in the query, the experts that @rank holds; else the demand of all experts. */
 static json_t *expert_demand_to_json(struct mg_connection *connection, const server_t *rank)
 {
 	const char *query = mg_get_request_info(connection)->query_string;
@@ -548,7 +562,7 @@
 	return list;
 }
 
-static int dispatch_call(struct mg_connection *connection, void *unused)
+static int handle_call(struct mg_connection *connection, void *unused)
 {
 	const char *path = mg_get_request_info(connection)->local_uri;
 	server_t *server = find_server(connection);
@@ -598,7 +612,7 @@
 	}
 	store = argv[1];
 	base = atoi(argv[2]);
-	listed_port_offset = argc == 5 ? atoi(argv[4]) : 0;
+	registered_port_offset = argc == 5 ? atoi(argv[4]) : 0;
 	all_attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	n_ranks = MIN(atoi(argv[3]), MAX_SERVERS - N_PLAIN);
 	once_attempts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -609,5 +623,5 @@
 	(void)curl_global_init(CURL_GLOBAL_DEFAULT);
 	(void)pthread_create(&thread, NULL, run_heartbeat, NULL);
 	(void)pthread_create(&thread, NULL, run_passes, NULL);
-	return standin_serve(ports->str, dispatch_call);
+	return standin_serve(ports->str, handle_call);
 }
--- a/test/standin/fleet_store.c
+++ b/test/standin/fleet_store.c
@@ -47,7 +47,7 @@
 static GMutex lock;
 static GTree *items;	       /* key -> item_t */
 static GArray *history;	       /* event_t */
-static GHashTable *leases;     /* id -> deadline_us, both int64_t */
+static GHashTable *leases;     /* id -> expires_us, both int64_t */
 static GHashTable *lease_ttls; /* id -> TTL in ms, both int64_t */
 static int64_t revision = 5;
 static int64_t next_lease = 100;
@@ -163,19 +163,19 @@
 	g_autoptr(GList) ids = g_hash_table_get_keys(leases);
 
 	for (GList *id = ids; id; id = id->next) {
-		const int64_t *deadline_us = g_hash_table_lookup(leases, id->data);
+		const int64_t *expires_us = g_hash_table_lookup(leases, id->data);
 
-		if (g_get_monotonic_time() > *deadline_us)
+		if (g_get_monotonic_time() > *expires_us)
 			delete_lease(*(int64_t *)id->data);
 	}
 }
 
-static void set_lease_deadline(int64_t id, int64_t ttl_ms)
+static void set_lease_expiry(int64_t id, int64_t ttl_ms)
 {
-	int64_t deadline_us = g_get_monotonic_time() + ttl_ms * US_PER_MS;
+	int64_t expires_us = g_get_monotonic_time() + ttl_ms * US_PER_MS;
 
 	(void)g_hash_table_replace(leases, g_memdup2(&id, sizeof(id)),
-				   g_memdup2(&deadline_us, sizeof(deadline_us)));
+				   g_memdup2(&expires_us, sizeof(expires_us)));
 	(void)g_hash_table_replace(lease_ttls, g_memdup2(&id, sizeof(id)),
 				   g_memdup2(&ttl_ms, sizeof(ttl_ms)));
 }
@@ -304,7 +304,7 @@
 {
 	int64_t ttl_ms = json_integer_value(json_object_get(request, "ttl-ms"));
 
-	set_lease_deadline(++next_lease, ttl_ms);
+	set_lease_expiry(++next_lease, ttl_ms);
 	return json_pack("{s:I, s:I}", "lease", (json_int_t)next_lease, "ttl-ms",
 			 (json_int_t)ttl_ms);
 }
@@ -319,7 +319,7 @@
 		*status = 404;
 		return json_object();
 	}
-	set_lease_deadline(id, ttl_ms);
+	set_lease_expiry(id, ttl_ms);
 	return json_pack("{s:I}", "ttl-ms", (json_int_t)ttl_ms);
 }
 
@@ -327,10 +327,10 @@
 {
 	const char *value = json_string_value(json_object_get(request, "value"));
 	g_autofree char *encoded = NULL;
-	g_autofree char *removed = get_query_text(connection, "key");
+	g_autofree char *removed_key = get_query_text(connection, "key");
 
-	if (removed) {
-		delete_key(removed);
+	if (removed_key) {
+		delete_key(removed_key);
 	} else if (value) {
 		encoded = g_base64_encode((const guchar *)value, strlen(value));
 		put_key(json_string_value(json_object_get(request, "key")), encoded, 0);
@@ -382,7 +382,7 @@
 	return json_object();
 }
 
-/* Returns whether a fault applies to this call, with its mode and delay. */
+/* Returns false if no fault applies to this call; else sets @mode and its delay @ms. */
 static bool consume_fault(const char *path, char *mode, int64_t *ms)
 {
 	if (n_faults <= 0 || !g_str_has_prefix(path, "/v1/") ||
--- a/test/standin/kv.c
+++ b/test/standin/kv.c
@@ -2,13 +2,14 @@
  * Stand-in for the platform's key-value service: the part of the etcd v3 JSON gateway that
  * the product uses.
  *
- *   GET /counts                             number of calls by kind
+ *   GET /counts                             number of range, txn, lease and watch calls; txn
+ *                                           includes puts
  *   POST /fault {"mode":M,"count":N}        apply a fault to the next N calls:
  *     "lose"     execute the call, then close the connection without a response
  *     "drop"     close the connection without executing the call
  *     "stall"    execute the call, but respond "ms" milliseconds later
- *   With "only", a fault applies only to calls whose path contains that text; with "skip",
- *   the first calls of that number are exempt.
+ *   With "only", a fault applies only to calls whose path contains that text; with "skip":K,
+ *   the first K of these calls are exempt.
  */
 #define _GNU_SOURCE
 #include "standin.h"
@@ -22,12 +23,12 @@
 #define US_PER_S      1000000
 #define MAX_EVENTS    100000
 
-typedef struct entry {
+typedef struct item {
 	char *value;
 	int64_t create_revision;
 	int64_t mod_revision;
 	int64_t lease;
-} entry_t;
+} item_t;
 
 typedef struct event {
 	int64_t revision;
@@ -46,7 +47,7 @@
 static GMutex lock;
 static int64_t revision = 1;
 static int64_t next_lease = 1000;
-static GTree *entries;	       /* key -> entry_t */
+static GTree *items;	       /* key -> item_t */
 static GHashTable *leases;     /* lease -> expiry time, int64_t */
 static GHashTable *lease_ttls; /* lease -> TTL in seconds, int64_t */
 static GPtrArray *events;
@@ -97,12 +98,12 @@
 	return strcmp(a, b);
 }
 
-static void free_entry(gpointer item)
+static void free_item(gpointer data)
 {
-	entry_t *entry = item;
+	item_t *item = data;
 
-	g_free(entry->value);
-	g_free(entry);
+	g_free(item->value);
+	g_free(item);
 }
 
 static void record_event(const char *key, const char *value)
@@ -117,20 +118,20 @@
 
 static void put_key(const char *key, const char *value, int64_t lease)
 {
-	entry_t *old_entry = g_tree_lookup(entries, key);
-	entry_t *new_entry = g_new0(entry_t, 1);
+	item_t *old_item = g_tree_lookup(items, key);
+	item_t *new_item = g_new0(item_t, 1);
 
-	new_entry->value = g_strdup(value);
-	new_entry->create_revision = old_entry ? old_entry->create_revision : revision;
-	new_entry->mod_revision = revision;
-	new_entry->lease = lease;
-	g_tree_replace(entries, g_strdup(key), new_entry);
+	new_item->value = g_strdup(value);
+	new_item->create_revision = old_item ? old_item->create_revision : revision;
+	new_item->mod_revision = revision;
+	new_item->lease = lease;
+	g_tree_replace(items, g_strdup(key), new_item);
 	record_event(key, value);
 }
 
 static void delete_key(const char *key)
 {
-	if (g_tree_remove(entries, key))
+	if (g_tree_remove(items, key))
 		record_event(key, NULL);
 }
 
@@ -138,7 +139,7 @@
 {
 	gpointer *context = data;
 
-	if (((entry_t *)value)->lease == *(int64_t *)context[0])
+	if (((item_t *)value)->lease == *(int64_t *)context[0])
 		g_ptr_array_add(context[1], g_strdup(key));
 	return FALSE;
 }
@@ -148,7 +149,7 @@
 	g_autoptr(GPtrArray) keys = g_ptr_array_new_with_free_func(g_free);
 	gpointer context[] = { &lease, keys };
 
-	g_tree_foreach(entries, collect_leased, context);
+	g_tree_foreach(items, collect_leased, context);
 	if (keys->len > 0)
 		revision++;
 	for (guint i = 0; i < keys->len; i++)
@@ -184,15 +185,15 @@
 	return json;
 }
 
-static json_t *pair_to_json(const char *key, const entry_t *entry)
+static json_t *pair_to_json(const char *key, const item_t *item)
 {
 	json_t *json = json_object();
 
 	json_object_set_new(json, "key", encode_base64(key));
-	json_object_set_new(json, "value", encode_base64(entry->value));
-	json_object_set_new(json, "create_revision", int64_to_json(entry->create_revision));
-	json_object_set_new(json, "mod_revision", int64_to_json(entry->mod_revision));
-	json_object_set_new(json, "lease", int64_to_json(entry->lease));
+	json_object_set_new(json, "value", encode_base64(item->value));
+	json_object_set_new(json, "create_revision", int64_to_json(item->create_revision));
+	json_object_set_new(json, "mod_revision", int64_to_json(item->mod_revision));
+	json_object_set_new(json, "lease", int64_to_json(item->lease));
 	return json;
 }
 
@@ -224,12 +225,12 @@
 	g_autofree char *end = decode_field(request, "range_end");
 	range_t range = { from, end, json_array() };
 	json_t *response = json_object();
-	const entry_t *entry = *end ? NULL : g_tree_lookup(entries, from);
+	const item_t *item = *end ? NULL : g_tree_lookup(items, from);
 
-	if (entry)
-		json_array_append_new(range.kvs, pair_to_json(from, entry));
+	if (item)
+		json_array_append_new(range.kvs, pair_to_json(from, item));
 	else if (*end)
-		g_tree_foreach(entries, collect_range, &range);
+		g_tree_foreach(items, collect_range, &range);
 	json_object_set_new(response, "header", make_header());
 	json_object_set_new(response, "count", int64_to_json((int64_t)json_array_size(range.kvs)));
 	json_object_set_new(response, "kvs", range.kvs);
@@ -239,9 +240,9 @@
 static bool is_compare_true(const json_t *compare)
 {
 	g_autofree char *key = decode_field(compare, "key");
-	const entry_t *entry = g_tree_lookup(entries, key);
+	const item_t *item = g_tree_lookup(items, key);
 
-	return (entry ? entry->mod_revision : 0) == get_integer(compare, "mod_revision");
+	return (item ? item->mod_revision : 0) == get_integer(compare, "mod_revision");
 }
 
 static void do_write(const json_t *op)
@@ -288,11 +289,11 @@
 {
 	json_t *response = json_object();
 	bool is_success = true;
-	json_t *item;
+	json_t *compare;
 	size_t i;
 
-	json_array_foreach(json_object_get(request, "compare"), i, item) is_success =
-		is_success && is_compare_true(item);
+	json_array_foreach(json_object_get(request, "compare"), i, compare) is_success =
+		is_success && is_compare_true(compare);
 	json_object_set_new(response, "responses",
 			    do_ops(json_object_get(request, is_success ? "success" : "failure")));
 	json_object_set_new(response, "header", make_header());
@@ -545,7 +546,7 @@
 		(void)fprintf(stderr, "usage: standin-kv ADDRESS:PORT\n");
 		return 2;
 	}
-	entries = g_tree_new_full(compare_keys, NULL, g_free, free_entry);
+	items = g_tree_new_full(compare_keys, NULL, g_free, free_item);
 	leases = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	lease_ttls = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	events = g_ptr_array_new();
--- a/test/standin/plain.c
+++ b/test/standin/plain.c
@@ -4,6 +4,7 @@
  *   POST any path                  append the body as a line, respond with its number;
  *                                  "?delay_ms=N" delays the response
  *   GET /runs                      list all lines
+ *   GET any other path             respond with the path
  *   POST /fault {"hang_up":N}      execute the next N POSTs, but close the connection
  *                                  instead of sending a response
  */
@@ -18,7 +19,7 @@
 
 static GMutex lock;
 static GPtrArray *lines;
-static int64_t hang_up;
+static int64_t n_hang_ups; /* next POSTs that get no response */
 
 static int handle_post(struct mg_connection *connection)
 {
@@ -31,9 +32,9 @@
 	g_mutex_lock(&lock);
 	g_ptr_array_add(lines, body);
 	number = (json_int_t)lines->len;
-	should_hang_up = hang_up > 0;
+	should_hang_up = n_hang_ups > 0;
 	if (should_hang_up)
-		hang_up--;
+		n_hang_ups--;
 	g_mutex_unlock(&lock);
 	if (delay)
 		(void)usleep(
@@ -61,7 +62,7 @@
 	json_t *request = standin_read_json(connection);
 
 	g_mutex_lock(&lock);
-	hang_up = json_integer_value(json_object_get(request, "hang_up"));
+	n_hang_ups = json_integer_value(json_object_get(request, "hang_up"));
 	g_mutex_unlock(&lock);
 	json_decref(request);
 	return standin_answer(connection, 200, json_object());
--- a/test/standin/standin.h
+++ b/test/standin/standin.h
@@ -43,7 +43,7 @@
  * standin_hang_up() - close the connection without a response
  * @connection: connection of the request
  *
- * Return: the result for the handler, which must return after the call.
+ * Return: the value that the handler must return at once.
  */
 int standin_hang_up(struct mg_connection *connection);
 
