--- a/src/attempt_runner.c
+++ b/src/attempt_runner.c
@@ -41,7 +41,7 @@
 	uint64_t credited_bytes;
 	bool is_head_sent;
 	bool is_entry_unreachable; /* a data frame could not be sent */
-	/* Only with an idempotency key: */
+	/* Only of attempts that need a claim: */
 	char *claim_path;
 	skh_claim_t claim;
 	int64_t claim_revision;	 /* mod revision of the stored record; 0 for none */
@@ -57,7 +57,7 @@
 	skh_fetch_t *fetch;
 	skh_backend_t *backend;
 	skh_claim_writer_t *claim_writer;
-	skh_claim_backlog_t *backlog; /* records that could not be written yet */
+	skh_claim_backlog_t *backlog; /* records to write once the key-value service is available */
 	uint64_t n_cancels;	      /* makes the ids of cancel transfers unique */
 	GHashTable *attempts;	      /* id -> attempt_t */
 	GHashTable *entries; /* routing id -> time of the last frame in microseconds, int64_t */
@@ -65,7 +65,7 @@
 	int64_t newest_revision;  /* newest configuration revision reported by any entry */
 	uint64_t crash_id;	  /* latest crash of the backend server; 0 for none */
 	int64_t crash_at_us;
-	bool can_start_waiting;	    /* the gate may start a queued attempt */
+	bool can_start_queued;	    /* the gate may start a queued attempt */
 	skh_phase_t reported_phase; /* last phase sent to the entries */
 };
 
@@ -85,7 +85,7 @@
 	return g_hash_table_lookup(runner->attempts, &id);
 }
 
-static bool has_idempotency_key(const attempt_t *attempt)
+static bool needs_claim(const attempt_t *attempt)
 {
 	const Skh__Start *start = attempt->frame->start;
 
@@ -127,13 +127,13 @@
 
 static void start_attempt(skh_attempt_runner_t *runner, attempt_t *attempt)
 {
-	if (has_idempotency_key(attempt))
+	if (needs_claim(attempt))
 		claim_attempt(runner, attempt);
 	else
 		run_attempt(runner, attempt);
 }
 
-static void start_waiting(skh_attempt_runner_t *runner)
+static void start_queued(skh_attempt_runner_t *runner)
 {
 	uint64_t id;
 
@@ -145,7 +145,7 @@
 {
 	skh_gate_finish(runner->gate, id, started);
 	g_hash_table_remove(runner->attempts, &id);
-	start_waiting(runner);
+	start_queued(runner);
 }
 
 /* Rejects an attempt that the gate started but that did not reach the backend server. */
@@ -155,8 +155,8 @@
 	remove_attempt(runner, attempt->id, false);
 }
 
-static void reject_waiting(skh_attempt_runner_t *runner, uint64_t id, skh_error_kind_t kind,
-			   const char *text)
+static void reject_queued(skh_attempt_runner_t *runner, uint64_t id, skh_error_kind_t kind,
+			  const char *text)
 {
 	attempt_t *attempt = find_attempt(runner, id);
 	skh_error_t err;
@@ -183,7 +183,7 @@
 	submit_claim(runner, attempt);
 }
 
-/* Return: id of the crash behind @err; the same for attempts that end together; 0 for none. */
+/* Return: id of the crash that caused @err; attempts that end together get the same; 0 for none. */
 static uint64_t get_crash_id(skh_attempt_runner_t *runner, const skh_error_t *err)
 {
 	int64_t now_us = skh_clock_now_us();
@@ -231,9 +231,9 @@
 	uint64_t id;
 
 	while ((id = skh_gate_pop_evicted(runner->gate)) != 0)
-		reject_waiting(runner, id, SKH_OVERLOADED,
-			       "evicted from the full queue by a request of higher priority or of "
-			       "a customer below its share");
+		reject_queued(runner, id, SKH_OVERLOADED,
+			      "evicted from the full queue by a request of higher priority or of "
+			      "a customer below its share");
 }
 
 static void on_start(skh_attempt_runner_t *runner, const char *entry, Skh__Frame *frame)
@@ -270,8 +270,8 @@
 		return;
 	decision = skh_gate_cancel(runner->gate, id);
 	if (decision == SKH_GATE_DECISION_REJECT) {
-		reject_waiting(runner, id, SKH_CANCELLED,
-			       "the attempt was cancelled before it started");
+		reject_queued(runner, id, SKH_CANCELLED,
+			      "the attempt was cancelled before it started");
 		return;
 	}
 	/* A non-idempotent attempt runs to its end: a partial run could not be retried. */
@@ -393,7 +393,7 @@
 		return;
 	skh_gate_clear_suspect(runner->gate, attempt->id);
 	/* Start queued attempts later: libcurl accepts no new transfer inside its callback. */
-	runner->can_start_waiting = true;
+	runner->can_start_queued = true;
 }
 
 static void on_bytes(void *context, uint64_t id, int32_t status, const char *content_type,
@@ -408,7 +408,7 @@
 	skh_buffer_clear(&runner->data_buffer);
 	events = runner->backend->ops->parse_chunk(&attempt->parser, content_type, bytes,
 						   &runner->data_buffer);
-	if (has_idempotency_key(attempt))
+	if (needs_claim(attempt))
 		buffer_for_claim(attempt, bytes);
 	if (runner->data_buffer.len > 0)
 		send_data(runner, attempt, skh_buffer_chunk(&runner->data_buffer), status,
@@ -435,7 +435,7 @@
 	/* The first data frame carries the status, so a response without a body needs one, too. */
 	if (!attempt->is_head_sent)
 		send_data(runner, attempt, skh_chunk_from_string(""), status, content_type, 0);
-	if (has_idempotency_key(attempt))
+	if (needs_claim(attempt))
 		record_response(runner, attempt, status, content_type);
 	else
 		end_attempt(runner, attempt, NULL);
@@ -534,6 +534,7 @@
 		release_claim_and_reject(runner, attempt, &err);
 		return;
 	}
+	/* Reset by buffer_for_claim() when the response is too long to be recorded. */
 	attempt->claim.has_response = true;
 	run_attempt(runner, attempt);
 }
@@ -690,13 +691,13 @@
 	if (ready)
 		skh_gate_open(runner->gate);
 	while ((id = skh_gate_reject_next(runner->gate)) != 0)
-		reject_waiting(runner, id, SKH_LEAVING, "the backend server is leaving");
+		reject_queued(runner, id, SKH_LEAVING, "the backend server is leaving");
 	while ((id = skh_gate_expire_next(runner->gate, now_us)) != 0)
-		reject_waiting(runner, id, SKH_OVERLOADED, "the attempt could not start in time");
+		reject_queued(runner, id, SKH_OVERLOADED, "the attempt could not start in time");
 	send_overdue_ends(runner, now_us);
 	submit_backlog(runner, now_us);
 	cancel_undeliverable(runner);
-	start_waiting(runner);
+	start_queued(runner);
 	if (skh_gate_phase(runner->gate) != runner->reported_phase)
 		send_status_to_entries(runner, now_us);
 }
@@ -717,9 +718,9 @@
 void skh_attempt_runner_poll(skh_attempt_runner_t *runner, int64_t deadline_us)
 {
 	skh_fetch_poll(runner->fetch, deadline_us);
-	if (runner->can_start_waiting)
-		start_waiting(runner);
-	runner->can_start_waiting = false;
+	if (runner->can_start_queued)
+		start_queued(runner);
+	runner->can_start_queued = false;
 	handle_claim_results(runner);
 }
 
--- a/src/attempt_runner.h
+++ b/src/attempt_runner.h
@@ -5,10 +5,10 @@
  * DOC: Attempt runner
  *
  * Runs the attempts of one sidecar, from the Start frame to the End frame:
- * admission by the gate, a claim for requests with an idempotency key, the
- * transfer to the backend server, and the response in data frames. It owns the
- * gate, the transfers and the claim writer. One thread makes all calls. Times
- * are in microseconds on the monotonic clock.
+ * admission by the gate, a claim for non-idempotent requests with an
+ * idempotency key, the transfer to the backend server, and the response in data
+ * frames. It owns the gate, the transfers and the claim writer. One thread makes
+ * all calls. Times are in microseconds on the monotonic clock.
  */
 
 #include "backend.h"
--- a/src/gate.c
+++ b/src/gate.c
@@ -10,7 +10,10 @@
 #define MAX_PRIORITIES	  16
 /* Customers over their share can't use 1/RESERVE_DIVISOR of the capacity. */
 #define RESERVE_DIVISOR 8
-/* Attempts that would wait longer than this fraction of their time to start are not queued. */
+/*
+ * Attempts that would wait longer than this fraction of the time to their latest start are not
+ * queued, so that none starts at the last moment.
+ */
 #define MAX_QUEUE_TIME_RATIO 0.25
 /* Weight of a new interval between two starts in the moving average. */
 #define INTERVAL_EWMA_RATIO 0.1
@@ -44,7 +47,7 @@
 	uint64_t running_suspect; /* attempt of the crash suspect that runs; 0 for none */
 	GHashTable *attempts;	  /* attempt id -> attempt_record_t, owned */
 	GPtrArray *waiting;	  /* attempt_record_t, borrowed; unordered; the queue is short */
-	GQueue ended;		  /* attempt_record_t, borrowed; ended or rejected, oldest first */
+	GQueue ended; /* attempt_record_t, borrowed; in order of their end or rejection */
 	skh_fair_queue_t *fair_queue;
 	GQueue evicted; /* attempt_record_t, borrowed; evicted from the queue and not popped yet */
 	/* Start rate while attempts are queued: */
@@ -108,7 +111,7 @@
 		   ATTEMPT_REJECTED);
 }
 
-/* Capacity that is reserved for customers below their share. */
+/* Return: capacity that the customer can't use; it is reserved for those below their share. */
 static uint32_t reserved_capacity(const skh_gate_t *gate, uint64_t customer_hash)
 {
 	return skh_fair_queue_is_over_share(gate->fair_queue, customer_hash, gate->capacity)
@@ -155,7 +158,7 @@
 		gate->running_suspect = record->attempt;
 }
 
-/* Priority after aging; a smaller number starts earlier, and the lowest priority isn't starved. */
+/* Priority after aging, so that the lowest isn't starved; smaller numbers start earlier. */
 static int64_t aged_priority(const attempt_record_t *record, int64_t now_us)
 {
 	return (int64_t)record->priority - (now_us - record->arrived_us) / AGING_INTERVAL_US;
@@ -174,7 +177,7 @@
 	return a->priority != b->priority ? a->priority < b->priority : has_smaller_tag(a, b);
 }
 
-static void reject_waiting(skh_gate_t *gate, attempt_record_t *record)
+static void reject_queued(skh_gate_t *gate, attempt_record_t *record)
 {
 	g_ptr_array_remove_fast(gate->waiting, record);
 	mark_ended(gate, record, ATTEMPT_REJECTED);
@@ -194,7 +197,7 @@
 	return now_us + (int64_t)((double)(ahead + 1) * gate->start_interval_us);
 }
 
-static attempt_record_t *last_waiting(const skh_gate_t *gate)
+static attempt_record_t *last_queued(const skh_gate_t *gate)
 {
 	attempt_record_t *last = NULL;
 
@@ -209,17 +212,18 @@
 
 /*
  * Evicts the last queued attempt from a full queue when the new one precedes it, so that a customer
- * over its share gives way to one below its share.
+ * over its share gives way to one below its share. Return: true when the queue has room for the new
+ * attempt.
  */
-static bool evict_for(skh_gate_t *gate, const attempt_record_t *record)
+static bool make_queue_room(skh_gate_t *gate, const attempt_record_t *record)
 {
-	attempt_record_t *last = last_waiting(gate);
+	attempt_record_t *last = last_queued(gate);
 
 	if (gate->waiting->len < gate->queue_limit)
 		return true;
 	if (!last || !precedes(record, last))
 		return false;
-	reject_waiting(gate, last);
+	reject_queued(gate, last);
 	g_queue_push_tail(&gate->evicted, last);
 	return true;
 }
@@ -231,7 +235,7 @@
 	double remaining_us = (double)(record->start_before_us - now_us);
 	bool can_start_in_time = (double)(start_us - now_us) < remaining_us * MAX_QUEUE_TIME_RATIO;
 
-	if (can_start_in_time && evict_for(gate, record)) {
+	if (can_start_in_time && make_queue_room(gate, record)) {
 		g_ptr_array_add(gate->waiting, record);
 		return SKH_GATE_DECISION_QUEUE;
 	}
@@ -291,7 +295,7 @@
 		return SKH_GATE_DECISION_IGNORE;
 	if (record->state == ATTEMPT_RUNNING)
 		return SKH_GATE_DECISION_ALREADY_STARTED;
-	reject_waiting(gate, record);
+	reject_queued(gate, record);
 	return SKH_GATE_DECISION_REJECT;
 }
 
@@ -390,11 +394,11 @@
  */
 static uint64_t reject_overdue(skh_gate_t *gate, int64_t now_us)
 {
-	attempt_record_t *last = last_waiting(gate);
+	attempt_record_t *last = last_queued(gate);
 
 	if (!last || expected_start_us(gate, last, now_us) < last->start_before_us)
 		return 0;
-	reject_waiting(gate, last);
+	reject_queued(gate, last);
 	return last->attempt;
 }
 
@@ -416,7 +420,7 @@
 		attempt_record_t *record = gate->waiting->pdata[i];
 
 		if (record->start_before_us <= now_us) {
-			reject_waiting(gate, record);
+			reject_queued(gate, record);
 			return record->attempt;
 		}
 	}
@@ -440,7 +444,7 @@
 	if (gate->phase != SKH_PHASE_LEAVING || gate->waiting->len == 0)
 		return 0;
 	record = gate->waiting->pdata[0];
-	reject_waiting(gate, record);
+	reject_queued(gate, record);
 	return record->attempt;
 }
 
--- a/src/gate.h
+++ b/src/gate.h
@@ -9,7 +9,7 @@
  * calls and passes the time in microseconds on the sidecar's clock.
  *
  * Guarantees: an attempt starts at most once, and a rejected attempt never
- * starts, also when a copy of its Start frame arrives again or late.
+ * starts, even when its Start frame arrives again or late.
  *
  * Memory is bounded without synchronised clocks: each attempt names its latest
  * start on this sidecar's clock, and its outcome is retained for
@@ -32,7 +32,7 @@
 
 /** enum skh_gate_decision - what the owner does with an attempt */
 typedef enum skh_gate_decision {
-	SKH_GATE_DECISION_START,	  /* dispatch to the backend server now */
+	SKH_GATE_DECISION_START,	  /* start at the backend server now */
 	SKH_GATE_DECISION_QUEUE,	  /* queued; skh_gate_start_next() returns it */
 	SKH_GATE_DECISION_REJECT,	  /* send the entry a rejection; never starts */
 	SKH_GATE_DECISION_IGNORE,	  /* already decided or past retention; send nothing */
@@ -123,11 +123,15 @@
 /**
  * skh_gate_clear_suspect() - @attempt ran long enough not to be treated as a crash suspect
  *
- * A gate runs one crash suspect at a time; afterwards another may start.
+ * A gate runs one crash suspect (suspect.h) at a time; afterwards another may start.
  */
 void skh_gate_clear_suspect(skh_gate_t *gate, uint64_t attempt);
 
-/** skh_gate_set_leaving() - reject new attempts while @leaving; then skh_gate_open() is needed */
+/**
+ * skh_gate_set_leaving() - set whether new attempts are rejected as leaving
+ *
+ * A gate that stops leaving rejects attempts as starting until skh_gate_open().
+ */
 void skh_gate_set_leaving(skh_gate_t *gate, bool leaving);
 
 /** skh_gate_reject_next() - while leaving, remove one queued attempt to be rejected; 0 for none */
--- a/src/http_client.h
+++ b/src/http_client.h
@@ -4,8 +4,9 @@
 /**
  * DOC: HTTP client
  *
- * Blocking HTTP GET requests over libcurl, for the commands. Each call opens a
- * connection of its own on the calling thread and times out after 2 s.
+ * Blocking HTTP GET requests over libcurl, for the command line tools. Each
+ * call opens a connection of its own on the calling thread and times out after
+ * 2 s.
  */
 
 #include "buffer.h"
--- a/src/link.c
+++ b/src/link.c
@@ -20,12 +20,12 @@
 #define PART		    "link"
 #define TICK_INTERVAL_MS    100
 #define ASK_INTERVAL_US	    (2 * SKH_US_PER_S)
-#define MAX_FRAMES_PER_POLL 256 /* bounds the time between two checks of the tick */
+#define MAX_FRAMES_PER_POLL 256 /* bounds the delay of a tick that is due */
 
 /* A frame queued for a sidecar. */
 typedef struct outgoing {
 	struct cds_wfcq_node node;
-	char *peer;
+	char *peer_id;
 	uint64_t start_attempt; /* attempt id when the frame is a Start; else 0 */
 	skh_buffer_t bytes;
 } outgoing_t;
@@ -63,22 +63,22 @@
 static void free_outgoing(outgoing_t *item)
 {
 	skh_buffer_free(&item->bytes);
-	g_free(item->peer);
+	g_free(item->peer_id);
 	g_free(item);
 }
 
-static outgoing_t *new_outgoing(skh_link_t *link, const char *peer, Skh__Frame *frame)
+static outgoing_t *new_outgoing(skh_link_t *link, const char *peer_id, Skh__Frame *frame)
 {
 	outgoing_t *item = g_new0(outgoing_t, 1);
 
 	frame->version = SKH_WIRE_VERSION;
 	frame->revision = (uint64_t)skh_board_config_revision(link->board);
-	item->peer = g_strdup(peer);
+	item->peer_id = g_strdup(peer_id);
 	skh_wire_pack(frame, &item->bytes);
 	return item;
 }
 
-static void enqueue_frame(skh_link_t *link, outgoing_t *item)
+static void enqueue_outgoing(skh_link_t *link, outgoing_t *item)
 {
 	const uint64_t one = 1;
 
@@ -88,17 +88,17 @@
 		skh_log(SKH_LOG_ERROR, PART, "Waking the link thread failed.", "errno=%d", errno);
 }
 
-static void send_frame(skh_link_t *link, const char *peer, Skh__Frame *frame)
+static void enqueue_frame(skh_link_t *link, const char *peer_id, Skh__Frame *frame)
 {
-	enqueue_frame(link, new_outgoing(link, peer, frame));
+	enqueue_outgoing(link, new_outgoing(link, peer_id, frame));
 }
 
 /* Return: false when the peer is not connected, which ZMQ_ROUTER_MANDATORY reports. */
 static bool transmit_frame(skh_link_t *link, const outgoing_t *item)
 {
-	size_t peer_len = strlen(item->peer);
+	size_t peer_id_len = strlen(item->peer_id);
 
-	if (zmq_send(link->router, item->peer, peer_len, ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0)
+	if (zmq_send(link->router, item->peer_id, peer_id_len, ZMQ_SNDMORE | ZMQ_DONTWAIT) < 0)
 		return false;
 	if (zmq_send(link->router, item->bytes.data, item->bytes.len, ZMQ_DONTWAIT) < 0)
 		return false;
@@ -223,15 +223,15 @@
 /* A message consists of the peer's id and the frame; any other message is dropped. */
 static bool receive_frame(skh_link_t *link)
 {
-	char peer[SKH_WIRE_MAX_NAME_BYTES + 1];
+	char peer_id[SKH_WIRE_MAX_NAME_BYTES + 1];
 	zmq_msg_t body;
 	skh_error_t err;
 	Skh__Frame *frame = NULL;
-	int len = zmq_recv(link->router, peer, sizeof(peer) - 1, ZMQ_DONTWAIT);
+	int len = zmq_recv(link->router, peer_id, sizeof(peer_id) - 1, ZMQ_DONTWAIT);
 
 	if (len < 0)
 		return false;
-	peer[MIN(len, (int)sizeof(peer) - 1)] = '\0';
+	peer_id[MIN(len, (int)sizeof(peer_id) - 1)] = '\0';
 	(void)zmq_msg_init(&body);
 	if (zmq_msg_recv(&body, link->router, ZMQ_DONTWAIT) >= 0) {
 		frame = skh_wire_unpack(skh_chunk_make(zmq_msg_data(&body), zmq_msg_size(&body)),
@@ -242,7 +242,7 @@
 	}
 	(void)zmq_msg_close(&body);
 	if (frame)
-		deliver_frame(link, peer, frame);
+		deliver_frame(link, peer_id, frame);
 	else
 		skh_metrics_add(SKH_COUNT_BAD_FRAMES, 1);
 	return true;
@@ -329,7 +329,7 @@
 		ask.incarnation = pending->incarnation;
 		frame.body_case = SKH__FRAME__BODY_ASK;
 		frame.ask = &ask;
-		send_frame(link, pending->peer->id, &frame);
+		enqueue_frame(link, pending->peer->id, &frame);
 	}
 }
 
@@ -347,7 +347,7 @@
 		if (skh_peers_is_lost(peer, now_us)) {
 			skh_log(SKH_LOG_WARNING, PART,
 				"Sidecar with requests in flight is silent past its timeout; "
-				"idempotent ones are retried.",
+				"idempotent requests are retried.",
 				"sidecar=%s", peer->id);
 			skh_peers_set_lost(peer, now_us);
 			push_lost_events(link, peer, SKH_SIDECAR_LOSS_SILENT);
@@ -486,7 +486,7 @@
 	outgoing_t *item;
 	skh_peer_t *peer;
 
-	/* The top bit marks a sidecar's own transfers, SKH_WIRE_LOCAL_TRANSFER_BIT. */
+	/* The top bit stays clear: SKH_WIRE_LOCAL_TRANSFER_BIT marks a sidecar's own transfers. */
 	dispatched->attempt = (skh_random_u64() >> 1) | 1;
 	start->attempt = dispatched->attempt;
 	g_mutex_lock(&link->lock);
@@ -505,7 +505,7 @@
 	frame.start = start;
 	item = new_outgoing(link, dispatched->peer_id, &frame);
 	item->start_attempt = dispatched->attempt;
-	enqueue_frame(link, item);
+	enqueue_outgoing(link, item);
 	skh_metrics_add(SKH_COUNT_ATTEMPTS, 1);
 	return true;
 }
@@ -559,7 +559,7 @@
 	cancel_body.attempt = dispatched->attempt;
 	frame.body_case = SKH__FRAME__BODY_CANCEL;
 	frame.cancel = &cancel_body;
-	send_frame(link, dispatched->peer_id, &frame);
+	enqueue_frame(link, dispatched->peer_id, &frame);
 	skh_metrics_add(SKH_COUNT_CANCELS, 1);
 }
 
@@ -573,7 +573,7 @@
 	credit.bytes = bytes;
 	frame.body_case = SKH__FRAME__BODY_CREDIT;
 	frame.credit = &credit;
-	send_frame(link, dispatched->peer_id, &frame);
+	enqueue_frame(link, dispatched->peer_id, &frame);
 }
 
 void skh_link_for_each_peer(skh_link_t *link, void (*fn)(const skh_peer_t *peer, void *context),
--- a/src/request_fsm.c
+++ b/src/request_fsm.c
@@ -21,7 +21,7 @@
 static skh_request_action_t fail(skh_request_fsm_t *fsm, const skh_error_t *cause)
 {
 	fsm->error = *cause;
-	/* The caller already holds part of the response, whatever error the backend server had. */
+	/* The caller has received part of the response: any cause but the deadline is a cut-off. */
 	if (fsm->is_streaming && fsm->forwarded_events > 0 && cause->kind != SKH_DEADLINE_PASSED)
 		fsm->error.kind = SKH_CUT_OFF;
 	fsm->error.run_state = skh_request_fsm_run_state(fsm);
@@ -77,7 +77,7 @@
 	return SKH_REQUEST_ACTION_DISPATCH;
 }
 
-/* Ends an attempt that may have run without a complete response; retries or fails the request. */
+/* The current attempt may have run and has no complete response: retries or fails the request. */
 static skh_request_action_t fail_attempt(skh_request_fsm_t *fsm, const skh_error_t *cause)
 {
 	bool was_running = fsm->state == SKH_REQUEST_FSM_RUNNING;
@@ -183,6 +183,7 @@
 		return SKH_REQUEST_ACTION_WAIT;
 	if (fsm->state == SKH_REQUEST_FSM_SENT)
 		fsm->may_have_run = true;
+	/* The attempt may have started without ending: whether the request ran is unknown. */
 	if (fsm->state == SKH_REQUEST_FSM_RUNNING && !fsm->idempotent) {
 		fsm->state = SKH_REQUEST_FSM_SENT;
 		fsm->may_have_run = true;
--- a/src/request_fsm.h
+++ b/src/request_fsm.h
@@ -43,7 +43,7 @@
 typedef enum skh_request_action {
 	SKH_REQUEST_ACTION_DISPATCH, /* select a sidecar and send it an attempt */
 	SKH_REQUEST_ACTION_WAIT,     /* wait for the next event or the deadline */
-	SKH_REQUEST_ACTION_FORWARD,  /* forward the data frame to the caller, then wait */
+	SKH_REQUEST_ACTION_FORWARD,  /* forward or buffer the data frame, then wait */
 	SKH_REQUEST_ACTION_FINISH,   /* the response is complete */
 	SKH_REQUEST_ACTION_FAIL	     /* respond with @error of the state machine */
 } skh_request_action_t;
@@ -59,11 +59,11 @@
  * @forwarded_events: complete stream events forwarded to the caller; the owner resets the count
  *                    when it discards a response that the caller has not seen
  * @dispatches: attempts sent so far
- * @may_queue: set by the owner when no server has free capacity: attempts may be queued
+ * @may_queue: set by the owner when it found no server with free capacity: attempts may be queued
  * @overload_rejections: rejections as overloaded since @may_queue was set
  * @losses: attempts that were sent and then lost or failed, other than by silence
  * @silent_losses: attempts abandoned because their sidecar was silent past its timeout
- * @may_have_run: an earlier attempt was lost without proof that it did not run
+ * @may_have_run: an attempt was lost or failed without proof that it did not run
  * @has_run: an earlier attempt, or the one that ended, is known to have run
  * @error: cause of the failure, once the action is SKH_REQUEST_ACTION_FAIL
  */
@@ -85,7 +85,7 @@
 	skh_error_t error;
 } skh_request_fsm_t;
 
-/* Limits per request; the request fails when one of the counts above reaches its limit. */
+/* Limits per request: no attempt is dispatched once a count above has reached its limit. */
 #define SKH_REQUEST_FSM_MAX_DISPATCHES		16
 #define SKH_REQUEST_FSM_MAX_LOSSES		2
 #define SKH_REQUEST_FSM_MAX_SILENT_LOSSES	3
--- a/src/serve.c
+++ b/src/serve.c
@@ -49,7 +49,7 @@
 {
 	int64_t remaining_us = request->deadline_us - now_us;
 
-	/* Half of the remaining time: a rejected attempt leaves time for a retry elsewhere. */
+	/* A queued attempt is rejected at half of the remaining time, to be retried elsewhere. */
 	return MIN(now_us + MAX(remaining_us / 2, MIN_START_WINDOW_US), request->deadline_us);
 }
 
@@ -66,7 +66,7 @@
 	serving->query.n_tried++;
 }
 
-/* No server has free capacity: those that rejected the request are eligible again to queue it. */
+/* Makes the servers that rejected the request as overloaded eligible again, now to queue it. */
 static void allow_queueing(serving_t *serving)
 {
 	size_t n_kept = 0;
@@ -291,7 +291,10 @@
 	return event->type == SKH_ATTEMPT_EVENT_NOT_SENT;
 }
 
-/* Return: id of the crash that ended the current attempt, according to @event; 0 for none. */
+/*
+ * Return: id of the crash that @event reports for the current attempt; 0 for none. The crash of a
+ * lost sidecar has its incarnation as id, the same for all requests that were running there.
+ */
 static uint64_t get_crash_id(const serving_t *serving, const skh_attempt_event_t *event)
 {
 	if (event->attempt != serving->dispatched.attempt)
--- a/src/serve.h
+++ b/src/serve.h
@@ -21,7 +21,7 @@
 
 /**
  * struct skh_entry_request - one request as parsed by the entry; all texts and bytes borrowed
- * @weight: share of the customer
+ * @weight: relative share of the customer
  * @failure_domain: failure domain of this entry
  * @idempotency_key: "" for none
  * @prefix_hash: hash of the prompt's start; 0 for no affinity
--- a/test/gate_test.cc
+++ b/test/gate_test.cc
@@ -112,7 +112,7 @@
 }
 
 // A copy of a Start frame that arrived after the attempt had ended and its record had been evicted
-// was rejected, which reports "not run". Found by make soak, seed 1925.
+// was rejected, which reports "not run" although the attempt ran. Found by make soak, seed 1925.
 TEST(Gate, ALateCopyOfAnEndedAttemptIsNeverRejected)
 {
 	GatePtr gate = open_gate(1, 1);
@@ -170,7 +170,7 @@
 	EXPECT_EQ(skh_gate_expire_next(gate.get(), 50), 2U);
 }
 
-// Reference model: keeps all outcomes without eviction.
+// Reference model, with which the gate must agree: keeps all outcomes without eviction.
 struct ReferenceModel {
 	std::set<uint64_t> started;
 	std::set<uint64_t> rejected;
--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -1,7 +1,8 @@
 // Simulates callers, entries, sidecars, a network and a key-value service in virtual time, with
-// random faults. Entries and sidecars use the product's state machine, gate, claim and batch code.
-// Guards against a request that runs twice, a wrong report of whether it ran, and a response that
-// is incomplete or belongs to another request. The check must detect each injected fault.
+// random faults that may coincide. Entries and sidecars use the product's state machine, gate,
+// claim and batch code. Guards against a request that runs twice, a wrong report of whether it ran,
+// and a response that is incomplete or belongs to another request. The check must detect each
+// injected fault.
 #include "batch.h"
 #include "claim.h"
 #include "clock.h"
@@ -45,7 +46,7 @@
 struct Request {
 	int id = 0;
 	std::string key; // empty for none
-	int content = 0; // the same for all requests with a key
+	int content = 0; // the same for all requests with the same key
 	bool is_streaming = false;
 	size_t entry = 0;
 	skh_request_fsm_t fsm = {};
@@ -77,7 +78,7 @@
 	std::unique_ptr<skh_gate_t, decltype(&skh_gate_free)> gate{ nullptr, skh_gate_free };
 	uint64_t incarnation = 0;
 	int64_t clock_offset_us = 0;
-	int64_t frozen_until_us = 0;
+	int64_t stalled_until_us = 0;
 	std::map<uint64_t, Attempt> attempts;
 };
 
@@ -177,7 +178,7 @@
 			crash(index);
 			break;
 		case 1:
-			sidecar.frozen_until_us = now_us + random_below(8000) * kUsPerMs;
+			sidecar.stalled_until_us = now_us + random_below(8000) * kUsPerMs;
 			break;
 		case 2:
 			store.down = true;
@@ -191,7 +192,7 @@
 			store.drop_txn = store.n_txns + 1;
 			break;
 		default:
-			n_hang_ups++;
+			n_backend_failures++;
 			break;
 		}
 	}
@@ -214,7 +215,7 @@
 
 	void schedule_requests(int content)
 	{
-		const int kind = random_below(3);
+		const int kind = random_below(3); // 0: with a key, 1: without, 2: streaming
 		const std::string key = kind == 0 ? "key-" + std::to_string(content) : "";
 		const int n_requests = key.empty() ? 1 : 1 + random_below(3);
 
@@ -304,7 +305,8 @@
 		schedule_after(2500 * kUsPerMs, [this, id, attempt] { ask_status(id, attempt); });
 	}
 
-	// A connection leads to one process, so a second copy can't reach a restarted process.
+	// A connection leads to one process, so a second copy of the frame can't reach the process
+	// that replaced it.
 	void send_start(size_t index, const Attempt &attempt)
 	{
 		auto has_arrived = std::make_shared<bool>(false);
@@ -326,7 +328,7 @@
 		if (request.has_ended || request.fsm.attempt != attempt.id)
 			return;
 		schedule_after(2500 * kUsPerMs, [this, id, attempt] { ask_status(id, attempt); });
-		if (sidecars[index].frozen_until_us > now_us) {
+		if (sidecars[index].stalled_until_us > now_us) {
 			report_loss(id, attempt.id, false);
 			return;
 		}
@@ -353,29 +355,29 @@
 	{
 		skh_error_t err;
 
-		(void)skh_error_set(&err, kind, "in a history");
+		(void)skh_error_set(&err, kind, "simulated error");
 		return err;
 	}
 
 	// Sidecars.
 
-	void run_when_awake(size_t index, uint64_t incarnation, std::function<void()> action)
+	void run_after_stall(size_t index, uint64_t incarnation, std::function<void()> action)
 	{
 		if (sidecars[index].incarnation != incarnation)
 			return;
-		if (sidecars[index].frozen_until_us <= now_us) {
+		if (sidecars[index].stalled_until_us <= now_us) {
 			action();
 			return;
 		}
-		schedule_at(sidecars[index].frozen_until_us, [this, index, incarnation, action] {
-			run_when_awake(index, incarnation, action);
+		schedule_at(sidecars[index].stalled_until_us, [this, index, incarnation, action] {
+			run_after_stall(index, incarnation, action);
 		});
 	}
 
 	void receive_start(size_t index, const Attempt &attempt)
 	{
-		run_when_awake(index, sidecars[index].incarnation,
-			       [this, index, attempt] { admit(index, attempt); });
+		run_after_stall(index, sidecars[index].incarnation,
+				[this, index, attempt] { admit(index, attempt); });
 	}
 
 	void admit(size_t index, const Attempt &attempt)
@@ -407,13 +409,13 @@
 		if (decision == SKH_GATE_DECISION_QUEUE)
 			schedule_at(now_us + 4 * kUsPerSecond,
 				    [this, index, incarnation = attempt.incarnation] {
-					    run_when_awake(index, incarnation, [this, index] {
-						    expire_waiting(index);
+					    run_after_stall(index, incarnation, [this, index] {
+						    expire_queued(index);
 					    });
 				    });
 	}
 
-	void expire_waiting(size_t index)
+	void expire_queued(size_t index)
 	{
 		Sidecar &sidecar = sidecars[index];
 		uint64_t id;
@@ -479,7 +481,7 @@
 
 		/* The sidecar may crash or stall between the write and its result. */
 		schedule_after(random_below(40) * kUsPerMs, [this, index, id, incarnation, write] {
-			run_when_awake(index, incarnation, [this, index, id, write] {
+			run_after_stall(index, incarnation, [this, index, id, write] {
 				on_claim_written(index, id, write);
 			});
 			if (sidecars[index].incarnation != incarnation)
@@ -566,31 +568,33 @@
 	void execute(size_t index, const Attempt &attempt)
 	{
 		const uint64_t incarnation = sidecars[index].incarnation;
-		const std::string response = "sold-" + std::to_string(runs.size());
-		const bool hang_up = n_hang_ups > 0 && random_below(2) == 0;
+		const std::string response = "response-" + std::to_string(runs.size());
+		const bool backend_fails = n_backend_failures > 0 && random_below(2) == 0;
 
-		n_hang_ups -= hang_up;
+		n_backend_failures -= backend_fails;
 		send_started(attempt);
 		if (attempt.is_streaming) {
-			schedule_token(index, attempt, attempt.first_token, incarnation, hang_up);
+			schedule_token(index, attempt, attempt.first_token, incarnation,
+				       backend_fails);
 			return;
 		}
 		runs.push_back({ attempt.id, attempt.request_id, attempt.key, response });
 		schedule_after(random_below(3000) * kUsPerMs, [this, index, attempt, incarnation,
-							       response, hang_up] {
-			run_when_awake(index, incarnation,
-				       [this, index, attempt, response, hang_up] {
-					       on_executed(index, attempt, response, hang_up);
-				       });
+							       response, backend_fails] {
+			run_after_stall(index, incarnation,
+					[this, index, attempt, response, backend_fails] {
+						on_executed(index, attempt, response,
+							    backend_fails);
+					});
 		});
 	}
 
 	void on_executed(size_t index, const Attempt &attempt, const std::string &response,
-			 bool hang_up)
+			 bool backend_fails)
 	{
 		if (sidecars[index].attempts.count(attempt.id) == 0)
 			return;
-		if (hang_up) {
+		if (backend_fails) {
 			end_attempt(index, attempt.id, SKH_BACKEND_FAILED);
 			return;
 		}
@@ -606,35 +610,35 @@
 	}
 
 	void schedule_token(size_t index, const Attempt &attempt, int token, uint64_t incarnation,
-			    bool hang_up)
+			    bool backend_fails)
 	{
 		schedule_after(random_below(800) * kUsPerMs, [this, index, attempt, token,
-							      incarnation, hang_up] {
-			run_when_awake(index, incarnation,
-				       [this, index, attempt, token, incarnation, hang_up] {
-					       emit_token(index, attempt, token, incarnation,
-							  hang_up);
-				       });
+							      incarnation, backend_fails] {
+			run_after_stall(index, incarnation,
+					[this, index, attempt, token, incarnation, backend_fails] {
+						emit_token(index, attempt, token, incarnation,
+							   backend_fails);
+					});
 		});
 	}
 
 	void emit_token(size_t index, const Attempt &attempt, int token, uint64_t incarnation,
-			bool hang_up)
+			bool backend_fails)
 	{
 		if (sidecars[index].attempts.count(attempt.id) == 0)
 			return;
-		if (token == kStreamTokens || (hang_up && token == kStreamTokens / 2)) {
+		if (token == kStreamTokens || (backend_fails && token == kStreamTokens / 2)) {
 			end_attempt(index, attempt.id,
 				    token == kStreamTokens ? SKH_OK : SKH_BACKEND_FAILED);
 			return;
 		}
 		send_data(attempt, std::to_string(token), 1);
-		schedule_token(index, attempt, token + 1, incarnation, hang_up);
+		schedule_token(index, attempt, token + 1, incarnation, backend_fails);
 	}
 
 	void resolve_ask(size_t index, const Attempt &attempt)
 	{
-		run_when_awake(index, sidecars[index].incarnation, [this, index, attempt] {
+		run_after_stall(index, sidecars[index].incarnation, [this, index, attempt] {
 			Sidecar &sidecar = sidecars[index];
 
 			switch (skh_gate_resolve(sidecar.gate.get(), attempt.id,
@@ -784,7 +788,7 @@
 	FakeStore store;
 	uint64_t last_incarnation = 0;
 	uint64_t last_attempt = 0;
-	int n_hang_ups = 0;
+	int n_backend_failures = 0; // still to be injected
 };
 
 const uint32_t kSeeds = seeds_or(600);
--- a/test/request_fsm_test.cc
+++ b/test/request_fsm_test.cc
@@ -84,7 +84,7 @@
 	EXPECT_EQ(fsm.error.run_state, SKH_RUN_NOT_RUN);
 }
 
-TEST(RequestFsm, ARejectionAfterStartedIsNotRun)
+TEST(RequestFsm, ARejectionAfterStartedReportsNotRun)
 {
 	skh_request_fsm_t fsm = make_fsm(false, false);
 	skh_error_t err = make_error(SKH_NO_BACKEND);
@@ -154,7 +154,7 @@
 	EXPECT_EQ(skh_request_fsm_on_end(&fsm, 7, 1, nullptr), SKH_REQUEST_ACTION_FINISH);
 }
 
-TEST(RequestFsm, NoFrameBeforeTheDeadlineIsUnknownNotNotRun)
+TEST(RequestFsm, NoFrameBeforeTheDeadlineReportsUnknown)
 {
 	for (bool idempotent : { false, true }) {
 		skh_request_fsm_t fsm = make_fsm(idempotent, false);
@@ -166,7 +166,7 @@
 	}
 }
 
-TEST(RequestFsm, ADeadlineBeforeAnyAttemptIsNotRun)
+TEST(RequestFsm, ADeadlineBeforeAnyAttemptReportsNotRun)
 {
 	skh_request_fsm_t fsm = make_fsm(true, false);
 
