--- a/src/attempt_runner.c
+++ b/src/attempt_runner.c
@@ -11,9 +11,9 @@
 #include <inttypes.h>
 #include <string.h>
 
-#define ENTRY_EXPIRY_US	  (300 * SKH_US_PER_S)
-#define RECORD_TIMEOUT_US (1 * SKH_US_PER_S)
-#define CLAIM_INTERVAL_US (20 * SKH_US_PER_MS)
+#define ENTRY_EXPIRY_US		(300 * SKH_US_PER_S)
+#define RECORD_TIMEOUT_US	(1 * SKH_US_PER_S)
+#define CLAIM_BATCH_INTERVAL_US (20 * SKH_US_PER_MS)
 /* Connections that close within this time are attributed to the same crash. */
 #define SAME_CRASH_WINDOW_US (5 * SKH_US_PER_S)
 /* A crash suspect that has produced this many stream events no longer counts as one. */
@@ -756,7 +756,7 @@
 	runner->attempts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_attempt);
 	runner->entries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	runner->fetch = skh_fetch_new(&fetch_ops, runner);
-	runner->claim_writer = skh_claim_writer_start(store, CLAIM_INTERVAL_US);
+	runner->claim_writer = skh_claim_writer_start(store, CLAIM_BATCH_INTERVAL_US);
 	runner->backlog = skh_claim_backlog_new();
 	runner->backend = backend;
 	skh_fetch_watch_fd(runner->fetch, skh_sidecar_link_fd(link));
--- a/src/request_fsm.c
+++ b/src/request_fsm.c
@@ -137,7 +137,7 @@
 	return fail_attempt_unknown(fsm, "a data frame of the response was lost in transit");
 }
 
-/* Rejections that depend on the state of one sidecar; another one may accept the attempt. */
+/* Rejections that depend on the state of one sidecar; another one may accept the request. */
 static bool may_succeed_elsewhere(skh_error_kind_t kind)
 {
 	return kind == SKH_OVERLOADED || kind == SKH_NO_BACKEND || kind == SKH_LEAVING ||
--- a/src/serve.h
+++ b/src/serve.h
@@ -54,7 +54,8 @@
  * struct skh_response_sink_ops - writes a response to the caller
  *
  * A response is either begin(), write()... and end(), or one send_complete(). Functions that return
- * bool return false when the caller's connection is closed.
+ * bool return false when the caller's connection is closed. A replayed response was recorded by an
+ * earlier run.
  */
 typedef struct skh_response_sink_ops {
 	bool (*begin)(skh_response_sink_t *sink, int32_t status, const char *content_type);
--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -42,7 +42,7 @@
 constexpr int kStreamTokens = 6;
 constexpr int kMaxEvents = 100000;
 
-// One message of a caller and its result. A caller retries with another request of the same key.
+// One request of a caller and its result. A caller retries with another request of the same key.
 struct Request {
 	int id = 0;
 	std::string key; // empty for none
@@ -319,7 +319,7 @@
 		});
 	}
 
-	// The entry has received no frame of the attempt for a while.
+	// Asks for the state of the attempt periodically, or reports the loss of a stalled sidecar.
 	void ask_status(int id, const Attempt &attempt)
 	{
 		Request &request = request_of(id);
