--- a/src/serve.h
+++ b/src/serve.h
@@ -21,7 +21,7 @@
 
 /**
  * struct skh_entry_request - one request as parsed by the entry; all texts and bytes borrowed
- * @weight: share of the customer
+ * @weight: relative share of the customer
  * @failure_domain: failure domain of this entry
  * @idempotency_key: "" for none
  * @prefix_hash: hash of the prompt's start; 0 for no affinity
@@ -54,7 +54,8 @@
  * struct skh_response_sink_ops - writes a response to the caller
  *
  * A response is either begin(), write()... and end(), or one send_complete(). Functions that return
- * bool return false when the caller's connection is closed.
+ * bool return false when the caller's connection is closed. A replayed response was recorded by an
+ * earlier run.
  */
 typedef struct skh_response_sink_ops {
 	bool (*begin)(skh_response_sink_t *sink, int32_t status, const char *content_type);
