--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Wraps CMake. Targets that build or test first install the Debian packages that are missing.
+# Wraps CMake. Targets that build, test or lint first install the Debian packages that are missing.
 
 BUILD ?= build
 BUILD_TEST ?= build-test
--- a/model/expert_map.pml
+++ b/model/expert_map.pml
@@ -1,9 +1,10 @@
 /*
  * Model of an expert map switch in a group (src/rank.c, src/mapswitch.c).
  *
- * RANKS ranks receive orders from two successive coordinators. The first coordinator may pause
- * at any point and resume after the second one has started. Messages may be lost, delayed or
- * delivered twice. Engines ignore fencing tokens. An engine step starts on all ranks or on none.
+ * RANKS ranks receive orders from two successive coordinators, 1 and 2. Coordinator c has the
+ * fencing token c and switches the ranks to map version c. The first coordinator may pause at any
+ * point and resume after the second one has started. Messages may be lost, delayed or delivered
+ * twice. Engines ignore fencing tokens. An engine step starts on all ranks or on none.
  *
  * Property: no engine step starts while ranks use different maps. With -DNO_FENCE the ranks
  * ignore fencing tokens, and the property must fail.
@@ -28,7 +29,10 @@
 #define HAS_MAP_OF(c, r) (map_version[r] == c)
 #endif
 
-/* At most one message is in flight from each coordinator to each rank. */
+/*
+ * Messages from one coordinator to each rank, at most one in flight to a rank. The array is indexed
+ * by the coordinator; entry 0 is unused.
+ */
 typedef Mailbox {
 	byte step[RANKS];
 	bool confirmed[RANKS];
@@ -71,13 +75,13 @@
 	}
 }
 
-inline send_all(c, order)
+inline send_all(c, switch_step)
 {
 	atomic {
 		i = 0;
 		do
 		:: i < RANKS ->
-			mailbox[c].step[i] = order;
+			mailbox[c].step[i] = switch_step;
 			mailbox[c].confirmed[i] = false;
 			i++
 		:: else -> break
@@ -87,7 +91,7 @@
 
 inline wait_all_confirmed(c)
 {
-	/* Blocks forever when an order is never confirmed; the coordinator then stops here. */
+	/* Blocks forever when a rank never confirms. Covers two ranks, as does init: RANKS must be 2. */
 	(mailbox[c].confirmed[0] && mailbox[c].confirmed[RANKS - 1]);
 }
 
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Starts all processes on loopback, sends requests and stops the processes cleanly.
+# Starts a complete system on loopback, sends requests and stops its processes cleanly.
 # Exits 0 only if every response was complete.
 set -u
 BUILD=${BUILD:-build}
@@ -36,7 +36,7 @@
 ask 1 /services/ledger/sales -d '{"part":"gearbox"}' -w '\n' | tee "$WORK/sale.txt"
 grep -q '"line":1' "$WORK/sale.txt" || fail "the ledger did not record the sale as line 1"
 
-echo "== a backend server leaves while long responses stream"
+echo "== a sidecar is stopped while long responses stream"
 body='{"model":"spares-7b","stream":true,"max_tokens":400,"messages":[]}'
 for i in 1 2 3; do
 	ask 1 /v1/chat/completions -N -d "${body/\[\]/[{\"content\":\"draft $i\"\}]}" >"$WORK/long-$i.txt" &
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -36,6 +36,7 @@
 		"${3:+,$3}" "$engine" "${2:-\"k1\"}"
 }
 
+# Prints the settings file of a gateway.
 gateway_settings() { # number
 	cat <<-TOML
 		[instance]
@@ -61,6 +62,7 @@
 	TOML
 }
 
+# Prints the settings file of the balancer beside a rank.
 balancer_settings() { # rank
 	cat <<-TOML
 		[instance]
@@ -103,7 +105,7 @@
 
 gateway_is_ready() { curl -sf "http://127.0.0.1:$(($(gateway_port "$1") + 1))/readyz"; }
 
-wait_fleet() {
+wait_fleet_ready() {
 	local i
 	for ((i = 1; i <= GATEWAYS; i++)); do wait_until gateway_is_ready "$i" || return 1; done
 	# Servers list themselves in the store within one heartbeat.
@@ -121,6 +123,7 @@
 
 http_status_of() { fleet_ask "$@" -o /dev/null -w '%{http_code}\n'; }
 
+# Sends a control request to the stand-in server or rank that listens on the port.
 control() { # port JSON
 	curl -sf -X POST -d "$2" "http://127.0.0.1:$1/control" >/dev/null
 }
--- a/scripts/world.sh
+++ b/scripts/world.sh
@@ -5,7 +5,7 @@
 : "${BUILD:?the build directory}"
 : "${PORT_BASE:=21000}"
 : "${WORK:=$(mktemp -d)}"
-: "${TOKEN_US:=2000}"
+: "${TOKEN_US:=2000}" # time per token of the stand-in engines
 : "${CAPACITY:=64}"
 : "${DRAIN_MS:=20000}"
 : "${GROUP:=}"
@@ -89,6 +89,7 @@
 		"{\"success\":[{\"request_delete_range\":{\"key\":\"$(b64 "/platform/instances/$1")\"}}]}" >/dev/null
 }
 
+# Adds an instance to the platform's list, or replaces its item there.
 list_instance() { # id role link admin domain state
 	kv_put "/platform/instances/$1" \
 		"{\"role\":\"$2\",\"link\":\"$3\",\"admin\":\"$4\",\"failure_domain\":\"$5\",\"state\":\"$6\"}"
--- a/soak/soak.py
+++ b/soak/soak.py
@@ -22,22 +22,29 @@
 import time
 
 KEY_TRUST_S = 4.0
-# Time for which a gateway trusts its keys, plus 2 s for its poll and call and for clock error in
-# the check.
+# Time for which a gateway may accept a key after its removal: the time for which it trusts its
+# keys, plus 2 s for its poll interval, its call to the store and the clock of this check.
 REVOKE_BOUND_S = KEY_TRUST_S + 2.0
+# Minimum time between a success with a newer key and a later request with a removed key.
 REVERT_SLACK_S = 0.5
 PROXY_PORT_OFFSET = 300
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-PLANTS = ("body", "notrun", "twice", "mixed", "leaving", "revoke")
+PLANTED_FAULTS = ("body", "notrun", "twice", "mixed", "leaving", "revoke")
 
 
 class Proxy:
-    """Forwards one port. A change of mode also affects open connections."""
+    """Forwards one port, in one of these modes:
+
+    pass: forwards all bytes.
+    silent, cut-out, cut-in: holds the bytes of both directions, those to the target, or those to
+    the caller; also on open connections.
+    reset: resets new connections.
+    """
 
     def __init__(self, port, target):
         self.target, self.mode, self.delay = target, "pass", 0.0
         self.pairs, self.lock = set(), threading.Lock()
-        self.plant = None
+        self.modify_data = None  # plants a fault: function of direction and data
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(("127.0.0.1", port))
@@ -80,8 +87,8 @@
                 while self.mode == "silent" or \
                         self.mode == ("cut-out" if direction == 0 else "cut-in"):
                     time.sleep(0.02)
-                if self.plant:
-                    data = self.plant(direction, data)
+                if self.modify_data:
+                    data = self.modify_data(direction, data)
                 dst.sendall(data)
             dst.shutdown(socket.SHUT_WR)
         except OSError:
@@ -103,15 +110,17 @@
 class Soak:
     def __init__(self, options):
         self.options, self.random = options, random.Random(options.seed)
-        self.work = tempfile.mkdtemp(prefix="soak-")
+        self.work_dir = tempfile.mkdtemp(prefix="soak-")
         # Ports 10000 to 20781: below the ephemeral ports of the system and below the ports of the
         # scripted runs.
         self.base = 10000 + options.seed % 18 * 600
         self.processes, self.violations, self.stop = {}, [], False
         self.lock = threading.Lock()
         self.requests = self.responses = 0
+        # succeeded: ((process, time), key version) of each accepted request.
         self.not_run, self.succeeded = [], []
-        self.version, self.acked_s = 1, {}
+        # config_acked_s: time at which the store acknowledged each configuration version.
+        self.version, self.config_acked_s = 1, {}
         self.last_fault_s = 0.0
         self.store_proxy = self.server_proxies = None
         self.planned_stops = []
@@ -136,11 +145,11 @@
     # --- Processes ---
 
     def start(self, name, *command):
-        out = open(f"{self.work}/{name}.log", "ab")
+        out = open(f"{self.work_dir}/{name}.log", "ab")
         self.processes[name] = subprocess.Popen(command, stdout=out, stderr=out)
 
     def write_settings(self, name, text):
-        path = f"{self.work}/{name}.toml"
+        path = f"{self.work_dir}/{name}.toml"
         with open(path, "w", encoding="ascii") as file:
             file.write(text)
         return path
@@ -171,9 +180,9 @@
     def call(self, port, method, path, body=None):
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=5)
         connection.request(method, path, None if body is None else json.dumps(body))
-        answer = connection.getresponse().read()
+        response_body = connection.getresponse().read()
         connection.close()
-        return json.loads(answer or b"{}")
+        return json.loads(response_body or b"{}")
 
     # --- The operator ---
 
@@ -183,7 +192,7 @@
                 "max-attempts": 2, "public": False, **more}
 
     def put_config(self):
-        """Writes the next version, whose keys are its own and that of the version before."""
+        """Writes the next configuration version, with its own API key and the previous version's."""
         with self.lock:
             self.version += 1
             version = self.version
@@ -205,7 +214,7 @@
                          "priority": 1}]}
         self.call(self.base, "POST", "/put", {"key": "op/config", "value": json.dumps(document)})
         with self.lock:
-            self.acked_s[version] = time.monotonic()
+            self.config_acked_s[version] = time.monotonic()
 
     # --- Callers ---
 
@@ -230,7 +239,7 @@
         connection = connections.get(gateway) or http.client.HTTPConnection(
             "127.0.0.1", self.gateway_port(gateway) + 5, timeout=6)
         connections[gateway] = connection
-        sent = time.monotonic()
+        sent_s = time.monotonic()
         process = self.processes.get(f"gateway-{gateway}")
         slow = "slow200/" if rng.random() < 0.2 else ""
         connection.request("POST", f"/{kind}/{slow}{attempt}", body, {
@@ -238,20 +247,20 @@
             "Skylarkhead-Attempt-Id": attempt, "Skylarkhead-Deadline-Ms": "3000"})
         try:
             response = connection.getresponse()
-            answer = response.read()
+            response_body = response.read()
         except http.client.RemoteDisconnected:
-            self.check_planned_stop(gateway, sent, attempt)
+            self.check_planned_stop(gateway, sent_s, attempt)
             raise
         with self.lock:
             self.responses += 1
-        self.check_response(kind, attempt, body, response, answer)
+        self.check_response(kind, attempt, body, response, response_body)
         if response.status == 200:
-            self.check_key(gateway, process, key_version, sent)
+            self.check_key(gateway, process, key_version, sent_s)
         if rng.random() < 0.2:
             connection.close()
             connections.pop(gateway, None)
 
-    def check_response(self, kind, attempt, body, response, answer):
+    def check_response(self, kind, attempt, body, response, response_body):
         if response.status in NOT_RUN_STATUSES:
             with self.lock:
                 self.not_run.append(attempt)
@@ -260,45 +269,51 @@
         if response.getheader("Skylarkhead-Attempt-Id") != attempt:
             self.fail("own response", f"{attempt} got the response to another attempt")
         if kind == "stream":
-            ids = [line[4:] for line in answer.decode().split("\n") if line.startswith("id: ")]
+            ids = [line[4:] for line in response_body.decode().split("\n")
+                   if line.startswith("id: ")]
             if ids != [str(i) for i in range(5)]:
                 self.fail("complete response", f"{attempt} got events {ids}, expected 0 to 4")
-        elif answer.decode() not in (body, "without a length"):
-            self.fail("complete response", f"{attempt} got {answer[:60]!r}, expected its own body")
+        elif response_body.decode() not in (body, "without a length"):
+            self.fail("complete response",
+                      f"{attempt} got {response_body[:60]!r}, expected its own body")
+
+    def check_key(self, gateway, process, version, sent_s):
+        """Checks that a removed key expires, and that no process accepts it after a newer key.
 
-    def check_key(self, gateway, process, version, sent):
-        """Checks that a removed key expires, and that no process accepts it again after that."""
+        Configuration version + 2 is the first without the key; see put_config().
+        """
         with self.lock:
-            removed_s = self.acked_s.get(version + 2)
-            if removed_s and sent - removed_s > REVOKE_BOUND_S:
-                self.violations.append(f"revocation: k{version} accepted {sent - removed_s:.1f} s "
-                                       "after its removal")
+            removed_s = self.config_acked_s.get(version + 2)
+            if removed_s and sent_s - removed_s > REVOKE_BOUND_S:
+                self.violations.append(f"revocation: k{version} accepted "
+                                       f"{sent_s - removed_s:.1f} s after its removal")
             for success, newer in self.succeeded[-400:]:
                 if success[0] is process and newer >= version + 2 and \
-                        sent - success[1] > REVERT_SLACK_S:
+                        sent_s - success[1] > REVERT_SLACK_S:
                     self.violations.append(f"configuration reverted: gateway {gateway} accepted "
                                            f"k{version} after k{newer}")
                     break
             self.succeeded.append(((process, time.monotonic()), version))
 
-    def check_planned_stop(self, gateway, sent, attempt):
+    def check_planned_stop(self, gateway, sent_s, attempt):
         """Checks that a planned stop without other faults leaves no request without a response."""
         now = time.monotonic()
         for name, stopped_s, last_fault_s in self.planned_stops:
-            if name == f"gateway-{gateway}" and stopped_s - 1 < sent < stopped_s + 2 and \
-                    last_fault_s + 3 < sent and self.last_fault_s < stopped_s and now - sent > 0.3:
+            if name == f"gateway-{gateway}" and stopped_s - 1 < sent_s < stopped_s + 2 and \
+                    last_fault_s + 3 < sent_s and self.last_fault_s < stopped_s and \
+                    now - sent_s > 0.3:
                 self.fail("planned stop", f"{attempt} got no response")
 
     # --- Faults ---
 
-    def signal(self, name, number):
+    def signal(self, name, signal_number):
         process = self.processes.get(name)
         if process and process.poll() is None:
-            process.send_signal(number)
+            process.send_signal(signal_number)
         return process
 
-    def restart(self, name, number):
-        process = self.signal(name, number)
+    def restart(self, name, signal_number):
+        process = self.signal(name, signal_number)
         if process:
             process.wait()
         if self.stop:
@@ -366,16 +381,18 @@
                    "count": self.random.randrange(1, 4)})
 
     def drain_server(self):
-        """Drains a server. Runs alone: the bound only holds for gateways that reach the store."""
+        """Drains a server. Runs alone: the time limit for the last request to a draining server
+        only holds for gateways that reach the store.
+        """
         time.sleep(5.0)
         port = self.base + 280
         self.call(port, "POST", "/control", {"draining": True})
         time.sleep(3.0)
         if self.options.plant == "leaving":
-            self.plain_request(port)
+            self.send_directly(port)
         self.call(port, "POST", "/control", {"back": True})
 
-    def plain_request(self, port):
+    def send_directly(self, port):
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=5)
         connection.request("GET", "/often/planted", headers={
             "Skylarkhead-Tenant": "acme", "Skylarkhead-Deadline-Ms": "9"})
@@ -387,7 +404,9 @@
             time.sleep(self.random.uniform(0.05, 1.5))
 
     def long_outage(self):
-        """Partitions the gateways from the store for longer than keys stay valid; removes keys."""
+        """Partitions gateways and balancers from the store for longer than keys stay valid, while
+        keys are removed.
+        """
         self.store_proxy.mode = "silent"
         for _ in range(5):
             self.put_config()
@@ -395,51 +414,57 @@
         self.store_proxy.mode = "pass"
         self.store_proxy.reset_all()
 
-    def inject_faults(self, until):
-        unplanned = (self.pause_process, self.kill_process, self.store_fault, self.partition,
-                     self.reset_connections, self.delay, self.server_fault, self.long_outage)
-        planned = (self.config_burst, self.reload_settings, self.planned_stop, self.drain_server)
+    def inject_faults(self, deadline):
+        unplanned_faults = (self.pause_process, self.kill_process, self.store_fault, self.partition,
+                            self.reset_connections, self.delay, self.server_fault,
+                            self.long_outage)
+        planned_operations = (self.config_burst, self.reload_settings, self.planned_stop,
+                              self.drain_server)
         if self.options.plant == "leaving":
             self.drain_server()
         if self.options.plant == "revoke":
             self.long_outage()
-        while time.monotonic() < until:
-            series = [self.random.choice(unplanned + planned)
+        while time.monotonic() < deadline:
+            batch = [self.random.choice(unplanned_faults + planned_operations)
                       for _ in range(self.random.randrange(1, 4))]
-            exclusive = [f for f in series if f in (self.planned_stop, self.drain_server)]
+            # The checks of these hold only while no fault is injected.
+            exclusive = [f for f in batch if f in (self.planned_stop, self.drain_server)]
             if exclusive and self.random.random() < 0.3:
                 exclusive[0]()
                 continue
-            series = [f for f in series if f not in exclusive]
-            threads = [threading.Thread(target=f) for f in series]
+            batch = [f for f in batch if f not in exclusive]
+            threads = [threading.Thread(target=f) for f in batch]
             for thread in threads:
                 thread.start()
                 time.sleep(self.random.uniform(0.0, 0.5))
             for thread in threads:
                 thread.join()
-            if any(f in unplanned for f in series):
+            if any(f in unplanned_faults for f in batch):
                 self.last_fault_s = time.monotonic()
             time.sleep(self.random.uniform(0.0, 1.5))
 
     # --- Planted faults, which show that each check can fail ---
 
-    def plant(self):
+    def plant_fault(self):
         if self.options.plant == "body":
-            self.gateway_proxies[0].plant = lambda direction, data: (
+            # The body of a request ends in a random number below 1.
+            self.gateway_proxies[0].modify_data = lambda direction, data: (
                 data.replace(b":0.", b":9.") if direction == 1 else data)
         elif self.options.plant == "notrun":
-            self.gateway_proxies[0].plant = lambda direction, data: (
+            self.gateway_proxies[0].modify_data = lambda direction, data: (
                 data.replace(b"HTTP/1.1 200 OK", b"HTTP/1.1 503 No") if direction == 1 else data)
         elif self.options.plant == "twice":
             def send_twice(direction, data):
                 if direction == 0 and b"POST /once/" in data:
+                    # With the header, a server that is not the expected one does not run it.
                     duplicate = socket.create_connection(("127.0.0.1", self.base + 280))
                     duplicate.sendall(data.replace(b"Skylarkhead-Expect-Instance", b"X-Instance"))
                     duplicate.recv(100)
                 return data
             for proxy in self.server_proxies:
-                proxy.plant = send_twice
+                proxy.modify_data = send_twice
         elif self.options.plant == "mixed":
+            # Switches one rank alone to another map.
             port = self.base + 200
             step = self.call(port, "GET", "/v1/report")["step"] + 40
             order = {"epoch": 1, "fencing-token": 2**60, "version": 2**60, "step": step,
@@ -506,7 +531,7 @@
             for thread in callers:
                 thread.start()
             if self.options.plant:
-                self.plant()
+                self.plant_fault()
             self.inject_faults(time.monotonic() + self.options.seconds)
             self.stop = True
             for thread in callers:
@@ -524,7 +549,7 @@
                     process.kill()
                     process.wait()
         for line in self.violations[:20]:
-            print(f"seed {self.options.seed}: {line} (logs in {self.work})")
+            print(f"seed {self.options.seed}: {line} (logs in {self.work_dir})")
         return 1 if self.violations else 0
 
 
@@ -535,7 +560,7 @@
     parser.add_argument("--seconds", type=float, default=20)
     parser.add_argument("--gateways", type=int, default=3)
     parser.add_argument("--ranks", type=int, default=3)
-    parser.add_argument("--plant", choices=PLANTS)
+    parser.add_argument("--plant", choices=PLANTED_FAULTS)
     options = parser.parse_args()
     options.build = os.path.abspath(options.build)
     status = Soak(options).run()
