--- a/src/wire.pb-c.h
+++ b/src/wire.pb-c.h
@@ -54,7 +54,8 @@
 	ProtobufCMessage base;
 	uint32_t version;
 	/*
-   * Newest configuration revision known to the sender; tells a peer that its own is outdated.
+   * Newest configuration revision known to the sender; shows a peer with a lower revision
+   * that its configuration is outdated.
    */
 	uint64_t revision;
 	/*
@@ -105,6 +106,9 @@
 	ProtobufCMessage base;
 	uint64_t incarnation;
 	int64_t clock_us;
+	/*
+   * skh_phase_t
+   */
 	uint32_t phase;
 	char *service;
 	char *failure_domain;
@@ -114,6 +118,9 @@
 	char *group;
 	uint32_t rank;
 	uint64_t map_version;
+	/*
+   * address of the sidecar's admin API
+   */
 	char *admin;
 };
 #define SKH__STATUS__INIT                                                                          \
@@ -209,12 +216,15 @@
 	}
 
 /*
- * Entry -> sidecar: requests the outcome of an attempt. The sidecar rejects an attempt that it
- * has not received, and also rejects its Start frame if that arrives later.
+ * Entry -> sidecar: requests the state of an attempt. If the sidecar has not received the Start
+ * frame and may still get it in time, it responds with Refuse and rejects a later Start frame.
  */
 struct Skh__Ask {
 	ProtobufCMessage base;
 	uint64_t attempt;
+	/*
+   * of the Start frame
+   */
 	int64_t start_before_us;
 	/*
    * incarnation of the sidecar the attempt is for
@@ -320,8 +330,17 @@
 struct Skh__Order {
 	ProtobufCMessage base;
 	char *group;
+	/*
+   * fencing token of the coordinator's lease
+   */
 	uint64_t fence;
+	/*
+   * skh_order_step_t
+   */
 	uint32_t step;
+	/*
+   * version of the map to switch to
+   */
 	uint64_t version;
 	/*
    * JSON; set in the prepare step
@@ -347,6 +366,9 @@
 	uint64_t fence;
 	uint32_t step;
 	uint64_t version;
+	/*
+   * skh_order_outcome_t
+   */
 	uint32_t outcome;
 	/*
    * highest fencing token that the rank has received
@@ -417,11 +439,29 @@
    */
 	uint32_t size;
 	protobuf_c_boolean open;
+	/*
+   * group epoch; pass numbers restart with each epoch
+   */
 	int64_t epoch;
+	/*
+   * last pass that has begun
+   */
 	int64_t pass;
+	/*
+   * version of the map in use
+   */
 	int64_t map_version;
+	/*
+   * map version whose copies are complete; 0 for none
+   */
 	int64_t prepared;
+	/*
+   * map version to switch to; 0 for none
+   */
 	int64_t armed;
+	/*
+   * pass that is held until its release; 0 for none
+   */
 	int64_t held;
 	uint64_t number;
 	/*
@@ -429,7 +469,7 @@
    */
 	uint64_t sender;
 	/*
-   * load of each expert in passes from_pass + 1 to to_pass; see src/count_codec.h
+   * encoded token counts of the experts; see src/count_codec.h
    */
 	ProtobufCBinaryData counts;
 	/*
@@ -438,13 +478,25 @@
 	size_t n_map;
 	uint32_t *map;
 	protobuf_c_boolean map_known;
+	/*
+   * greatest of the counts; needed to decode them
+   */
 	uint32_t greatest_count;
+	/*
+   * number of encoded counts
+   */
 	uint32_t n_counts;
 	/*
    * address that accepts RankOrders for the rank
    */
 	char *relay;
+	/*
+   * last pass before the counted ones
+   */
 	int64_t from_pass;
+	/*
+   * last counted pass
+   */
 	int64_t to_pass;
 	/*
    * slowdown of the rank: time taken relative to normal; 1 is normal
@@ -469,12 +521,33 @@
    * skh_engine_op_t
    */
 	uint32_t op;
+	/*
+   * map version
+   */
 	int64_t version;
+	/*
+   * pass that the order refers to; see skh_engine_op_t
+   */
 	int64_t pass;
+	/*
+   * group epoch
+   */
 	int64_t epoch;
+	/*
+   * fencing token of the coordinator's lease
+   */
 	int64_t fence;
+	/*
+   * number of sets in the map
+   */
 	uint32_t sets;
+	/*
+   * number of ranks in the map
+   */
 	uint32_t ranks;
+	/*
+   * number of slots of a rank in each set
+   */
 	uint32_t places;
 	/*
    * expert + 1 in each slot, two bytes each, little-endian
