--- a/bench/naive_balance.c
+++ b/bench/naive_balance.c
@@ -19,7 +19,7 @@
 /* Gives each remaining slot to the expert with the highest load per replica. */
 static void compute_replica_counts(const skh_rebalance_input_t *input, uint32_t *replica_counts)
 {
-	uint32_t n_remaining = input->n_ranks * input->n_slots - input->n_experts;
+	uint32_t n_remaining = input->n_ranks * input->slots_per_rank - input->n_experts;
 
 	for (uint32_t i = 0; i < input->n_experts; i++)
 		replica_counts[i] = 1;
@@ -60,11 +60,11 @@
 		uint32_t fallback = UINT32_MAX;
 
 		for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
-			if (used_slots[rank] == input->n_slots)
+			if (used_slots[rank] == input->slots_per_rank)
 				continue;
 			if (fallback == UINT32_MAX || rank_loads[rank] < rank_loads[fallback])
 				fallback = rank;
-			if (row_has_expert(&rows[rank * input->n_slots], used_slots[rank],
+			if (row_has_expert(&rows[rank * input->slots_per_rank], used_slots[rank],
 					   replicas[i].expert))
 				continue;
 			if (best == UINT32_MAX || rank_loads[rank] < rank_loads[best])
@@ -72,7 +72,7 @@
 		}
 		if (best == UINT32_MAX)
 			best = fallback;
-		rows[best * input->n_slots + used_slots[best]++] = replicas[i].expert;
+		rows[best * input->slots_per_rank + used_slots[best]++] = replicas[i].expert;
 		rank_loads[best] += replicas[i].load;
 	}
 }
@@ -82,8 +82,8 @@
 {
 	uint32_t n_shared = 0;
 
-	for (uint32_t i = 0; i < input->n_slots; i++)
-		n_shared += row_has_expert(old_row, input->n_slots, row[i]);
+	for (uint32_t i = 0; i < input->slots_per_rank; i++)
+		n_shared += row_has_expert(old_row, input->slots_per_rank, row[i]);
 	return n_shared;
 }
 
@@ -97,7 +97,7 @@
 {
 	g_autofree bool *is_row_used = g_new0(bool, input->n_ranks);
 	g_autofree bool *is_rank_used = g_new0(bool, input->n_ranks);
-	size_t row_bytes = input->n_slots * sizeof(uint32_t);
+	size_t row_bytes = input->slots_per_rank * sizeof(uint32_t);
 
 	for (uint32_t n = 0; n < input->n_ranks; n++) {
 		uint32_t best_rank = 0;
@@ -111,8 +111,8 @@
 				if (is_row_used[row])
 					continue;
 				shared = count_shared_experts(
-					input, &input->placement[rank * input->n_slots],
-					&rows[row * input->n_slots]);
+					input, &input->placement[rank * input->slots_per_rank],
+					&rows[row * input->slots_per_rank]);
 				if (shared > best) {
 					best = shared;
 					best_rank = rank;
@@ -122,26 +122,26 @@
 		}
 		is_rank_used[best_rank] = true;
 		is_row_used[best_row] = true;
-		memcpy(&placement[best_rank * input->n_slots], &rows[best_row * input->n_slots],
-		       row_bytes);
+		memcpy(&placement[best_rank * input->slots_per_rank],
+		       &rows[best_row * input->slots_per_rank], row_bytes);
 	}
 }
 
-uint32_t naive_count_loads(const skh_rebalance_input_t *input, const uint32_t *before,
-			   const uint32_t *after)
+uint32_t naive_count_copies(const skh_rebalance_input_t *input, const uint32_t *before,
+			    const uint32_t *after)
 {
 	uint32_t n_copies = 0;
 
 	for (uint32_t rank = 0; rank < input->n_ranks; rank++)
-		n_copies +=
-			input->n_slots - count_shared_experts(input, &before[rank * input->n_slots],
-							      &after[rank * input->n_slots]);
+		n_copies += input->slots_per_rank -
+			    count_shared_experts(input, &before[rank * input->slots_per_rank],
+						 &after[rank * input->slots_per_rank]);
 	return n_copies;
 }
 
 uint32_t naive_balance(const skh_rebalance_input_t *input, uint32_t *placement)
 {
-	uint32_t n_total_slots = input->n_ranks * input->n_slots;
+	uint32_t n_total_slots = input->n_ranks * input->slots_per_rank;
 	g_autofree uint32_t *replica_counts = g_new(uint32_t, input->n_experts);
 	g_autofree replica_t *replicas = g_new(replica_t, n_total_slots);
 	g_autofree uint32_t *rows = g_new0(uint32_t, n_total_slots);
@@ -156,5 +156,5 @@
 	qsort(replicas, n_replicas, sizeof(*replicas), compare_load_descending);
 	place_replicas(input, replicas, n_replicas, rows);
 	match_rows_to_ranks(input, rows, placement);
-	return naive_count_loads(input, input->placement, placement);
+	return naive_count_copies(input, input->placement, placement);
 }
--- a/bench/naive_balance.h
+++ b/bench/naive_balance.h
@@ -21,14 +21,14 @@
 uint32_t naive_balance(const skh_rebalance_input_t *input, uint32_t *placement);
 
 /**
- * naive_count_loads() - count the copies needed to get from one placement to another
+ * naive_count_copies() - count the copies needed to get from one placement to another
  * @input: dimensions of both placements
  * @before: old placement, [n_ranks][n_slots]
  * @after: new placement, [n_ranks][n_slots]
  *
  * Return: number of slots of @after whose expert was not on the same rank in @before.
  */
-uint32_t naive_count_loads(const skh_rebalance_input_t *input, const uint32_t *before,
-			   const uint32_t *after);
+uint32_t naive_count_copies(const skh_rebalance_input_t *input, const uint32_t *before,
+			    const uint32_t *after);
 
 #endif
--- a/bench/replay.c
+++ b/bench/replay.c
@@ -7,14 +7,14 @@
 
 #define MIN_UNIFORM 1e-12 /* keeps the logarithms finite */
 
-void replay_open(replay_clock_t *clock)
+void replay_clock_init(replay_clock_t *clock)
 {
 	clock->events = g_sequence_new(g_free);
 	clock->n_events = 0;
 	clock->now_us = 0;
 }
 
-void replay_close(replay_clock_t *clock)
+void replay_clock_clear(replay_clock_t *clock)
 {
 	g_sequence_free(clock->events);
 }
@@ -41,7 +41,7 @@
 	g_sequence_insert_sorted(clock->events, event, compare_events, NULL);
 }
 
-bool replay_next(replay_clock_t *clock, int64_t end_us, replay_event_t *event)
+bool replay_next_event(replay_clock_t *clock, int64_t end_us, replay_event_t *event)
 {
 	GSequenceIter *first = g_sequence_get_begin_iter(clock->events);
 
--- a/bench/replay.h
+++ b/bench/replay.h
@@ -25,11 +25,11 @@
 	int64_t now_us;
 } replay_clock_t;
 
-/** replay_open() - initialize @clock at time 0 with no events */
-void replay_open(replay_clock_t *clock);
+/** replay_clock_init() - initialize @clock at time 0 with no events */
+void replay_clock_init(replay_clock_t *clock);
 
-/** replay_close() - free all pending events, but not their data */
-void replay_close(replay_clock_t *clock);
+/** replay_clock_clear() - free all pending events, but not their data */
+void replay_clock_clear(replay_clock_t *clock);
 
 /**
  * replay_schedule() - add an event
@@ -41,14 +41,14 @@
 void replay_schedule(replay_clock_t *clock, int64_t at_us, int32_t type, void *data);
 
 /**
- * replay_next() - remove the next event and advance the clock to its time
+ * replay_next_event() - remove the next event and advance the clock to its time
  * @clock: the event queue
  * @end_us: virtual time after which events stay in the queue
  * @event: receives the event
  *
  * Return: false if no event is due by @end_us.
  */
-bool replay_next(replay_clock_t *clock, int64_t end_us, replay_event_t *event);
+bool replay_next_event(replay_clock_t *clock, int64_t end_us, replay_event_t *event);
 
 /** replay_normal() - random value of the standard normal distribution */
 double replay_normal(GRand *random);
--- a/bench/replay_admit.c
+++ b/bench/replay_admit.c
@@ -327,7 +327,7 @@
 	sim->scenario = scenario;
 	sim->is_naive = is_naive;
 	sim->random = g_rand_new_with_seed(7);
-	replay_open(&sim->clock);
+	replay_clock_init(&sim->clock);
 	sim->queued_requests = g_hash_table_new(g_int64_hash, g_int64_equal);
 	sim->others_wait_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	sim->recovered_wait_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
@@ -346,7 +346,7 @@
 		g_queue_clear(&sim->servers[i].queue);
 	}
 	g_hash_table_unref(sim->queued_requests);
-	replay_close(&sim->clock);
+	replay_clock_clear(&sim->clock);
 	g_array_unref(sim->others_wait_us);
 	g_array_unref(sim->recovered_wait_us);
 	g_array_unref(sim->rejection_us);
@@ -365,7 +365,7 @@
 	for (uint32_t customer = 0; customer < CUSTOMERS; customer++)
 		create_request(&sim, customer);
 	schedule_event(&sim, 0, EVENT_EXPIRE, NULL);
-	while (replay_next(&sim.clock, END_US, &event))
+	while (replay_next_event(&sim.clock, END_US, &event))
 		handle_event(&sim, &event);
 	printf("| %-21s | %-7s | %8.0f | %5.1f%% | %6.1f%% | %7.1f%% | %6.0f | %6.0f | %8.0f |\n",
 	       scenario->name, is_naive ? "naive" : "gate.c",
--- a/bench/replay_balance.c
+++ b/bench/replay_balance.c
@@ -190,7 +190,7 @@
 	skh_forecast_t *forecast = skh_forecast_new(EXPERTS);
 	skh_rebalance_input_t input = {
 		.n_ranks = RANKS,
-		.n_slots = SLOTS,
+		.slots_per_rank = SLOTS,
 		.n_experts = EXPERTS,
 		.placement = placement,
 		.forecast_shares = workload->shares[0],
--- a/bench/replay_route.c
+++ b/bench/replay_route.c
@@ -470,7 +470,7 @@
 	sim->n_entries = n_entries;
 	sim->rate_per_us = load * SERVERS * SLOTS / (MEAN_DECODE_S * SKH_US_PER_S);
 	sim->random = g_rand_new_with_seed(7);
-	replay_open(&sim->clock);
+	replay_clock_init(&sim->clock);
 	sim->first_token_us = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	sim->servers = g_new0(server_t, SERVERS);
 	for (uint32_t i = 0; i < PREFIXES; i++) {
@@ -505,7 +505,7 @@
 	for (uint32_t i = 0; i < SERVERS; i++)
 		g_queue_clear_full(&sim->servers[i].queue, g_free);
 	g_free(sim->servers);
-	replay_close(&sim->clock);
+	replay_clock_clear(&sim->clock);
 	g_array_unref(sim->first_token_us);
 	g_rand_free(sim->random);
 }
@@ -518,7 +518,7 @@
 	init_simulation(&sim, policy, n_entries, load, n_slow_servers);
 	schedule_event(&sim, 0, EVENT_ARRIVE, NULL);
 	schedule_event(&sim, 0, EVENT_SNAPSHOT, NULL);
-	while (replay_next(&sim.clock, END_US, &event))
+	while (replay_next_event(&sim.clock, END_US, &event))
 		handle_event(&sim, &event);
 	printf("| %4u | %-20s | %7.0f | %7.0f | %7.0f | %4.1f%% | %.3f |\n", n_entries,
 	       policy_names[policy], replay_percentile_ms(sim.first_token_us, 50),
--- a/fuzz/fuzz_http.c
+++ b/fuzz/fuzz_http.c
@@ -23,15 +23,15 @@
 	skh_http_message_reset(&message, type, &ops, NULL);
 	is_valid = skh_http_message_feed(&message, skh_chunk_make(bytes.data, split_at), &n_used,
 					 &err);
-	if (is_valid && !message.done)
+	if (is_valid && !message.is_complete)
 		is_valid = skh_http_message_feed(
 			&message, skh_chunk_make(bytes.data + split_at, bytes.len - split_at),
 			&n_used, &err);
-	if (is_valid && !message.done)
+	if (is_valid && !message.is_complete)
 		(void)skh_http_message_feed_eof(&message);
-	if (is_valid && message.done)
+	if (is_valid && message.is_complete)
 		skh_buffer_append(body, skh_buffer_chunk(&message.body));
-	is_valid = is_valid && message.done;
+	is_valid = is_valid && message.is_complete;
 	skh_http_message_free(&message);
 	return is_valid;
 }
--- a/src/apply.c
+++ b/src/apply.c
@@ -146,7 +146,7 @@
 			" was accepted",
 			state->next->revision);
 	}
-	is_ours = latest && strcmp(latest->attempt, state->next->attempt) == 0;
+	is_ours = latest && strcmp(latest->attempt_id, state->next->attempt_id) == 0;
 	if (!is_ours && latest && latest->revision > state->next->revision)
 		(void)skh_error_set(err, SKH_OUTCOME_UNKNOWN,
 				    "revision %" PRId64 " has been replaced by %" PRId64
@@ -207,12 +207,12 @@
 		result->changed_parts = g_strdup("everything");
 	/* A deployment pipeline that retries after a lost response gets the same result. */
 	if (state->current && *result->changed_parts == '\0') {
-		result->unchanged = true;
+		result->is_unchanged = true;
 		result->revision = state->current->revision;
 		return true;
 	}
 	if (!check_base_revision(state, base_revision, err) ||
-	    !write_parts(state, &result->parts_written, err) || !swap_head(state, err))
+	    !write_parts(state, &result->n_parts_written, err) || !swap_head(state, err))
 		return false;
 	result->revision = state->next->revision;
 	return true;
--- a/src/apply.h
+++ b/src/apply.h
@@ -22,9 +22,9 @@
 
 /** struct skh_apply_result - outcome of an apply; free with skh_apply_result_clear() */
 typedef struct skh_apply_result {
-	int64_t revision; /* revision of the accepted configuration */
-	bool unchanged;	  /* the manifest had already been accepted; nothing was written */
-	size_t parts_written;
+	int64_t revision;  /* revision of the accepted configuration */
+	bool is_unchanged; /* the manifest had already been accepted; nothing was written */
+	size_t n_parts_written;
 	char *changed_parts; /* names joined by ", "; "everything" for the first configuration */
 } skh_apply_result_t;
 
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -23,7 +23,7 @@
 	}
 	if (exchange->target) {
 		const skh_target_result_t result = { .expected_tokens = exchange->expected_tokens,
-						     .streaming = exchange->attempt_is_streaming,
+						     .is_streaming = exchange->attempt_is_streaming,
 						     .outcome = outcome,
 						     .latency_us = latency_us };
 
@@ -50,7 +50,7 @@
 		.dialect = gateway->dialect,
 		.request = exchange->request,
 		.server_id = target->server->id,
-		.customer = exchange->owner ? exchange->owner->customer : NULL,
+		.customer = exchange->key_owner ? exchange->key_owner->customer : NULL,
 		.priority = skh_exchange_priority(exchange),
 		.remaining_ms = (exchange->deadline_us - now_us) / SKH_US_PER_MS,
 		.last_event_id = exchange->event_stream.last_event_id,
@@ -58,15 +58,15 @@
 
 	skh_request_queue_remove(exchange->target_pool->queue, &exchange->queued_request);
 	exchange->queued_us += now_us - exchange->queued_request.enqueued_us;
-	if (exchange->sends == 0)
+	if (exchange->send_count == 0)
 		skh_retry_share_record_request(&exchange->target_pool->retry_share,
-					       &gateway->retry_bounds, now_us);
+					       &gateway->retry_limits, now_us);
 	else
 		skh_retry_share_record_retry(&exchange->target_pool->retry_share,
-					     &gateway->retry_bounds, now_us);
-	skh_metrics_add(exchange->sends == 0 ? SKH_COUNT_ATTEMPTS : SKH_COUNT_RETRIES, 1);
-	exchange->sends++;
-	skh_group_breaker_record_send(&exchange->target_pool->gate, now_us);
+					     &gateway->retry_limits, now_us);
+	skh_metrics_add(exchange->send_count == 0 ? SKH_COUNT_ATTEMPTS : SKH_COUNT_RETRIES, 1);
+	exchange->send_count++;
+	skh_group_breaker_record_send(&exchange->target_pool->breaker, now_us);
 	exchange->stage = exchange->stage == SKH_EXCHANGE_RESPONDING ? SKH_EXCHANGE_RESPONDING
 								     : SKH_EXCHANGE_SENT;
 	exchange->target = target;
@@ -78,15 +78,15 @@
 	skh_log(SKH_LOG_INFO, PART, "Request sent to a server.",
 		"id=%s server=%s send=%u queued_ms=%" PRId64 " running=%u peers=%u waiting=%u"
 		" config=%" PRId64 " config_age_ms=%" PRId64 " list=%" PRId64,
-		exchange->attempt_id, target->server->id, exchange->sends,
+		exchange->attempt_id, target->server->id, exchange->send_count,
 		exchange->queued_us / SKH_US_PER_MS, target->own_running, target->peers_running,
 		skh_request_queue_length(exchange->target_pool->queue), exchange->routing->version,
 		skh_gateway_config_age_us(gateway, now_us) / SKH_US_PER_MS,
 		gateway->roster ? gateway->roster->revision : 0);
 	skh_forward_write_request(&forwarded, &bytes);
 	upstream_request.bytes = skh_buffer_chunk(&bytes);
-	exchange->upstream =
-		skh_upstream_pool_send(target->pool, &upstream_request, &upstream_ops, exchange);
+	exchange->upstream = skh_upstream_pool_send(target->upstream_pool, &upstream_request,
+						    &upstream_ops, exchange);
 	skh_buffer_free(&bytes);
 }
 
@@ -176,7 +176,7 @@
 	if (out.len > 0) {
 		exchange->target->own_streaming += !exchange->attempt_is_streaming;
 		exchange->attempt_is_streaming = true;
-		skh_group_breaker_record_answer(&exchange->target_pool->gate);
+		skh_group_breaker_record_response(&exchange->target_pool->breaker);
 		record_first_byte(exchange);
 		if (exchange->stage != SKH_EXCHANGE_RESPONDING)
 			begin_response(exchange, true, 0);
@@ -327,7 +327,7 @@
 {
 	if (end != SKH_END_NOT_RUN) {
 		target->references++;
-		g_ptr_array_add(exchange->tried_targets, target);
+		g_ptr_array_add(exchange->excluded_targets, target);
 	}
 	skh_event_stream_discard_pending(&exchange->event_stream);
 	skh_exchange_enqueue(exchange, now_us);
@@ -383,10 +383,10 @@
 		.end = end,
 		.retry_mode = exchange->route->retry_mode,
 		.possible_runs = exchange->possible_runs + may_have_run,
-		.max_attempts = exchange->route->max_attempts,
-		.sends = exchange->sends - exchange->rejected_probes,
+		.max_runs = exchange->route->max_attempts,
+		.attempts = exchange->send_count - exchange->rejected_probes,
 		.has_retry_budget = skh_retry_share_has_room(&exchange->target_pool->retry_share,
-							     &gateway->retry_bounds, now_us),
+							     &gateway->retry_limits, now_us),
 		.is_suspect = skh_crash_suspects_is_retry_blocked(gateway->crash_suspects,
 								  exchange->content_hash, now_us),
 		.now_us = now_us,
@@ -415,15 +415,15 @@
 
 	if (end == SKH_END_STREAM_BROKEN && exchange->stage != SKH_EXCHANGE_RESPONDING)
 		end = SKH_END_LOST;
-	if (end == SKH_END_NOT_RUN && exchange->target_pool->lock_step &&
+	if (end == SKH_END_NOT_RUN && exchange->target_pool->is_lock_step &&
 	    exchange->attempt_status == 503) {
 		exchange->rejected_probes +=
-			skh_group_breaker_is_tripped(&exchange->target_pool->gate);
-		skh_group_breaker_record_rejection(&exchange->target_pool->gate, now_us);
+			skh_group_breaker_is_tripped(&exchange->target_pool->breaker);
+		skh_group_breaker_record_rejection(&exchange->target_pool->breaker, now_us);
 	}
 	decision = decide_retry(exchange, end, now_us, &view);
 	exchange->possible_runs = view.possible_runs;
-	skh_group_breaker_record_failure(&exchange->target_pool->gate);
+	skh_group_breaker_record_failure(&exchange->target_pool->breaker);
 	log_failure(exchange, &view, decision);
 	if (decision == SKH_RETRY_DECISION_FORWARD_RESPONSE) {
 		end_without_retry(exchange, decision);
--- a/src/attempt.h
+++ b/src/attempt.h
@@ -21,7 +21,7 @@
 
 /** enum skh_exchange_stage - progress of a request */
 typedef enum skh_exchange_stage {
-	SKH_EXCHANGE_WAITING,	 /* in the queue */
+	SKH_EXCHANGE_QUEUED,	 /* in the queue */
 	SKH_EXCHANGE_SENT,	 /* sent to a server */
 	SKH_EXCHANGE_RESPONDING, /* response head sent, also while queued to resume the stream */
 	SKH_EXCHANGE_ENDED
@@ -36,7 +36,7 @@
 	skh_exchange_stage_t stage;
 	const skh_routing_t *routing; /* counted reference; owns @route and @owner */
 	const skh_route_t *route;
-	const skh_key_owner_t *owner; /* NULL when the route needs no key */
+	const skh_key_owner_t *key_owner; /* NULL when the route needs no key */
 	skh_target_pool_t *target_pool;
 	char attempt_id[80];
 	uint64_t content_hash; /* hash of request target, customer and body */
@@ -47,12 +47,12 @@
 	int64_t first_byte_us;	/* time of the first event or the response; 0 before */
 	double expected_tokens; /* estimated work */
 	skh_queued_request_t queued_request;
-	GPtrArray *tried_targets; /* skh_target_t not to retry at; counted references */
-	skh_target_t *target;	  /* server of the current attempt, or NULL */
-	skh_upstream_t *upstream; /* connection of the current attempt, or NULL */
-	uint32_t sends;		  /* attempts so far */
-	uint32_t possible_runs;	  /* attempts that may have run */
-	uint32_t rejected_probes; /* attempts rejected while the group's breaker was tripped */
+	GPtrArray *excluded_targets; /* skh_target_t not to retry at; counted references */
+	skh_target_t *target;	     /* server of the current attempt, or NULL */
+	skh_upstream_t *upstream;    /* connection of the current attempt, or NULL */
+	uint32_t send_count;	     /* attempts so far */
+	uint32_t possible_runs;	     /* attempts that may have run */
+	uint32_t rejected_probes;    /* attempts rejected while the group's breaker was tripped */
 	bool upstream_paused;
 	skh_buffer_t response_body; /* body of a response that is not streamed */
 	GString *response_headers;
--- a/src/attempt_runner.c
+++ b/src/attempt_runner.c
@@ -121,7 +121,7 @@
 	attempt->claim.state = SKH_CLAIM_CLAIMED;
 	attempt->claim.owner = g_strdup_printf("%016" PRIx64 "-%016" PRIx64,
 					       runner->frame_sender.incarnation, attempt->id);
-	attempt->claim.body_hash = skh_wire_hash_request(start);
+	attempt->claim.request_hash = skh_wire_hash_request(start);
 	submit_claim(runner, attempt);
 }
 
@@ -217,7 +217,7 @@
 /* Closes the transfer of a running attempt and requests the engine to cancel it. */
 static void cancel_attempt(skh_attempt_runner_t *runner, uint64_t id)
 {
-	uint64_t transfer_id = SKH_WIRE_LOCAL_TRANSFER_BIT | ++runner->n_cancels;
+	uint64_t transfer_id = SKH_WIRE_LOCAL_ID_BIT | ++runner->n_cancels;
 
 	skh_fetch_cancel(runner->fetch, id);
 	runner->backend->ops->cancel(runner->backend, runner->fetch, id, transfer_id,
@@ -499,7 +499,7 @@
 		end_attempt(runner, attempt, &err);
 		return;
 	}
-	switch (skh_claim_decide(&found, attempt->claim.owner, attempt->claim.body_hash)) {
+	switch (skh_claim_decide(&found, attempt->claim.owner, attempt->claim.request_hash)) {
 	case SKH_CLAIM_DECISION_REPLAY:
 		replay_response(runner, attempt, &found);
 		break;
@@ -617,7 +617,7 @@
 	skh_claim_result_t *result;
 
 	while ((result = skh_claim_writer_poll_result(runner->claim_writer)) != NULL) {
-		if (result->id & SKH_WIRE_LOCAL_TRANSFER_BIT)
+		if (result->id & SKH_WIRE_LOCAL_ID_BIT)
 			on_backlog_result(runner, result);
 		else
 			on_claim_result(runner, result);
--- a/src/backends.c
+++ b/src/backends.c
@@ -50,7 +50,7 @@
 {
 	skh_target_t *target = data;
 
-	target->listed = false;
+	target->is_listed = false;
 	(void)g_ptr_array_remove(target->target_pool->targets, target);
 	skh_target_unref(target);
 }
@@ -133,8 +133,8 @@
 	    strcmp(other->server->host, added->server->host) != 0 ||
 	    added->server->started_unix_ms == other->server->started_unix_ms)
 		return;
-	other->superseded = other->superseded || is_later;
-	added->superseded = added->superseded || !is_later;
+	other->is_superseded = other->is_superseded || is_later;
+	added->is_superseded = added->is_superseded || !is_later;
 	skh_log(SKH_LOG_INFO, PART,
 		"Address has a newer instance; the older one gets no new requests.",
 		"address=%s:%u old=%s new=%s", added->server->host, added->server->port,
@@ -178,14 +178,14 @@
 
 	target->server = skh_server_copy(server);
 	target->target_pool = skh_backends_get_or_create_pool(backends, server->service);
-	target->pool = skh_upstream_pool_new(backends->loop, server->host, server->port,
-					     backends->options);
+	target->upstream_pool = skh_upstream_pool_new(backends->loop, server->host, server->port,
+						      backends->options);
 	target->references = 1;
 	target->slowdown = 1.0;
-	target->listed = true;
+	target->is_listed = true;
 	update_slowdown(target, backends->slowdowns);
 	g_ptr_array_add(target->target_pool->targets, target);
-	skh_group_breaker_record_rank_start(&target->target_pool->gate, skh_clock_boot_us());
+	skh_group_breaker_record_rank_start(&target->target_pool->breaker, skh_clock_boot_us());
 	g_hash_table_insert(backends->targets, target->server->id, target);
 	g_hash_table_foreach(backends->targets, mark_superseded, target);
 	skh_log(SKH_LOG_INFO, PART, "Server is listed.", "server=%s service=%s address=%s:%u",
@@ -207,10 +207,10 @@
 		add_target(backends, server);
 		return;
 	}
-	if (server->leaving && !target->server->leaving)
+	if (server->is_leaving && !target->server->is_leaving)
 		skh_log(SKH_LOG_INFO, PART, "Server is leaving and gets no new requests.",
 			"server=%s", server->id);
-	target->server->leaving = server->leaving;
+	target->server->is_leaving = server->is_leaving;
 	target->server->slots = server->slots;
 }
 
@@ -235,7 +235,7 @@
 		const skh_service_info_t *service = skh_routing_get_service(routing, i);
 		skh_target_pool_t *pool = skh_backends_get_or_create_pool(backends, service->name);
 
-		pool->lock_step = service->has_engine && service->engine.expert_sets > 0;
+		pool->is_lock_step = service->has_engine && service->engine.expert_sets > 0;
 		pool->max_connections = service->max_connections;
 		pool->typical_first_event_ms = service->has_engine ? TYPICAL_FIRST_EVENT_RANK_MS
 								   : TYPICAL_FIRST_EVENT_PLAIN_MS;
@@ -253,9 +253,9 @@
 	g_autofree skh_candidate_t *candidates = g_new0(skh_candidate_t, pool->targets->len + 1);
 	skh_selection_view_t view = { .candidates = candidates,
 				      .n_candidates = pool->targets->len,
-				      .lock_step = pool->lock_step,
-				      .overcommit = pool->lock_step ? OVERCOMMIT_RANK_REQUESTS
-								    : OVERCOMMIT_PLAIN_REQUESTS,
+				      .is_lock_step = pool->is_lock_step,
+				      .overcommit = pool->is_lock_step ? OVERCOMMIT_RANK_REQUESTS
+								       : OVERCOMMIT_PLAIN_REQUESTS,
 				      .random = skh_random_u64() >> 1,
 				      .now_us = now_us };
 	int32_t selected;
@@ -267,14 +267,14 @@
 			.slots = target->server->slots,
 			.running = target->own_running + target->peers_running,
 			.expected_tokens = target->expected_tokens,
-			.mean_ms = target->mean_latency_ms,
+			.mean_latency_ms = target->mean_latency_ms,
 			.slowdown = target->slowdown,
 			.failure_ratio = target->failure_ratio,
 			.avoid_until_us = target->avoid_until_us,
 			.full_until_us = target->full_until_us,
-			.excluded = target->server->leaving || target->superseded ||
-				    now_us < target->wrong_instance_until_us ||
-				    was_tried(tried, target),
+			.is_excluded = target->server->is_leaving || target->is_superseded ||
+				       now_us < target->wrong_instance_until_us ||
+				       was_tried(tried, target),
 		};
 	}
 	selected = skh_select_server(&view);
@@ -287,7 +287,7 @@
 	for (guint i = 0; i < pool->targets->len; i++) {
 		const skh_target_t *target = g_ptr_array_index(pool->targets, i);
 
-		if (!target->server->leaving && !target->superseded)
+		if (!target->server->is_leaving && !target->is_superseded)
 			return true;
 	}
 	return false;
@@ -297,11 +297,11 @@
 {
 	int64_t slot = now_us / RATE_SLOT_US;
 
-	if (slot - pool->completed_slot > SKH_TARGET_POOL_RATE_SLOTS)
-		pool->completed_slot = slot - SKH_TARGET_POOL_RATE_SLOTS;
-	while (pool->completed_slot < slot) {
-		pool->completed_slot++;
-		pool->completed[pool->completed_slot % SKH_TARGET_POOL_RATE_SLOTS] = 0.0;
+	if (slot - pool->newest_slot > SKH_TARGET_POOL_RATE_SLOTS)
+		pool->newest_slot = slot - SKH_TARGET_POOL_RATE_SLOTS;
+	while (pool->newest_slot < slot) {
+		pool->newest_slot++;
+		pool->completed[pool->newest_slot % SKH_TARGET_POOL_RATE_SLOTS] = 0.0;
 	}
 }
 
@@ -314,8 +314,8 @@
 	for (int64_t i = 1; i < SKH_TARGET_POOL_RATE_SLOTS; i++) {
 		int64_t past_slot = slot - i;
 
-		if (past_slot <= pool->completed_slot &&
-		    past_slot > pool->completed_slot - SKH_TARGET_POOL_RATE_SLOTS && past_slot >= 0)
+		if (past_slot <= pool->newest_slot &&
+		    past_slot > pool->newest_slot - SKH_TARGET_POOL_RATE_SLOTS && past_slot >= 0)
 			completed += pool->completed[past_slot % SKH_TARGET_POOL_RATE_SLOTS];
 	}
 	return completed * (double)SKH_US_PER_S /
@@ -340,7 +340,7 @@
 			view.group_last_received_us =
 				MAX(view.group_last_received_us, other->last_received_us);
 	}
-	return pool->lock_step && skh_rank_liveness_is_unreachable(&view);
+	return pool->is_lock_step && skh_rank_liveness_is_unreachable(&view);
 }
 
 void skh_target_begin_request(skh_target_t *target, double expected_tokens, int64_t now_us)
@@ -386,14 +386,13 @@
 				: latency_ms;
 	advance_rate_slots(target->target_pool, now_us);
 	target->target_pool
-		->completed[target->target_pool->completed_slot % SKH_TARGET_POOL_RATE_SLOTS] +=
-		1.0;
+		->completed[target->target_pool->newest_slot % SKH_TARGET_POOL_RATE_SLOTS] += 1.0;
 }
 
 void skh_target_end_request(skh_target_t *target, const skh_target_result_t *result, int64_t now_us)
 {
 	target->own_running--;
-	target->own_streaming -= result->streaming;
+	target->own_streaming -= result->is_streaming;
 	target->expected_tokens -= result->expected_tokens;
 	if (result->outcome == SKH_OUTCOME_SUCCEEDED)
 		record_success(target, result->latency_us, now_us);
@@ -411,7 +410,7 @@
 {
 	if (--target->references > 0)
 		return;
-	skh_upstream_pool_free(target->pool);
+	skh_upstream_pool_free(target->upstream_pool);
 	skh_server_free(target->server);
 	g_free(target);
 }
--- a/src/backends.h
+++ b/src/backends.h
@@ -34,9 +34,9 @@
 struct skh_target {
 	skh_server_t *server;
 	skh_target_pool_t *target_pool;
-	skh_upstream_pool_t *pool;
+	skh_upstream_pool_t *upstream_pool;
 	uint32_t references;
-	bool listed;		  /* the server is in the roster */
+	bool is_listed;		  /* the server is in the roster */
 	uint32_t own_running;	  /* requests of this gateway in flight at the server */
 	uint32_t own_streaming;	  /* requests in flight whose response has begun */
 	int64_t busy_since_us;	  /* time since which requests have been in flight */
@@ -50,7 +50,7 @@
 	int64_t avoid_until_us;
 	int64_t full_until_us;
 	int64_t wrong_instance_until_us; /* another instance responded at the address */
-	bool superseded;		 /* a server that started later is listed at the address */
+	bool is_superseded;		 /* a server that started later is listed at the address */
 };
 
 #define SKH_TARGET_POOL_RATE_SLOTS 8
@@ -61,12 +61,12 @@
 	GPtrArray *targets; /* skh_target_t of listed servers, not owned */
 	skh_request_queue_t *queue;
 	skh_retry_share_t retry_share;
-	bool lock_step;
-	skh_group_breaker_t gate; /* circuit breaker of a lock-step group */
+	bool is_lock_step;
+	skh_group_breaker_t breaker; /* circuit breaker of a lock-step group */
 	uint32_t max_connections;
 	int64_t typical_first_event_ms; /* time to the first event or the complete response */
 	double completed[SKH_TARGET_POOL_RATE_SLOTS]; /* successful requests by time slot */
-	int64_t completed_slot;			      /* newest time slot in @completed */
+	int64_t newest_slot;			      /* newest time slot in @completed */
 };
 
 typedef struct skh_backends skh_backends_t;
@@ -138,7 +138,7 @@
 /** struct skh_target_result - result of one request at a server */
 typedef struct skh_target_result {
 	double expected_tokens;
-	bool streaming; /* the response had begun */
+	bool is_streaming; /* the response had begun */
 	skh_outcome_t outcome;
 	int64_t latency_us; /* up to the first event or the complete response; 0 when unknown */
 } skh_target_result_t;
--- a/src/balancer.c
+++ b/src/balancer.c
@@ -119,7 +119,7 @@
 	message->engine = (char *)balancer->settings->engine_address;
 	message->rank = report->rank;
 	message->size = report->group_size;
-	message->open = report->group_open;
+	message->open = report->is_group_open;
 	message->epoch = report->epoch;
 	message->pass = report->pass;
 	message->map_version = report->map_version;
@@ -300,7 +300,7 @@
 /* Gateways send fewer requests to a slow rank because all other ranks wait for it. */
 static void publish_slow_ranks(balancer_t *balancer)
 {
-	g_autofree char *text = skh_coordinator_slow_ranks(balancer->coordinator);
+	g_autofree char *text = skh_coordinator_format_slow_ranks(balancer->coordinator);
 
 	skh_election_set_notice(balancer->election, text);
 }
@@ -358,7 +358,7 @@
 {
 	const skh_engine_report_t *report = &skh_rank_poller_snapshot(balancer->poller)->report;
 	int64_t prepared_us = 0;
-	int64_t version = skh_rankrelay_last_prepared(balancer->relay, &prepared_us);
+	int64_t version = skh_rankrelay_last_prepared_version(balancer->relay, &prepared_us);
 	bool is_preparing = version > report->prepared_version && version > report->map_version &&
 			    now_us - prepared_us < MAX_PREPARE_US;
 	bool is_changing_map =
--- a/src/caller_api.c
+++ b/src/caller_api.c
@@ -240,7 +240,7 @@
 		.content_type = content_type ? content_type : JSON_TYPE,
 		.body = skh_buffer_chunk(&request->body),
 		.is_streaming = request->is_streaming,
-		.idempotent = skh_service_is_idempotent(request->service, method),
+		.is_idempotent = skh_service_is_idempotent(request->service, method),
 		.idempotency_key = request->idempotency_key,
 		.prefix_hash = request->prefix_hash,
 		.accepted_at_us = request->accepted_at_us,
--- a/src/claim.h
+++ b/src/claim.h
@@ -32,9 +32,9 @@
 /** struct skh_claim - one record; owns its texts, clear with skh_claim_clear() */
 typedef struct skh_claim {
 	skh_claim_state_t state;
-	char *owner;	    /* attempt that wrote the record */
-	uint64_t body_hash; /* skh_wire_hash_request() of the request */
-	int32_t status;	    /* HTTP status of the response */
+	char *owner;	       /* attempt that wrote the record */
+	uint64_t request_hash; /* skh_wire_hash_request() of the request */
+	int32_t status;	       /* HTTP status of the response */
 	char *content_type;
 	skh_buffer_t response;
 	bool has_response; /* false if the response was too long to record */
--- a/src/claim_backlog.c
+++ b/src/claim_backlog.c
@@ -59,7 +59,7 @@
 	if (g_hash_table_size(backlog->writes) >= MAX_PENDING_WRITES)
 		return;
 	pending = g_new0(pending_write_t, 1);
-	pending->id = SKH_WIRE_LOCAL_TRANSFER_BIT | ++backlog->n_added;
+	pending->id = SKH_WIRE_LOCAL_ID_BIT | ++backlog->n_added;
 	pending->path = g_strdup(path);
 	pending->owner = g_strdup(claim->owner);
 	pending->value = skh_claim_encode(claim);
--- a/src/claim_backlog.h
+++ b/src/claim_backlog.h
@@ -37,7 +37,7 @@
 
 /** struct skh_claim_backlog_write - a due write; its strings are valid until its result is known */
 typedef struct skh_claim_backlog_write {
-	uint64_t id; /* has SKH_WIRE_LOCAL_TRANSFER_BIT set */
+	uint64_t id; /* has SKH_WIRE_LOCAL_ID_BIT set */
 	const char *path;
 	const char *value;
 	int64_t expected_revision;
--- a/src/cmd_apply.c
+++ b/src/cmd_apply.c
@@ -60,7 +60,7 @@
 static int64_t find_max_revision_in_force(skh_store_t *store, const char *instances_prefix)
 {
 	skh_error_t err;
-	skh_instances_t *instances = skh_fleet_read_members(store, instances_prefix, &err);
+	skh_instances_t *instances = skh_fleet_read_instances(store, instances_prefix, &err);
 	int64_t max_revision = 0;
 	json_t **statuses;
 
@@ -82,7 +82,7 @@
 	while (skh_clock_now_us() < options->deadline_us) {
 		skh_error_t err;
 		skh_instances_t *instances =
-			skh_fleet_read_members(store, options->instances_prefix, &err);
+			skh_fleet_read_instances(store, options->instances_prefix, &err);
 		size_t count = instances ? count_with_min_revision(instances, revision) : 0;
 		size_t total = instances ? instances->count : 0;
 
@@ -123,12 +123,12 @@
 	min_revision = find_max_revision_in_force(store, options->instances_prefix);
 	if (skh_apply_manifest(store, options->prefix, manifest, options->base_revision,
 			       min_revision, &result, &err)) {
-		if (result.unchanged)
+		if (result.is_unchanged)
 			(void)printf("revision %" PRId64 " already holds this manifest\n",
 				     result.revision);
 		else
 			(void)printf("revision %" PRId64 " accepted, %zu parts written: %s\n",
-				     result.revision, result.parts_written, result.changed_parts);
+				     result.revision, result.n_parts_written, result.changed_parts);
 		status = wait_until_in_force(store, options, result.revision);
 	} else {
 		status = print_failure(&err);
--- a/src/cmd_status.c
+++ b/src/cmd_status.c
@@ -40,7 +40,7 @@
 static int print_statuses(skh_store_t *store, const char *instances_prefix)
 {
 	skh_error_t err;
-	skh_instances_t *instances = skh_fleet_read_members(store, instances_prefix, &err);
+	skh_instances_t *instances = skh_fleet_read_instances(store, instances_prefix, &err);
 	json_t **statuses;
 
 	if (!instances) {
--- a/src/config_admin.c
+++ b/src/config_admin.c
@@ -57,7 +57,7 @@
 	if (skh_apply_manifest(admin->store, admin->settings->store_prefix, manifest, base_revision,
 			       skh_board_config_revision(admin->board), &result, err))
 		response = json_pack("{s:b, s:I, s:b}", "accepted", 1, "revision",
-				     (json_int_t)result.revision, "unchanged", result.unchanged);
+				     (json_int_t)result.revision, "unchanged", result.is_unchanged);
 	skh_apply_result_clear(&result);
 	return response;
 }
@@ -84,7 +84,7 @@
 {
 	return json_pack("{s:I, s:I, s:s, s:s, s:s}", "revision", (json_int_t)head->revision,
 			 "unix_ms", (json_int_t)head->accepted_unix_ms, "by", head->author,
-			 "reason", head->reason, "attempt", head->attempt);
+			 "reason", head->reason, "attempt", head->attempt_id);
 }
 
 json_t *skh_config_admin_list_history(const skh_config_admin_t *admin, skh_error_t *err)
@@ -112,7 +112,7 @@
 json_t *skh_config_admin_get_rollout(const skh_config_admin_t *admin, skh_error_t *err)
 {
 	skh_instances_t *instances =
-		skh_fleet_read_members(admin->store, admin->settings->instances_prefix, err);
+		skh_fleet_read_instances(admin->store, admin->settings->instances_prefix, err);
 	json_t **statuses;
 	json_t *list;
 
--- a/src/coordinator.c
+++ b/src/coordinator.c
@@ -93,7 +93,7 @@
 	int64_t next_decision_us;
 	int64_t next_plan_us; /* earliest time of the next plan unless demand has shifted */
 	int64_t change_started_us;
-	skh_fence_t fences;
+	skh_fence_counter_t fences;
 	int64_t fence;		 /* fencing token of the lease; 0 while it is not held */
 	bool has_fresh_counts;	 /* the demand estimate has changed since the last plan */
 	bool has_demand_shifted; /* demand has shifted since the last plan */
@@ -125,7 +125,7 @@
 		.loop = options->loop,
 		.dialect = options->dialect,
 		.pool_options = options->pool_options,
-		.on_state = on_rank_state,
+		.on_rank_state = on_rank_state,
 		.context = coordinator,
 	};
 
@@ -242,7 +242,7 @@
 	case 502:
 	case 503:
 	case 504:
-		return SKH_ENGINE_ORDER_NO_ANSWER;
+		return SKH_ENGINE_ORDER_NO_RESPONSE;
 	default:
 		return SKH_ENGINE_ORDER_CONFLICT;
 	}
@@ -258,7 +258,7 @@
 static void update_route(skh_coordinator_t *coordinator, uint32_t rank, int32_t status)
 {
 	order_route_t *route = &coordinator->routes[rank];
-	bool has_no_response = order_result_from_status(status) == SKH_ENGINE_ORDER_NO_ANSWER;
+	bool has_no_response = order_result_from_status(status) == SKH_ENGINE_ORDER_NO_RESPONSE;
 
 	if (is_sent_by_proxy(coordinator, coordinator->change.ranks[rank].order_op)) {
 		coordinator->bypass_proxy = has_no_response;
@@ -433,7 +433,7 @@
 /* Number of experts that a rank can copy in @time_ms, but at least @min_copies. */
 static uint32_t copies_within(const skh_engine_spec_t *spec, double time_ms, double min_copies)
 {
-	double bits = spec->expert_mb * 8.0e6;
+	double bits = spec->expert_size_mb * 8.0e6;
 	double copy_ms = spec->link_mbps > 0.0 ? bits / (spec->link_mbps * 1000.0) : 0.0;
 	double max_copies =
 		copy_ms > 0.0 ? (time_ms + copy_ms / 2.0) / copy_ms : MAX_COPIES_PER_RANK;
@@ -445,8 +445,8 @@
 {
 	const skh_engine_spec_t *spec = &view->engine_spec;
 	double full_ms = (double)spec->steps_per_pass *
-			 (spec->step_ms + (double)spec->slots * spec->step_ms_per_request);
-	double pass_ms = (double)view->pass_us / (double)SKH_US_PER_MS;
+			 (spec->step_ms + (double)spec->request_slots * spec->step_ms_per_request);
+	double pass_ms = (double)view->pass_duration_us / (double)SKH_US_PER_MS;
 
 	return pass_ms > 0.0 && pass_ms < SHORT_PASS_RATIO * full_ms;
 }
@@ -471,7 +471,7 @@
 	return false;
 }
 
-char *skh_coordinator_slow_ranks(const skh_coordinator_t *coordinator)
+char *skh_coordinator_format_slow_ranks(const skh_coordinator_t *coordinator)
 {
 	const skh_groupview_t *view = &coordinator->view;
 	GString *text = g_string_new(NULL);
@@ -508,7 +508,7 @@
 		.skew_weight = coordinator->options.skew_weight,
 		.cost_weight = coordinator->options.cost_weight,
 		.copy_cost = COPY_COST_SKEW,
-		.max_new_per_rank =
+		.max_copies_per_rank =
 			is_relief ? copies_within(&view->engine_spec, RELIEF_COPY_MS,
 						  RELIEF_MIN_COPIES)
 				  : copies_within(&view->engine_spec, MAX_COPY_MS, MIN_COPIES),
@@ -517,12 +517,12 @@
 	};
 
 	/* Except for a relief change, the minimum gain depends on the pass duration, still unknown. */
-	if (!is_relief && view->pass_us == 0)
+	if (!is_relief && view->pass_duration_us == 0)
 		return;
 	if (skew - 1.0 < (short_passes ? MIN_SKEW_GAIN_SHORT_PASSES : MIN_SKEW_GAIN))
 		return;
-	skh_mapplan_make(&view->engine_spec, view->n_ranks, &plan_options, shares, view->next_map,
-			 &coordinator->plan);
+	skh_mapplan_compute(&view->engine_spec, view->n_ranks, &plan_options, shares,
+			    view->next_map, &coordinator->plan);
 }
 
 static bool is_plan_due(skh_coordinator_t *coordinator, int64_t now_us)
--- a/src/coordinator.h
+++ b/src/coordinator.h
@@ -63,10 +63,10 @@
 bool skh_coordinator_is_changing_map(const skh_coordinator_t *coordinator);
 
 /**
- * skh_coordinator_slow_ranks() - list the ranks that take longer than usual for a pass
+ * skh_coordinator_format_slow_ranks() - list the ranks that take longer than usual for a pass
  * Return: one line "host:port slowdown" for each slow rank, "" if there is none; free with g_free().
  */
-char *skh_coordinator_slow_ranks(const skh_coordinator_t *coordinator);
+char *skh_coordinator_format_slow_ranks(const skh_coordinator_t *coordinator);
 
 /** skh_coordinator_has_unknown_ranks() - whether the engine address of some rank is unknown */
 bool skh_coordinator_has_unknown_ranks(const skh_coordinator_t *coordinator);
--- a/src/curve_auth.c
+++ b/src/curve_auth.c
@@ -128,8 +128,8 @@
 	auth = g_new0(skh_curve_auth_t, 1);
 	(void)zmq_z85_decode(auth->key, settings->link_public_key);
 	auth->zap_socket = zmq_socket(context, ZMQ_REP);
-	skh_wire_set_option(auth->zap_socket, ZMQ_RCVTIMEO, STOP_POLL_INTERVAL_MS);
-	skh_wire_set_option(auth->zap_socket, ZMQ_LINGER, 0);
+	skh_wire_set_socket_option(auth->zap_socket, ZMQ_RCVTIMEO, STOP_POLL_INTERVAL_MS);
+	skh_wire_set_socket_option(auth->zap_socket, ZMQ_LINGER, 0);
 	(void)zmq_bind(auth->zap_socket, ZAP_ENDPOINT);
 	(void)pthread_create(&auth->thread, NULL, run_zap_handler, auth);
 	return auth;
@@ -154,7 +154,7 @@
 {
 	if (!has_keys(settings))
 		return;
-	skh_wire_set_option(socket, ZMQ_CURVE_SERVER, 1);
+	skh_wire_set_socket_option(socket, ZMQ_CURVE_SERVER, 1);
 	set_text_option(socket, ZMQ_CURVE_SECRETKEY, settings->link_secret_key);
 	set_text_option(socket, ZMQ_ZAP_DOMAIN, ZAP_DOMAIN);
 }
@@ -163,7 +163,7 @@
 {
 	if (!has_keys(settings))
 		return;
-	skh_wire_set_option(socket, ZMQ_CURVE_SERVER, 0);
+	skh_wire_set_socket_option(socket, ZMQ_CURVE_SERVER, 0);
 	set_text_option(socket, ZMQ_CURVE_SERVERKEY, settings->link_public_key);
 	set_text_option(socket, ZMQ_CURVE_PUBLICKEY, settings->link_public_key);
 	set_text_option(socket, ZMQ_CURVE_SECRETKEY, settings->link_secret_key);
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -40,8 +40,8 @@
 
 /** struct skh_engine_report - state of an engine, as it reports it */
 typedef struct skh_engine_report {
-	bool in_group;
-	bool group_open;
+	bool is_in_group;
+	bool is_group_open;
 	char group[64];
 	uint32_t group_size;
 	uint32_t rank;
--- a/src/downstream.c
+++ b/src/downstream.c
@@ -312,7 +312,7 @@
 			return;
 		}
 		skh_buffer_consume(&conn->pending_input, consumed);
-		if (conn->request.done)
+		if (conn->request.is_complete)
 			serve_request(conn);
 	}
 }
--- a/src/engine_client.c
+++ b/src/engine_client.c
@@ -22,7 +22,7 @@
 	skh_upstream_t *upstream;
 	skh_buffer_t body;
 	uint32_t tag;
-	skh_engine_answer_fn fn; /* NULL when the result is ignored */
+	skh_engine_response_fn fn; /* NULL when the result is ignored */
 	void *context;
 } call_t;
 
@@ -36,7 +36,7 @@
 
 static void finish_call(call_t *call, int32_t status)
 {
-	skh_engine_answer_fn fn = call->fn;
+	skh_engine_response_fn fn = call->fn;
 
 	if (call->upstream)
 		skh_upstream_cancel(call->upstream);
@@ -145,7 +145,7 @@
 }
 
 void skh_engine_client_get(skh_engine_client_t *client, const char *path, int64_t timeout_us,
-			   uint32_t tag, skh_engine_answer_fn fn, void *context)
+			   uint32_t tag, skh_engine_response_fn fn, void *context)
 {
 	call_t *call = g_new0(call_t, 1);
 	skh_buffer_t message = SKH_BUFFER_INIT;
@@ -158,7 +158,7 @@
 }
 
 void skh_engine_client_post(skh_engine_client_t *client, const char *path, skh_chunk_t body,
-			    int64_t timeout_us, uint32_t tag, skh_engine_answer_fn fn,
+			    int64_t timeout_us, uint32_t tag, skh_engine_response_fn fn,
 			    void *context)
 {
 	call_t *call = g_new0(call_t, 1);
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -16,13 +16,14 @@
 #endif
 
 /**
- * typedef skh_engine_answer_fn - receives the result of a call, once
+ * typedef skh_engine_response_fn - receives the result of a call, once
  * @context: passed when the call was started
  * @tag: passed when the call was started
  * @status: HTTP status, or 0 when no complete response arrived in time
  * @body: response body; valid only during the callback
  */
-typedef void (*skh_engine_answer_fn)(void *context, uint32_t tag, int32_t status, skh_chunk_t body);
+typedef void (*skh_engine_response_fn)(void *context, uint32_t tag, int32_t status,
+				       skh_chunk_t body);
 
 typedef struct skh_engine_client skh_engine_client_t;
 
@@ -50,7 +51,7 @@
  * @context: passed to @fn
  */
 void skh_engine_client_get(skh_engine_client_t *client, const char *path, int64_t timeout_us,
-			   uint32_t tag, skh_engine_answer_fn fn, void *context);
+			   uint32_t tag, skh_engine_response_fn fn, void *context);
 
 /**
  * skh_engine_client_post() - send POST @path with the JSON document @body
@@ -59,7 +60,7 @@
  * The other parameters are those of skh_engine_client_get().
  */
 void skh_engine_client_post(skh_engine_client_t *client, const char *path, skh_chunk_t body,
-			    int64_t timeout_us, uint32_t tag, skh_engine_answer_fn fn,
+			    int64_t timeout_us, uint32_t tag, skh_engine_response_fn fn,
 			    void *context);
 
 #ifdef __cplusplus
--- a/src/entry.c
+++ b/src/entry.c
@@ -29,8 +29,8 @@
 		peers,
 		json_pack("{s:s, s:s, s:s, s:s, s:b, s:b, s:i, s:i, s:i, s:i, s:I}", "id", peer->id,
 			  "service", peer->service, "failure_domain", peer->failure_domain, "phase",
-			  phases[peer->phase], "reachable", peer->reachable, "listed_leaving",
-			  peer->listed_leaving, "running", (int)peer->running, "queued",
+			  phases[peer->phase], "reachable", peer->is_reachable, "listed_leaving",
+			  peer->is_listed_leaving, "running", (int)peer->running, "queued",
 			  (int)peer->queued, "capacity", (int)peer->capacity, "own_in_flight",
 			  (int)peer->own_in_flight, "revision", (json_int_t)peer->config_revision));
 }
@@ -77,7 +77,8 @@
 	entry->store = skh_settings_open_store(entry->settings);
 	entry->admission = skh_admission_new();
 	g_mutex_init(&entry->admission_lock);
-	entry->follower = skh_config_watcher_start(entry->store, entry->settings, entry->board);
+	entry->config_watcher =
+		skh_config_watcher_start(entry->store, entry->settings, entry->board);
 	entry->quarantine = skh_quarantine_start(entry->store, entry->settings->store_prefix);
 	entry->link = skh_link_start(entry->settings, entry->board, err);
 	return entry->link != NULL;
@@ -88,7 +89,7 @@
 	if (entry->link)
 		skh_link_stop(entry->link);
 	skh_quarantine_stop(entry->quarantine);
-	skh_config_watcher_stop(entry->follower);
+	skh_config_watcher_stop(entry->config_watcher);
 	entry->store->ops->close(entry->store);
 	skh_admission_free(entry->admission);
 	g_mutex_clear(&entry->admission_lock);
@@ -143,7 +144,7 @@
 		settings->id, settings->http_listen, settings->admin_listen);
 	while (skh_process_stop_requests() == 0) {
 		(void)usleep(POLL_INTERVAL_US);
-		skh_config_watcher_hint_revision(entry->follower,
+		skh_config_watcher_hint_revision(entry->config_watcher,
 						 skh_link_newest_revision(entry->link));
 	}
 	drain(entry);
--- a/src/entry.h
+++ b/src/entry.h
@@ -32,7 +32,7 @@
 	const skh_settings_t *settings;
 	skh_board_t *board;
 	skh_store_t *store;
-	skh_config_watcher_t *follower;
+	skh_config_watcher_t *config_watcher;
 	skh_link_t *link;
 	skh_quarantine_t *quarantine;
 	GMutex admission_lock;
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -64,13 +64,14 @@
 
 const char *skh_exchange_customer(const skh_exchange_t *exchange)
 {
-	return exchange->owner ? exchange->owner->customer : "-";
+	return exchange->key_owner ? exchange->key_owner->customer : "-";
 }
 
 uint32_t skh_exchange_priority(const skh_exchange_t *exchange)
 {
-	return exchange->owner && exchange->owner->has_priority ? exchange->owner->priority
-								: exchange->route->priority;
+	return exchange->key_owner && exchange->key_owner->has_priority
+		       ? exchange->key_owner->priority
+		       : exchange->route->priority;
 }
 
 static void on_timer_closed(uv_handle_t *handle)
@@ -78,9 +79,9 @@
 	skh_exchange_t *exchange = handle->data;
 
 	skh_board_release(exchange->routing);
-	for (guint i = 0; i < exchange->tried_targets->len; i++)
-		skh_target_unref(g_ptr_array_index(exchange->tried_targets, i));
-	(void)g_ptr_array_free(exchange->tried_targets, TRUE);
+	for (guint i = 0; i < exchange->excluded_targets->len; i++)
+		skh_target_unref(g_ptr_array_index(exchange->excluded_targets, i));
+	(void)g_ptr_array_free(exchange->excluded_targets, TRUE);
 	(void)g_string_free(exchange->response_headers, TRUE);
 	skh_buffer_free(&exchange->response_body);
 	skh_event_stream_clear(&exchange->event_stream);
@@ -99,7 +100,7 @@
 		" list=%" PRId64 " reason=%s",
 		exchange->attempt_id, exchange->route ? exchange->route->name : "-",
 		skh_exchange_customer(exchange), outcome, status,
-		exchange->target ? exchange->target->server->id : "-", exchange->sends,
+		exchange->target ? exchange->target->server->id : "-", exchange->send_count,
 		exchange->possible_runs, exchange->queued_us / SKH_US_PER_MS,
 		exchange->first_byte_us
 			? (exchange->first_byte_us - exchange->received_us) / SKH_US_PER_MS
@@ -204,7 +205,7 @@
 	int64_t caller_gives_up_us = exchange->received_us + caller_timeout_us(exchange);
 
 	exchange->queued_request = (skh_queued_request_t){
-		.is_probe_rejected = exchange->rejected_probes > 0,
+		.was_rejected_as_probe = exchange->rejected_probes > 0,
 		.priority = skh_exchange_priority(exchange),
 		.enqueued_us = now_us,
 		.dispatch_objective_us = exchange->received_us + exchange->route->objective_us -
@@ -219,7 +220,7 @@
 {
 	init_queued_request(exchange, now_us);
 	if (exchange->stage != SKH_EXCHANGE_RESPONDING)
-		exchange->stage = SKH_EXCHANGE_WAITING;
+		exchange->stage = SKH_EXCHANGE_QUEUED;
 	skh_request_queue_enqueue(exchange->target_pool->queue, &exchange->queued_request);
 	skh_exchange_dispatch(exchange->gateway);
 }
@@ -238,7 +239,7 @@
 
 static skh_queued_request_t *peek_next(const skh_target_pool_t *pool, int64_t now_us)
 {
-	return skh_group_breaker_is_tripped(&pool->gate)
+	return skh_group_breaker_is_tripped(&pool->breaker)
 		       ? skh_request_queue_peek_probe(pool->queue, now_us)
 		       : skh_request_queue_peek(pool->queue, now_us);
 }
@@ -253,9 +254,9 @@
 		skh_exchange_t *exchange = exchange_from_queued(queued_request);
 		skh_target_t *target;
 
-		if (pool->lock_step && !skh_group_breaker_can_send(&pool->gate, now_us))
+		if (pool->is_lock_step && !skh_group_breaker_can_send(&pool->breaker, now_us))
 			return;
-		target = skh_target_pool_select(pool, exchange->tried_targets, now_us);
+		target = skh_target_pool_select(pool, exchange->excluded_targets, now_us);
 		if (!target)
 			return;
 		skh_attempt_send(exchange, target, now_us);
@@ -264,11 +265,11 @@
 
 void skh_exchange_dispatch(skh_gateway_t *gateway)
 {
-	if (gateway->dispatching)
+	if (gateway->is_dispatching)
 		return;
-	gateway->dispatching = true;
+	gateway->is_dispatching = true;
 	skh_backends_for_each_pool(gateway->backends, dispatch_pool, NULL);
-	gateway->dispatching = false;
+	gateway->is_dispatching = false;
 }
 
 static void end_expired(skh_exchange_t *exchange, int64_t now_us)
@@ -336,7 +337,7 @@
 		"server=%s running=%u streaming=%u silent_ms=%" PRId64, target->server->id,
 		target->own_running, target->own_streaming,
 		(now_us - MAX(target->last_received_us, target->busy_since_us)) / SKH_US_PER_MS);
-	skh_upstream_pool_close_idle(target->pool);
+	skh_upstream_pool_close_idle(target->upstream_pool);
 	retry_all_elsewhere(gateway, target);
 	/* Requests that can't be retried stay; restart the interval before the next check. */
 	target->busy_since_us = now_us;
@@ -364,7 +365,7 @@
 {
 	int64_t now_us = skh_clock_boot_us();
 
-	for (guint i = 0; pool->lock_step && i < pool->targets->len; i++) {
+	for (guint i = 0; pool->is_lock_step && i < pool->targets->len; i++) {
 		skh_target_t *target = g_ptr_array_index(pool->targets, i);
 
 		if (skh_target_pool_is_rank_lost(pool, target, now_us))
@@ -394,7 +395,7 @@
 		skh_attempt_release(exchange, SKH_OUTCOME_CANCELED, 0);
 		skh_exchange_end(exchange);
 		skh_caller_conn_abort(exchange->conn);
-	} else if (exchange->stage == SKH_EXCHANGE_WAITING && exchange->possible_runs == 0) {
+	} else if (exchange->stage == SKH_EXCHANGE_QUEUED && exchange->possible_runs == 0) {
 		skh_exchange_reject(exchange, SKH_OVERLOADED, 0, "no server had capacity in time");
 	} else {
 		skh_attempt_release(exchange, SKH_OUTCOME_FAILED, 0);
@@ -474,7 +475,7 @@
 	exchange->link.data = exchange;
 	exchange->received_us = skh_caller_conn_received_us(conn);
 	exchange->queued_request.index = -1;
-	exchange->tried_targets = g_ptr_array_new();
+	exchange->excluded_targets = g_ptr_array_new();
 	exchange->response_headers = g_string_new(NULL);
 	skh_event_stream_init(&exchange->event_stream);
 	id = request_header(exchange, SKH_HEADER_ATTEMPT_ID);
@@ -526,13 +527,13 @@
 		MIN(exchange->deadline_us, exchange->received_us + exchange->route->timeout_us);
 	if (!exchange->route->needs_key || !exchange->routing->keys)
 		return true;
-	exchange->owner = skh_routing_find_key_owner(
+	exchange->key_owner = skh_routing_find_key_owner(
 		exchange->routing, gateway->dialect->auth_scheme,
 		skh_http_message_header(exchange->request, "Authorization"));
-	if (!exchange->owner)
+	if (!exchange->key_owner)
 		skh_exchange_reject(exchange, SKH_UNAUTHORIZED, 0,
 				    "the Authorization header holds no known key");
-	return exchange->owner != NULL;
+	return exchange->key_owner != NULL;
 }
 
 static void select_service(skh_exchange_t *exchange)
@@ -567,7 +568,7 @@
 	if (skh_request_queue_length(exchange->target_pool->queue) == 0)
 		return true;
 	/* The requests queued already suffice as probes that show when the group recovers. */
-	if (skh_group_breaker_is_down(&exchange->target_pool->gate, now_us)) {
+	if (skh_group_breaker_is_down(&exchange->target_pool->breaker, now_us)) {
 		skh_exchange_reject(
 			exchange, SKH_NO_BACKEND,
 			skh_exchange_retry_after_ms(exchange, GROUP_DOWN_RETRY_AFTER_MS),
--- a/src/feed.c
+++ b/src/feed.c
@@ -155,7 +155,7 @@
 static void apply_change(skh_feed_t *feed, const char *key, const char *value, int64_t revision)
 {
 	const char *servers_prefix = feed->options.dialect->servers_prefix;
-	const char *gateways_prefix = feed->options.peers_prefix;
+	const char *gateways_prefix = feed->options.gateways_prefix;
 
 	if (value && strcmp(key, feed->options.dialect->config_key) == 0)
 		adopt_config(feed, value, revision);
@@ -230,7 +230,7 @@
 		return false;
 	remove_unlisted(feed, &servers);
 	skh_kv_pairs_clear(&servers);
-	if (!read_prefix(feed, feed->options.peers_prefix, &gateways, err))
+	if (!read_prefix(feed, feed->options.gateways_prefix, &gateways, err))
 		return false;
 	skh_kv_pairs_clear(&gateways);
 	clear_rank_notices(feed);
@@ -300,7 +300,8 @@
 static bool register_gateway(skh_feed_t *feed, skh_error_t *err)
 {
 	skh_store_t *store = feed->options.store;
-	g_autofree char *key = g_strconcat(feed->options.peers_prefix, feed->options.own_id, NULL);
+	g_autofree char *key =
+		g_strconcat(feed->options.gateways_prefix, feed->options.own_id, NULL);
 	skh_txn_op_t put = { SKH_TXN_OP_PUT, key, feed->options.own_address, 0 };
 	const skh_txn_t txn = { .ops = &put, .n_ops = 1 };
 	skh_txn_result_t result;
--- a/src/feed.h
+++ b/src/feed.h
@@ -34,11 +34,11 @@
 	skh_store_t *store; /* used by the feed alone */
 	const skh_dialect_t *dialect;
 	skh_board_t *board;
-	int64_t poll_interval_us; /* minimum time from one poll's start to the next */
-	int64_t poll_timeout_ms;  /* longest wait of a poll for a change */
-	const char *peers_prefix; /* prefix of the keys of gateways; ends with a slash */
-	const char *own_id;	  /* NULL for a gateway that is not registered */
-	const char *own_address;  /* address at which other gateways reach this one */
+	int64_t poll_interval_us;    /* minimum time from one poll's start to the next */
+	int64_t poll_timeout_ms;     /* longest wait of a poll for a change */
+	const char *gateways_prefix; /* prefix of the keys of gateways; ends with a slash */
+	const char *own_id;	     /* NULL for a gateway that is not registered */
+	const char *own_address;     /* address at which other gateways reach this one */
 	/* Called on the feed's thread after a change of the board. */
 	void (*notify)(void *context);
 	void *context;
--- a/src/fence.h
+++ b/src/fence.h
@@ -21,24 +21,24 @@
  */
 #define SKH_FENCE_MAX_PER_LEASE ((int64_t)1 << 20)
 
-/** struct skh_fence - fences reserved under one lease; zeroed before its first use */
-typedef struct skh_fence {
+/** struct skh_fence_counter - fences reserved under one lease; zeroed before its first use */
+typedef struct skh_fence_counter {
 	int64_t lease_revision;
 	int64_t n_reserved;
-} skh_fence_t;
+} skh_fence_counter_t;
 
 /**
  * skh_fence_reserve() - reserve @n_fences consecutive fences for a new change
  * @lease_revision: store revision at which the lease was acquired
  * Return: the first of the fences.
  */
-static inline int64_t skh_fence_reserve(skh_fence_t *fences, int64_t lease_revision,
+static inline int64_t skh_fence_reserve(skh_fence_counter_t *fences, int64_t lease_revision,
 					int64_t n_fences)
 {
 	int64_t first;
 
 	if (lease_revision != fences->lease_revision)
-		*fences = (skh_fence_t){ lease_revision, 0 };
+		*fences = (skh_fence_counter_t){ lease_revision, 0 };
 	first = lease_revision * SKH_FENCE_MAX_PER_LEASE + fences->n_reserved + 1;
 	fences->n_reserved += n_fences;
 	return first;
--- a/src/fleet.c
+++ b/src/fleet.c
@@ -6,8 +6,8 @@
 
 #define MAX_PARALLEL_QUERIES 32
 
-skh_instances_t *skh_fleet_read_members(skh_store_t *store, const char *instances_prefix,
-					skh_error_t *err)
+skh_instances_t *skh_fleet_read_instances(skh_store_t *store, const char *instances_prefix,
+					  skh_error_t *err)
 {
 	skh_kv_pairs_t pairs;
 	skh_instances_t *instances;
--- a/src/fleet.h
+++ b/src/fleet.h
@@ -17,12 +17,12 @@
 #endif
 
 /**
- * skh_fleet_read_members() - reads the platform's list of instances from the store
+ * skh_fleet_read_instances() - reads the platform's list of instances from the store
  * @instances_prefix: prefix of the keys of instances
  * Return: the list, to be freed with skh_instances_free(); NULL with @err.
  */
-skh_instances_t *skh_fleet_read_members(skh_store_t *store, const char *instances_prefix,
-					skh_error_t *err);
+skh_instances_t *skh_fleet_read_instances(skh_store_t *store, const char *instances_prefix,
+					  skh_error_t *err);
 
 /**
  * skh_fleet_get_statuses() - requests the status of all @instances, many in parallel
--- a/src/frame_sender.c
+++ b/src/frame_sender.c
@@ -46,7 +46,7 @@
 		frame->status = &status;
 	}
 	frame->revision = (uint64_t)skh_board_config_revision(sender->board);
-	return skh_sidecar_link_send(sender->port, entry, frame);
+	return skh_sidecar_link_send(sender->link, entry, frame);
 }
 
 void skh_frame_sender_send_status(const skh_frame_sender_t *sender, const char *entry)
@@ -104,7 +104,7 @@
 	end.attempt = result->attempt;
 	end.pieces = result->n_data_frames;
 	end.whole = result->err == NULL;
-	end.replayed = result->replayed;
+	end.replayed = result->is_replay;
 	end.crash = result->crash_id;
 	if (result->err) {
 		end.kind = (char *)skh_error_kind_name(result->err->kind);
--- a/src/frame_sender.h
+++ b/src/frame_sender.h
@@ -25,7 +25,7 @@
 typedef struct skh_frame_sender {
 	const skh_settings_t *settings;
 	skh_board_t *board;
-	skh_sidecar_link_t *port;
+	skh_sidecar_link_t *link;
 	skh_gate_t *gate;
 	uint64_t incarnation; /* random id of this sidecar process */
 	skh_engine_t *engine; /* NULL if the backend server sends no load reports */
@@ -61,7 +61,7 @@
 	uint64_t attempt;
 	uint64_t n_data_frames;
 	const skh_error_t *err;
-	bool replayed;
+	bool is_replay;
 	uint64_t crash_id;
 } skh_attempt_result_t;
 
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -84,7 +84,7 @@
 		json_array_append_new(servers, json_pack("{s:s, s:s, s:s, s:b}", "id", server->id,
 							 "service", server->service,
 							 "failure_domain", server->failure_domain,
-							 "leaving", server->leaving));
+							 "leaving", server->is_leaving));
 	}
 	json = json_pack("{s:s, s:s, s:s, s:b, s:I, s:I, s:I, s:I, s:o}", "id", settings->id,
 			 "role", "gateway", "failure_domain", settings->failure_domain, "ready",
@@ -130,7 +130,7 @@
 		return;
 	skh_gossip_set_peers(gateway->gossip, peers);
 	/* Gateways that are no longer registered may have used the budget a moment ago. */
-	gateway->retry_bounds.gateways =
+	gateway->retry_limits.gateways =
 		MAX(MIN_GATEWAYS, skh_gossip_count_peers(gateway->gossip) + 1);
 }
 
@@ -212,9 +212,9 @@
 static void apply_settings(skh_gateway_t *gateway, const skh_settings_t *settings)
 {
 	gateway->settings = settings;
-	gateway->retry_bounds.retry_ratio = (double)settings->retry_percent / 100.0;
-	gateway->retry_bounds.min_retries = (double)settings->retry_least;
-	gateway->retry_bounds.window_us = settings->retry_window_ms * SKH_US_PER_MS;
+	gateway->retry_limits.retry_ratio = (double)settings->retry_percent / 100.0;
+	gateway->retry_limits.min_retries = (double)settings->retry_least;
+	gateway->retry_limits.window_us = settings->retry_window_ms * SKH_US_PER_MS;
 }
 
 static void reload_settings(gateway_process_t *process, int64_t now_us)
@@ -248,7 +248,7 @@
 	skh_gateway_t *gateway = &process->gateway;
 
 	apply_settings(gateway, settings);
-	gateway->retry_bounds.gateways = MIN_GATEWAYS;
+	gateway->retry_limits.gateways = MIN_GATEWAYS;
 	process->settings_watcher = skh_settings_watcher_new(settings);
 	gateway->board = skh_board_new();
 	gateway->crash_suspects = skh_crash_suspects_new();
@@ -276,7 +276,7 @@
 		.board = process->gateway.board,
 		.poll_interval_us = settings->poll_pace_ms * SKH_US_PER_MS,
 		.poll_timeout_ms = settings->poll_wait_ms,
-		.peers_prefix = settings->peers_prefix,
+		.gateways_prefix = settings->peers_prefix,
 		.own_id = settings->id,
 		.own_address = settings->gossip_listen,
 		.notify = notify_loop,
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -39,9 +39,9 @@
 	skh_crash_suspects_t *crash_suspects;
 	const skh_routing_t *routing; /* counted reference; NULL before the first configuration */
 	const skh_roster_t *roster;   /* counted reference; NULL before the first roster */
-	skh_retry_share_limits_t retry_bounds;
+	skh_retry_share_limits_t retry_limits;
 	GQueue exchanges;      /* open exchanges */
-	bool dispatching;      /* skh_exchange_dispatch() is running */
+	bool is_dispatching;   /* skh_exchange_dispatch() is running */
 	bool rejects_requests; /* planned stop: callers have had time to go to other gateways */
 } skh_gateway_t;
 
--- a/src/greedy_rebalance.c
+++ b/src/greedy_rebalance.c
@@ -33,7 +33,7 @@
 
 static uint32_t *get_slots(const skh_greedy_rebalance_t *state, uint32_t rank)
 {
-	return state->map + (size_t)rank * state->input.n_slots;
+	return state->map + (size_t)rank * state->input.slots_per_rank;
 }
 
 static double compute_replica_share(const skh_greedy_rebalance_t *state, uint32_t expert)
@@ -45,7 +45,7 @@
 {
 	const uint32_t *slots = get_slots(state, rank);
 
-	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+	for (uint32_t i = 0; i < state->input.slots_per_rank; i++) {
 		if (slots[i] == expert + 1)
 			return true;
 	}
@@ -54,7 +54,7 @@
 
 static void count_replicas(skh_greedy_rebalance_t *state)
 {
-	uint32_t n = state->input.n_ranks * state->input.n_slots;
+	uint32_t n = state->input.n_ranks * state->input.slots_per_rank;
 
 	memset(state->replica_count, 0, sizeof(uint32_t) * state->input.n_experts);
 	for (uint32_t i = 0; i < n; i++) {
@@ -69,7 +69,7 @@
 	for (uint32_t rank = 0; rank < state->input.n_ranks; rank++) {
 		const uint32_t *slots = get_slots(state, rank);
 
-		for (uint32_t i = 0; i < state->input.n_slots; i++) {
+		for (uint32_t i = 0; i < state->input.slots_per_rank; i++) {
 			if (slots[i] > 0 && state->load[rank] > state->max_host_load[slots[i] - 1])
 				state->max_host_load[slots[i] - 1] = state->load[rank];
 		}
@@ -94,7 +94,7 @@
 		const uint32_t *slots = get_slots(state, rank);
 
 		state->load[rank] = 0.0;
-		for (uint32_t i = 0; i < state->input.n_slots; i++) {
+		for (uint32_t i = 0; i < state->input.slots_per_rank; i++) {
 			if (slots[i] > 0)
 				state->load[rank] += compute_replica_share(state, slots[i] - 1);
 		}
@@ -159,7 +159,7 @@
 	const uint32_t *slots = get_slots(state, rank);
 	bool found = false;
 
-	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+	for (uint32_t i = 0; i < state->input.slots_per_rank; i++) {
 		double load;
 
 		if (slots[i] == 0) {
@@ -215,7 +215,7 @@
 	const uint32_t *slots = get_slots(state, rank);
 	uint32_t heaviest = state->input.n_experts;
 
-	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+	for (uint32_t i = 0; i < state->input.slots_per_rank; i++) {
 		if (slots[i] == 0 || compute_replica_share(state, slots[i] - 1) >= share_limit)
 			continue;
 		if (heaviest == state->input.n_experts ||
@@ -274,9 +274,9 @@
 {
 	uint32_t *slots = get_slots(state, bottleneck);
 	double best_load = state->load[bottleneck];
-	uint32_t best = state->input.n_slots;
+	uint32_t best = state->input.slots_per_rank;
 
-	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+	for (uint32_t i = 0; i < state->input.slots_per_rank; i++) {
 		double own_load;
 		double others_load;
 
@@ -293,7 +293,8 @@
 			best = i;
 		}
 	}
-	return best < state->input.n_slots && try_slot_content(state, bottleneck, slots + best, 0);
+	return best < state->input.slots_per_rank &&
+	       try_slot_content(state, bottleneck, slots + best, 0);
 }
 
 /*
@@ -307,7 +308,7 @@
 
 	if (try_drop_replica(state, bottleneck))
 		return true;
-	for (uint32_t i = 0; i < state->input.n_slots; i++) {
+	for (uint32_t i = 0; i < state->input.slots_per_rank; i++) {
 		uint32_t expert = find_heaviest_expert(state, bottleneck, share_limit);
 		copy_t copy;
 
--- a/src/greedy_rebalance.h
+++ b/src/greedy_rebalance.h
@@ -41,7 +41,7 @@
  */
 typedef struct skh_greedy_rebalance_input {
 	uint32_t n_ranks;
-	uint32_t n_slots;
+	uint32_t slots_per_rank;
 	uint32_t n_experts;
 	const double *shares;
 	const double *slowdowns;
--- a/src/group_breaker.c
+++ b/src/group_breaker.c
@@ -27,24 +27,24 @@
 	if (breaker->tripped_since_us == 0)
 		breaker->tripped_since_us = now_us;
 	breaker->next_probe_us = now_us + PROBE_INTERVAL_US;
-	breaker->unanswered_since_us = 0;
+	breaker->awaiting_event_since_us = 0;
 }
 
-void skh_group_breaker_record_answer(skh_group_breaker_t *breaker)
+void skh_group_breaker_record_response(skh_group_breaker_t *breaker)
 {
 	breaker->tripped_since_us = 0;
-	breaker->unanswered_since_us = 0;
+	breaker->awaiting_event_since_us = 0;
 }
 
 void skh_group_breaker_record_failure(skh_group_breaker_t *breaker)
 {
-	breaker->unanswered_since_us = 0;
+	breaker->awaiting_event_since_us = 0;
 }
 
 static bool is_silent(const skh_group_breaker_t *breaker, int64_t now_us)
 {
-	return breaker->unanswered_since_us != 0 &&
-	       now_us - breaker->unanswered_since_us > SILENCE_TIMEOUT_US;
+	return breaker->awaiting_event_since_us != 0 &&
+	       now_us - breaker->awaiting_event_since_us > SILENCE_TIMEOUT_US;
 }
 
 bool skh_group_breaker_can_send(const skh_group_breaker_t *breaker, int64_t now_us)
@@ -58,8 +58,8 @@
 {
 	if (breaker->tripped_since_us != 0)
 		breaker->next_probe_us = now_us + PROBE_INTERVAL_US;
-	if (breaker->unanswered_since_us == 0)
-		breaker->unanswered_since_us = now_us;
+	if (breaker->awaiting_event_since_us == 0)
+		breaker->awaiting_event_since_us = now_us;
 	breaker->last_sent_us = now_us;
 }
 
--- a/src/group_breaker.h
+++ b/src/group_breaker.h
@@ -31,18 +31,18 @@
 
 /** struct skh_group_breaker - state of one group; the owner zeroes it before the first use */
 typedef struct skh_group_breaker {
-	int64_t tripped_since_us;    /* first rejection by a rank; 0 while not tripped */
-	int64_t next_probe_us;	     /* earliest time of the next probe while tripped */
-	int64_t unanswered_since_us; /* first send since the last response or failure; 0 for none */
-	int64_t last_sent_us;	     /* last request sent */
-	int64_t rank_started_us;     /* last start of a rank; 0 for none */
+	int64_t tripped_since_us;	 /* first rejection by a rank; 0 while not tripped */
+	int64_t next_probe_us;		 /* earliest time of the next probe while tripped */
+	int64_t awaiting_event_since_us; /* first send since the last response or failure; 0 for none */
+	int64_t last_sent_us;		 /* last request sent */
+	int64_t rank_started_us;	 /* last start of a rank; 0 for none */
 } skh_group_breaker_t;
 
 /** skh_group_breaker_record_rejection() - trip the breaker: a rank with room rejected a request */
 void skh_group_breaker_record_rejection(skh_group_breaker_t *breaker, int64_t now_us);
 
-/** skh_group_breaker_record_answer() - reset the breaker: a rank sent a response or an event */
-void skh_group_breaker_record_answer(skh_group_breaker_t *breaker);
+/** skh_group_breaker_record_response() - reset the breaker: a rank sent a response or an event */
+void skh_group_breaker_record_response(skh_group_breaker_t *breaker);
 
 /**
  * skh_group_breaker_record_failure() - record that an attempt failed
--- a/src/groupview.c
+++ b/src/groupview.c
@@ -59,7 +59,7 @@
 	view->map = g_new0(uint32_t, skh_groupview_map_size(view) + 1);
 	view->next_map = g_new0(uint32_t, skh_groupview_map_size(view) + 1);
 	for (uint32_t rank = 0; rank < SKH_MAPCHANGE_MAX_RANKS; rank++)
-		view->ranks[rank].map_known = false;
+		view->ranks[rank].has_map = false;
 }
 
 static void set_client(skh_groupview_t *view, skh_engine_client_t **client, const char *address)
@@ -77,9 +77,9 @@
 {
 	uint32_t n_slots = view->engine_spec.expert_slots;
 
-	view->ranks[rank].map_known =
+	view->ranks[rank].has_map =
 		report->epoch == view->next_epoch && report->map_version == view->next_version;
-	if (!view->ranks[rank].map_known)
+	if (!view->ranks[rank].has_map)
 		return;
 	for (uint32_t set = 0; set < view->engine_spec.expert_sets; set++) {
 		size_t offset = ((size_t)set * view->n_ranks + rank) * n_slots;
@@ -112,14 +112,14 @@
 		state->held_since_us = now_us;
 	state->has_report = true;
 	state->report = *report;
-	view->options.on_state(view->options.context, rank, poll_started_us, now_us);
+	view->options.on_rank_state(view->options.context, rank, poll_started_us, now_us);
 }
 
 void skh_groupview_adopt_next_map(skh_groupview_t *view, int64_t pass, int64_t now_us)
 {
 	view->switch_pass = pass;
 	/* Pass durations under the previous map do not predict those under the new one. */
-	view->pass_us = 0;
+	view->pass_duration_us = 0;
 	view->last_pass = pass;
 	view->last_pass_us = now_us;
 	memcpy(view->map, view->next_map, skh_groupview_map_size(view) * sizeof(uint32_t));
@@ -130,7 +130,7 @@
 		report->map_version = view->next_version;
 		report->prepared_version = 0;
 		report->armed_version = 0;
-		view->ranks[rank].map_known = true;
+		view->ranks[rank].has_map = true;
 	}
 }
 
@@ -142,7 +142,7 @@
 	for (uint32_t set = 0; set < view->engine_spec.expert_sets; set++)
 		memcpy(view->map + ((size_t)set * view->n_ranks + rank) * n_slots,
 		       rank_map + (size_t)set * n_slots, n_slots * sizeof(uint32_t));
-	view->ranks[rank].map_known = true;
+	view->ranks[rank].has_map = true;
 }
 
 static void store_reported_map(skh_groupview_t *view, uint32_t rank, const Skh__RankReport *message)
@@ -163,7 +163,7 @@
 	if (span_us < MIN_PASS_SPAN_US)
 		return;
 	if (pass > view->last_pass && view->last_pass > 0)
-		view->pass_us = span_us / (pass - view->last_pass);
+		view->pass_duration_us = span_us / (pass - view->last_pass);
 	view->last_pass = pass;
 	view->last_pass_us = now_us;
 }
@@ -172,8 +172,8 @@
 				 bool is_own_rank, int64_t now_us)
 {
 	const skh_engine_report_t report = {
-		.in_group = true,
-		.group_open = message->open,
+		.is_in_group = true,
+		.is_group_open = message->open,
 		.group_size = message->size,
 		.rank = message->rank,
 		.epoch = message->epoch,
@@ -220,7 +220,7 @@
 	int64_t version;
 	skh_error_t err;
 
-	view->ranks[tag].poll_pending = false;
+	view->ranks[tag].is_poll_pending = false;
 	if (status != 200)
 		return;
 	map = g_new0(uint32_t, (size_t)n_sets * n_slots + 1);
@@ -236,7 +236,7 @@
 {
 	skh_groupview_rank_t *state = &view->ranks[rank];
 
-	state->poll_pending = true;
+	state->is_poll_pending = true;
 	skh_engine_client_get(state->engine, view->options.dialect->map_path, POLL_TIMEOUT_US, rank,
 			      on_map_response, view);
 }
@@ -247,7 +247,7 @@
 	skh_engine_report_t report;
 	skh_error_t err;
 
-	view->ranks[tag].poll_pending = false;
+	view->ranks[tag].is_poll_pending = false;
 	if (status != 200)
 		return;
 	if (!view->options.dialect->read_report(body, &report, &err)) {
@@ -258,7 +258,7 @@
 	if (report.rank != tag)
 		return;
 	update_state(view, tag, &report, view->ranks[tag].poll_started_us, skh_clock_boot_us());
-	if (!view->ranks[tag].map_known)
+	if (!view->ranks[tag].has_map)
 		request_map(view, tag);
 }
 
@@ -316,9 +316,9 @@
 {
 	skh_groupview_rank_t *state = &view->ranks[rank];
 
-	if (!state->engine || state->poll_pending)
+	if (!state->engine || state->is_poll_pending)
 		return;
-	state->poll_pending = true;
+	state->is_poll_pending = true;
 	state->poll_started_us = now_us;
 	state->next_poll_us = now_us + POLL_INTERVAL_US;
 	skh_engine_client_get(state->engine, view->options.dialect->report_path, POLL_TIMEOUT_US,
@@ -351,13 +351,13 @@
 		return "epoch";
 	if (state->report.map_version != own->report.map_version)
 		return "map_version";
-	return state->map_known ? NULL : "map";
+	return state->has_map ? NULL : "map";
 }
 
 bool skh_groupview_is_complete(skh_groupview_t *view, int64_t now_us)
 {
 	if (!view->has_own_rank || view->n_ranks == 0 ||
-	    !view->ranks[view->own_rank].report.group_open)
+	    !view->ranks[view->own_rank].report.is_group_open)
 		return false;
 	for (uint32_t rank = 0; rank < view->n_ranks; rank++) {
 		const char *missing = missing_state(view, &view->ranks[rank], now_us);
--- a/src/groupview.h
+++ b/src/groupview.h
@@ -29,8 +29,8 @@
 	uint64_t sender_id;
 	uint64_t sequence;
 	skh_engine_report_t report;
-	bool map_known;
-	bool poll_pending;
+	bool has_map;
+	bool is_poll_pending;
 	int64_t poll_started_us;
 	int64_t next_poll_us; /* earliest time of the next poll */
 	int64_t held_since_us;
@@ -42,7 +42,8 @@
 	const skh_dialect_t *dialect;
 	const skh_upstream_pool_options_t *pool_options;
 	/* Called after an update of @rank's state; @poll_started_us is 0 unless a poll caused it. */
-	void (*on_state)(void *context, uint32_t rank, int64_t poll_started_us, int64_t now_us);
+	void (*on_rank_state)(void *context, uint32_t rank, int64_t poll_started_us,
+			      int64_t now_us);
 	void *context;
 } skh_groupview_options_t;
 
@@ -59,8 +60,8 @@
 	uint32_t n_ranks;
 	uint32_t own_rank; /* the rank beside this process */
 	bool has_own_rank;
-	int64_t pass_us; /* duration of a pass under the map in use; 0 when unknown */
-	uint32_t *map;	 /* map in use, [sets][ranks][slots] */
+	int64_t pass_duration_us; /* duration of a pass under the map in use; 0 when unknown */
+	uint32_t *map;		  /* map in use, [sets][ranks][slots] */
 	/* Written by the coordinator: a rank that reports @next_version has @next_map. */
 	uint32_t *next_map;
 	int64_t next_epoch;
--- a/src/http_message.c
+++ b/src/http_message.c
@@ -24,7 +24,7 @@
 	g_array_append_val(message->headers, header);
 	g_string_truncate(message->field_name, 0);
 	g_string_truncate(message->field_value, 0);
-	message->in_value = false;
+	message->is_value_started = false;
 }
 
 /* Returns nonzero, which stops the parser, once max_header_bytes is exceeded. */
@@ -49,7 +49,7 @@
 {
 	skh_http_message_t *message = parser->data;
 
-	if (message->in_value)
+	if (message->is_value_started)
 		finish_header(message);
 	g_string_append_len(message->field_name, at, (gssize)len);
 	return count_header_bytes(message, len);
@@ -59,7 +59,7 @@
 {
 	skh_http_message_t *message = parser->data;
 
-	message->in_value = true;
+	message->is_value_started = true;
 	g_string_append_len(message->field_value, at, (gssize)len);
 	return count_header_bytes(message, len);
 }
@@ -87,7 +87,7 @@
 	skh_http_message_t *message = parser->data;
 
 	finish_header(message);
-	message->head_done = true;
+	message->is_head_complete = true;
 	if (!has_valid_header_names(message)) {
 		message->error_kind = SKH_BAD_REQUEST;
 		return -1;
@@ -127,7 +127,7 @@
 	skh_http_message_t *message = parser->data;
 
 	finish_header(message); /* last trailer field of a chunked body */
-	message->done = true;
+	message->is_complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -160,10 +160,10 @@
 	message->ops = ops;
 	message->context = context;
 	message->header_bytes = 0;
-	message->in_value = false;
+	message->is_value_started = false;
 	message->skip_body = false;
-	message->head_done = false;
-	message->done = false;
+	message->is_head_complete = false;
+	message->is_complete = false;
 	message->error_kind = SKH_OK;
 }
 
@@ -186,12 +186,12 @@
 	enum http_errno parser_error;
 
 	*consumed = 0;
-	if (message->done)
+	if (message->is_complete)
 		return true;
 	*consumed = http_parser_execute(&message->parser, &parser_settings,
 					(const char *)bytes.data, bytes.len);
 	parser_error = HTTP_PARSER_ERRNO(&message->parser);
-	if (message->done && (parser_error == HPE_PAUSED || parser_error == HPE_OK)) {
+	if (message->is_complete && (parser_error == HPE_PAUSED || parser_error == HPE_OK)) {
 		if (message->ops->on_end)
 			message->ops->on_end(message->context, message);
 		return true;
@@ -207,12 +207,12 @@
 
 bool skh_http_message_feed_eof(skh_http_message_t *message)
 {
-	if (message->done || !message->head_done)
-		return message->done;
+	if (message->is_complete || !message->is_head_complete)
+		return message->is_complete;
 	(void)http_parser_execute(&message->parser, &parser_settings, NULL, 0);
-	if (message->done && message->ops->on_end)
+	if (message->is_complete && message->ops->on_end)
 		message->ops->on_end(message->context, message);
-	return message->done;
+	return message->is_complete;
 }
 
 const char *skh_http_message_header(const skh_http_message_t *message, const char *name)
@@ -228,7 +228,7 @@
 
 bool skh_http_message_can_keep_alive(const skh_http_message_t *message)
 {
-	return message->done && http_should_keep_alive(&message->parser) != 0;
+	return message->is_complete && http_should_keep_alive(&message->parser) != 0;
 }
 
 bool skh_header_is_hop_by_hop(const char *name)
--- a/src/http_message.h
+++ b/src/http_message.h
@@ -55,10 +55,10 @@
 	GString *request_target; /* requests only */
 	GString *field_name;	 /* name of the header being parsed */
 	GString *field_value;	 /* value of the header being parsed */
-	bool in_value;
+	bool is_value_started;
 	bool skip_body; /* no body follows, as in the response to a HEAD request; set in on_head */
-	bool head_done;
-	bool done;
+	bool is_head_complete;
+	bool is_complete;
 	skh_error_kind_t error_kind; /* cause of a parse failure, or SKH_OK */
 	skh_buffer_t body;	     /* collected body; empty when on_body is set */
 };
--- a/src/instances.c
+++ b/src/instances.c
@@ -98,7 +98,8 @@
 	size_t count = 0;
 
 	for (size_t i = 0; i < instances->count; i++)
-		count += strcmp(instances->list[i].role, role) == 0 && !instances->list[i].leaving;
+		count += strcmp(instances->list[i].role, role) == 0 &&
+			 !instances->list[i].is_leaving;
 	return count;
 }
 
--- a/src/instances.h
+++ b/src/instances.h
@@ -28,7 +28,7 @@
 	char *link_address;  /* ZeroMQ address of a sidecar, "" for an entry */
 	char *admin_address; /* host:port of the administration listener, "" if not listed */
 	char *failure_domain;
-	bool leaving; /* the instance is about to stop */
+	bool is_leaving; /* the instance is about to stop */
 } skh_instance_t;
 
 /** struct skh_instances - list of instances, sorted by id */
--- a/src/layout.c
+++ b/src/layout.c
@@ -34,8 +34,8 @@
 	for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
 		if (!skh_layout_is_rank_live(input, rank))
 			continue;
-		for (uint32_t slot = 0; slot < input->n_slots; slot++)
-			hosts[placement[rank * input->n_slots + slot]] |= 1ULL << rank;
+		for (uint32_t slot = 0; slot < input->slots_per_rank; slot++)
+			hosts[placement[rank * input->slots_per_rank + slot]] |= 1ULL << rank;
 	}
 }
 
@@ -84,12 +84,12 @@
 
 static void find_redundant_slots(skh_layout_t *layout)
 {
-	const skh_rebalance_input_t *input = layout->view;
+	const skh_rebalance_input_t *input = layout->input;
 
 	layout->n_redundant_slots = 0;
 	for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
 		for (uint32_t slot = 0;
-		     skh_layout_is_rank_live(input, rank) && slot < input->n_slots; slot++) {
+		     skh_layout_is_rank_live(input, rank) && slot < input->slots_per_rank; slot++) {
 			if (skh_layout_replica_count(layout,
 						     skh_layout_expert_at(layout, rank, slot)) >= 2)
 				layout->redundant_slots[layout->n_redundant_slots++] =
@@ -100,7 +100,7 @@
 
 void skh_layout_recompute(skh_layout_t *layout)
 {
-	const skh_rebalance_input_t *input = layout->view;
+	const skh_rebalance_input_t *input = layout->input;
 
 	compute_loads(input, layout->hosts, input->forecast_shares, layout->load);
 	layout->norm = 0.0;
@@ -137,7 +137,7 @@
 void skh_layout_trial_change_hosts(const skh_layout_t *layout, skh_layout_trial_t *trial,
 				   uint32_t expert, uint64_t before, uint64_t after)
 {
-	double share = layout->view->forecast_shares[expert];
+	double share = layout->input->forecast_shares[expert];
 	double work_before = share / (double)MAX(__builtin_popcountll(before), 1);
 	double work_after = share / (double)MAX(__builtin_popcountll(after), 1);
 
@@ -164,7 +164,7 @@
 
 static bool spans_failure_domains(const skh_layout_t *layout, uint64_t hosts)
 {
-	const uint32_t *domain = layout->view->failure_domain;
+	const uint32_t *domain = layout->input->failure_domain;
 	uint32_t first_domain = domain[__builtin_ctzll(hosts)];
 
 	for (; hosts != 0; hosts &= hosts - 1) {
@@ -185,9 +185,9 @@
 skh_layout_t *skh_layout_new(const skh_rebalance_input_t *input)
 {
 	skh_layout_t *layout = g_new0(skh_layout_t, 1);
-	size_t total_slots = (size_t)input->n_ranks * input->n_slots;
+	size_t total_slots = (size_t)input->n_ranks * input->slots_per_rank;
 
-	layout->view = input;
+	layout->input = input;
 	layout->placement = g_memdup2(input->placement, total_slots * sizeof(uint32_t));
 	layout->hosts = g_new0(uint64_t, input->n_experts);
 	layout->replica_work = g_new0(double, input->n_experts);
@@ -197,7 +197,7 @@
 	for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
 		layout->n_live_ranks += skh_layout_is_rank_live(input, rank);
 		layout->copies_left[rank] =
-			input->max_rank_copies ? input->max_rank_copies[rank] : UINT32_MAX;
+			input->max_copies_per_rank ? input->max_copies_per_rank[rank] : UINT32_MAX;
 		layout->inverse_speed[rank] =
 			skh_layout_is_rank_live(input, rank) ? 1.0 / input->speed[rank] : 0.0;
 	}
@@ -208,17 +208,18 @@
 
 skh_layout_t *skh_layout_copy(const skh_layout_t *source)
 {
-	const skh_rebalance_input_t *input = source->view;
+	const skh_rebalance_input_t *input = source->input;
 	skh_layout_t *layout = g_memdup2(source, sizeof(*source));
 
-	layout->placement =
-		g_memdup2(source->placement, input->n_ranks * input->n_slots * sizeof(uint32_t));
+	layout->placement = g_memdup2(source->placement,
+				      input->n_ranks * input->slots_per_rank * sizeof(uint32_t));
 	layout->hosts = g_memdup2(source->hosts, input->n_experts * sizeof(uint64_t));
 	layout->replica_work = g_memdup2(source->replica_work, input->n_experts * sizeof(double));
 	layout->replica_count =
 		g_memdup2(source->replica_count, input->n_experts * sizeof(uint32_t));
-	layout->redundant_slots = g_memdup2(
-		source->redundant_slots, input->n_ranks * input->n_slots * sizeof(skh_rank_slot_t));
+	layout->redundant_slots =
+		g_memdup2(source->redundant_slots,
+			  input->n_ranks * input->slots_per_rank * sizeof(skh_rank_slot_t));
 	return layout;
 }
 
--- a/src/layout.h
+++ b/src/layout.h
@@ -30,8 +30,8 @@
  * the derived fields.
  */
 typedef struct skh_layout {
-	const skh_rebalance_input_t *view; /* borrowed */
-	uint32_t *placement;		   /* expert in each slot, [n_ranks][n_slots] */
+	const skh_rebalance_input_t *input; /* borrowed */
+	uint32_t *placement;		    /* expert in each slot, [n_ranks][n_slots] */
 	uint64_t *hosts; /* live ranks that hold each expert, as bits, [n_experts] */
 	/* Derived from @hosts by skh_layout_recompute(): */
 	uint32_t *replica_count;	  /* live ranks that hold each expert */
@@ -62,7 +62,7 @@
 static inline uint32_t skh_layout_expert_at(const skh_layout_t *layout, uint32_t rank,
 					    uint32_t slot)
 {
-	return layout->placement[rank * layout->view->n_slots + slot];
+	return layout->placement[rank * layout->input->slots_per_rank + slot];
 }
 
 /* Returns the work of one replica of @expert; replicas share the tokens equally. */
--- a/src/link.c
+++ b/src/link.c
@@ -252,14 +252,15 @@
 {
 	const char *old_address = g_hash_table_lookup(link->connected_addresses, peer->id);
 
-	if (old_address && strcmp(old_address, peer->link) == 0)
+	if (old_address && strcmp(old_address, peer->link_address) == 0)
 		return;
 	if (old_address)
 		(void)zmq_disconnect(link->router, old_address);
-	if (zmq_connect(link->router, peer->link) != 0)
+	if (zmq_connect(link->router, peer->link_address) != 0)
 		skh_log(SKH_LOG_ERROR, PART, "Sidecar address is not valid; no connection opened.",
-			"sidecar=%s address=%s", peer->id, peer->link);
-	g_hash_table_replace(link->connected_addresses, g_strdup(peer->id), g_strdup(peer->link));
+			"sidecar=%s address=%s", peer->id, peer->link_address);
+	g_hash_table_replace(link->connected_addresses, g_strdup(peer->id),
+			     g_strdup(peer->link_address));
 }
 
 static void disconnect_unlisted(skh_link_t *link)
@@ -302,7 +303,7 @@
 	item = new_outgoing(link, peer->id, &frame);
 	if (transmit_frame(link, item)) {
 		skh_metrics_add(SKH_COUNT_CONTROL_BYTES_OUT, item->bytes.len);
-	} else if (peer->reachable) {
+	} else if (peer->is_reachable) {
 		skh_peers_set_lost(peer, now_us);
 		push_lost_events(link, peer, SKH_SIDECAR_LOSS_CLOSED);
 	}
@@ -321,7 +322,7 @@
 		Skh__Frame frame = SKH__FRAME__INIT;
 		Skh__Ask ask = SKH__ASK__INIT;
 
-		if (now_us < pending->next_ask_us || !pending->peer->reachable)
+		if (now_us < pending->next_ask_us || !pending->peer->is_reachable)
 			continue;
 		pending->next_ask_us = now_us + ASK_INTERVAL_US;
 		ask.attempt = pending->attempt;
@@ -389,8 +390,8 @@
 		return skh_error_set(err, SKH_INTERNAL, "ZeroMQ socket could not be opened: %s",
 				     zmq_strerror(errno));
 	skh_wire_setup_router(link->router, 0);
-	skh_wire_set_option(link->router, ZMQ_RECONNECT_IVL, 100);
-	skh_wire_set_option(link->router, ZMQ_RECONNECT_IVL_MAX, 2000);
+	skh_wire_set_socket_option(link->router, ZMQ_RECONNECT_IVL, 100);
+	skh_wire_set_socket_option(link->router, ZMQ_RECONNECT_IVL_MAX, 2000);
 	skh_curve_auth_set_client(link->router, link->settings);
 	if (zmq_setsockopt(link->router, ZMQ_ROUTING_ID, link->entry_id, strlen(link->entry_id)))
 		return skh_error_set(err, SKH_CONFIG_INVALID,
@@ -486,7 +487,7 @@
 	outgoing_t *item;
 	skh_peer_t *peer;
 
-	/* The top bit stays clear: SKH_WIRE_LOCAL_TRANSFER_BIT marks a sidecar's own transfers. */
+	/* The top bit stays clear: SKH_WIRE_LOCAL_ID_BIT marks a sidecar's own transfers. */
 	dispatched->attempt = (skh_random_u64() >> 1) | 1;
 	start->attempt = dispatched->attempt;
 	g_mutex_lock(&link->lock);
--- a/src/mapchange.c
+++ b/src/mapchange.c
@@ -82,7 +82,7 @@
 static bool has_prepared(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
 	(void)change;
-	return rank->prepared;
+	return rank->has_prepared;
 }
 
 static bool has_copies(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
@@ -93,7 +93,7 @@
 static bool is_armed(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
 	(void)change;
-	return rank->armed;
+	return rank->is_armed;
 }
 
 /* Unlike !rank->armed, also excludes an arm order that may be carried out late. */
@@ -123,7 +123,7 @@
 static bool are_others_armed(const skh_mapchange_t *change)
 {
 	for (uint32_t i = 0; i < change->n_ranks; i++) {
-		if (i != change->proxy_rank && !change->ranks[i].armed)
+		if (i != change->proxy_rank && !change->ranks[i].is_armed)
 			return false;
 	}
 	return true;
@@ -205,12 +205,12 @@
 		return;
 	}
 	state->report = *report;
-	state->reported = true;
+	state->has_reported = true;
 	state->reported_us = now_us;
 	if (report->armed_version == change->version)
-		state->armed = true;
+		state->is_armed = true;
 	if (report->prepared_version == change->version)
-		state->prepared = true;
+		state->has_prepared = true;
 	if (rank == change->own_rank)
 		process_own_report(change, report, now_us);
 	advance(change, now_us);
@@ -229,13 +229,13 @@
 static bool has_responded(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
 	(void)change;
-	return rank->answered;
+	return rank->has_responded;
 }
 
 static bool has_reported(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
 	(void)change;
-	return rank->reported;
+	return rank->has_reported;
 }
 
 /*
@@ -248,13 +248,13 @@
 	const skh_mapchange_rank_t *state = &change->ranks[rank];
 	uint32_t holder = find_holder(change);
 
-	if (state->prepared || !all_ranks(change, has_reported))
+	if (state->has_prepared || !all_ranks(change, has_reported))
 		return false;
 	order->op = SKH_ENGINE_PREPARE;
-	if (state->report.armed_version == 0 || !state->answered)
+	if (state->report.armed_version == 0 || !state->has_responded)
 		return true;
 	if (!all_ranks(change, has_responded) ||
-	    (holder < change->n_ranks && holder != rank && !change->ranks[holder].prepared))
+	    (holder < change->n_ranks && holder != rank && !change->ranks[holder].has_prepared))
 		return false;
 	order->op = SKH_ENGINE_DISARM;
 	order->map_version = state->report.armed_version;
@@ -278,7 +278,7 @@
 		return rank == change->own_rank;
 	case SKH_MAPCHANGE_ARM:
 		order->op = SKH_ENGINE_ARM;
-		return !state->armed &&
+		return !state->is_armed &&
 		       (rank != change->proxy_rank || can_arm_proxy(change, now_us));
 	case SKH_MAPCHANGE_DISARM:
 		order->op = SKH_ENGINE_DISARM;
@@ -315,10 +315,10 @@
 		.epoch = change->epoch,
 		.fence = change->fence,
 	};
-	if (state->order_pending || now_us < state->not_before_us ||
+	if (state->is_order_pending || now_us < state->not_before_us ||
 	    !choose_order(change, rank, now_us, order))
 		return false;
-	state->order_pending = true;
+	state->is_order_pending = true;
 	state->may_be_armed = state->may_be_armed || order->op == SKH_ENGINE_ARM;
 	state->order_op = order->op;
 	state->order_sent_us = now_us;
@@ -330,12 +330,12 @@
 {
 	switch (op) {
 	case SKH_ENGINE_PREPARE:
-		state->prepared = true;
+		state->has_prepared = true;
 		break;
 	case SKH_ENGINE_DISARM:
 		state->report.armed_version = 0;
 		if (change->phase == SKH_MAPCHANGE_DISARM) {
-			state->armed = false;
+			state->is_armed = false;
 			state->may_be_armed = false;
 		}
 		break;
@@ -346,7 +346,7 @@
 		}
 		break;
 	case SKH_ENGINE_ARM:
-		state->armed = true;
+		state->is_armed = true;
 		break;
 	case SKH_ENGINE_GO:
 		state->report.held_pass = 0;
@@ -376,10 +376,10 @@
 	skh_mapchange_rank_t *state = &change->ranks[rank];
 	skh_engine_op_t op = state->order_op;
 
-	state->order_pending = false;
+	state->is_order_pending = false;
 	if (has_ended(change))
 		return;
-	state->answered = state->answered || result != SKH_ENGINE_ORDER_NO_ANSWER;
+	state->has_responded = state->has_responded || result != SKH_ENGINE_ORDER_NO_RESPONSE;
 	switch (result) {
 	case SKH_ENGINE_ORDER_ACCEPTED:
 		process_accepted(change, state, op, now_us);
@@ -390,7 +390,7 @@
 	case SKH_ENGINE_ORDER_FENCED:
 		fail(change, "a rank has seen a higher fence of another coordinator", now_us);
 		return;
-	case SKH_ENGINE_ORDER_NO_ANSWER:
+	case SKH_ENGINE_ORDER_NO_RESPONSE:
 		state->not_before_us = now_us + RETRY_DELAY_US;
 		break;
 	}
@@ -417,7 +417,7 @@
 
 	if (change->phase == SKH_MAPCHANGE_HOLD &&
 	    own->pass + MIN_LEAD_PASSES >= change->switch_pass &&
-	    !change->ranks[change->own_rank].order_pending)
+	    !change->ranks[change->own_rank].is_order_pending)
 		change->switch_pass = own->pass + LEAD_PASSES;
 	if ((change->phase == SKH_MAPCHANGE_PREPARE || change->phase == SKH_MAPCHANGE_COPY ||
 	     change->phase == SKH_MAPCHANGE_HOLD) &&
--- a/src/mapchange.h
+++ b/src/mapchange.h
@@ -67,22 +67,22 @@
 
 /** enum skh_engine_order_result - an engine's response to an order */
 typedef enum skh_engine_order_result {
-	SKH_ENGINE_ORDER_ACCEPTED, /* started, done, or already in that state */
-	SKH_ENGINE_ORDER_CONFLICT, /* not possible in the rank's state */
-	SKH_ENGINE_ORDER_FENCED,   /* the rank has seen a higher fence */
-	SKH_ENGINE_ORDER_NO_ANSWER /* no response; the order may still be carried out */
+	SKH_ENGINE_ORDER_ACCEPTED,   /* started, done, or already in that state */
+	SKH_ENGINE_ORDER_CONFLICT,   /* not possible in the rank's state */
+	SKH_ENGINE_ORDER_FENCED,     /* the rank has seen a higher fence */
+	SKH_ENGINE_ORDER_NO_RESPONSE /* no response; the order may still be carried out */
 } skh_engine_order_result_t;
 
 /** struct skh_mapchange_rank - known state of one rank */
 typedef struct skh_mapchange_rank {
-	bool reported;		    /* @report is valid */
+	bool has_reported;	    /* @report is valid */
 	skh_engine_report_t report; /* newest report */
 	int64_t reported_us;
-	bool answered;		  /* has responded to this change and so knows the fence */
-	bool prepared;		  /* has accepted the prepare order of this change */
-	bool armed;		  /* is armed for this change */
+	bool has_responded;	  /* has responded to this change and so knows the fence */
+	bool has_prepared;	  /* has accepted the prepare order of this change */
+	bool is_armed;		  /* is armed for this change */
 	bool may_be_armed;	  /* an arm order was sent and may take effect now or later */
-	bool order_pending;	  /* an order is in flight */
+	bool is_order_pending;	  /* an order is in flight */
 	skh_engine_op_t order_op; /* kind of the last order */
 	int64_t order_sent_us;
 	int64_t not_before_us; /* earliest time of the next order, after a failed one */
--- a/src/mapplan.c
+++ b/src/mapplan.c
@@ -84,7 +84,7 @@
 {
 	return (skh_rebalance_input_t){
 		.n_ranks = set_input->n_ranks,
-		.n_slots = set_input->engine_spec->expert_slots,
+		.slots_per_rank = set_input->engine_spec->expert_slots,
 		.n_experts = set_input->engine_spec->experts_per_set + set_input->n_filler_experts,
 		.placement = set_input->placement,
 		.forecast_shares = set_input->shares,
@@ -94,7 +94,7 @@
 		.cost_weight = options->cost_weight,
 		.copy_cost = options->copy_cost,
 		.max_copies = SKH_REBALANCE_MAX_COPIES,
-		.max_rank_copies = max_rank_copies,
+		.max_copies_per_rank = max_rank_copies,
 	};
 }
 
@@ -123,8 +123,8 @@
 {
 	uint32_t in_set = count_new_experts(row_before, row, engine_spec->expert_slots);
 
-	return in_set < engine_spec->spare_slots &&
-	       n_new_so_far + in_set < options->max_new_per_rank;
+	return in_set < engine_spec->max_new_experts &&
+	       n_new_so_far + in_set < options->max_copies_per_rank;
 }
 
 /*
@@ -164,7 +164,7 @@
 {
 	return (skh_greedy_rebalance_input_t){
 		.n_ranks = n_ranks,
-		.n_slots = engine_spec->expert_slots,
+		.slots_per_rank = engine_spec->expert_slots,
 		.n_experts = engine_spec->experts_per_set,
 		.shares = shares,
 		.slowdowns = slowdowns,
@@ -206,7 +206,7 @@
 	uint32_t set_index = 0;
 
 	for (uint32_t rank = 0; rank < n_ranks; rank++)
-		copies_left[rank] = options->max_new_per_rank;
+		copies_left[rank] = options->max_copies_per_rank;
 	for (uint32_t set = 0; set < engine_spec->expert_sets; set++) {
 		skh_greedy_rebalance_input_t input = make_greedy_input(
 			engine_spec, n_ranks, shares + (size_t)set * engine_spec->experts_per_set,
@@ -214,7 +214,7 @@
 
 		rebalances[set] = skh_greedy_rebalance_new(
 			&input, map + (size_t)set * n_ranks * engine_spec->expert_slots,
-			engine_spec->spare_slots, copies_left);
+			engine_spec->max_new_experts, copies_left);
 	}
 	while ((next = find_most_skewed(rebalances, is_exhausted, engine_spec->expert_sets,
 					options->greedy_target_skew, &set_index)) != NULL)
@@ -237,8 +237,8 @@
 	uint32_t max_rank_copies[SKH_REBALANCE_MAX_RANKS];
 
 	for (uint32_t rank = 0; rank < n_ranks; rank++)
-		max_rank_copies[rank] = MIN(engine_spec->spare_slots,
-					    options->max_new_per_rank - n_new_so_far[rank]);
+		max_rank_copies[rank] = MIN(engine_spec->max_new_experts,
+					    options->max_copies_per_rank - n_new_so_far[rank]);
 	init_set_input(&set_input, engine_spec, n_ranks, shares, options->slowdowns, map);
 	input = make_rebalance_input(&set_input, options, max_rank_copies);
 	if (skh_rebalance_compute_plan(&input, plan))
@@ -324,9 +324,9 @@
 	}
 }
 
-void skh_mapplan_make(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
-		      const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
-		      skh_mapplan_result_t *result)
+void skh_mapplan_compute(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			 const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
+			 skh_mapplan_result_t *result)
 {
 	size_t size = (size_t)engine_spec->expert_sets * n_ranks * engine_spec->expert_slots;
 	g_autofree uint32_t *old_map = g_memdup2(map, size * sizeof(*map));
--- a/src/mapplan.h
+++ b/src/mapplan.h
@@ -26,7 +26,7 @@
 	double skew_weight;
 	double cost_weight;
 	double copy_cost; /* cost of one new expert at a rank, as a fraction of a set's skew */
-	uint32_t max_new_per_rank; /* limit of new experts per rank, over all sets */
+	uint32_t max_copies_per_rank; /* limit of new experts per rank, over all sets */
 	bool greedy_only; /* use only greedy_rebalance.h, without the search of rebalance.h */
 	double greedy_target_skew; /* a greedy plan leaves sets up to this skew unchanged */
 	const double *slowdowns;   /* slowdown of each rank, 1 is normal; NULL when all are */
@@ -41,7 +41,7 @@
 } skh_mapplan_result_t;
 
 /**
- * skh_mapplan_make() - compute the next map
+ * skh_mapplan_compute() - compute the next map
  * @engine_spec: numbers of sets, experts per set, slots and spare slots
  * @n_ranks: number of ranks in the group
  * @options: weights and limits
@@ -49,13 +49,13 @@
  * @map: map in use; replaced by the next map
  * @result: receives the effect of the plan
  */
-void skh_mapplan_make(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
-		      const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
-		      skh_mapplan_result_t *result);
+void skh_mapplan_compute(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
+			 const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
+			 skh_mapplan_result_t *result);
 
 /**
  * skh_mapplan_skew() - compute the mean of the sets' skew
- * @engine_spec: as for skh_mapplan_make()
+ * @engine_spec: as for skh_mapplan_compute()
  * @n_ranks: number of ranks in the group
  * @shares: expected share of tokens of each expert, [sets][experts], sum 1 in each set
  * @slowdowns: slowdown of each rank, [@n_ranks], 1 is normal; NULL when all are normal
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -43,7 +43,7 @@
 	[SKH_COUNT_CLAIM_BATCHES] = { "claim_batches", "Transactions that carried claims" },
 	[SKH_COUNT_CLAIM_UNFINISHED] = { "claim_unfinished",
 					 "Requests whose key is claimed by an unfinished run" },
-	[SKH_COUNT_ACCUSED] = { "accused", "Crashes held against a request" },
+	[SKH_COUNT_CRASHES_RECORDED] = { "accused", "Crashes held against a request" },
 	[SKH_COUNT_QUARANTINED] = { "quarantined", "Requests refused for crashing servers" },
 	[SKH_COUNT_ENGINE_ORDERS] = { "engine_orders", "Orders sent to engines" },
 	[SKH_COUNT_MAP_CHANGES] = { "map_changes", "Expert maps put in use" },
--- a/src/peer_selection.c
+++ b/src/peer_selection.c
@@ -36,8 +36,8 @@
 
 bool skh_peer_can_accept(const skh_peer_t *peer, const skh_peer_query_t *query)
 {
-	return peer->reachable && peer->phase == SKH_PHASE_READY && peer->listed &&
-	       !peer->listed_leaving && strcmp(peer->service, query->service) == 0 &&
+	return peer->is_reachable && peer->phase == SKH_PHASE_READY && peer->is_listed &&
+	       !peer->is_listed_leaving && strcmp(peer->service, query->service) == 0 &&
 	       !was_tried(query, peer->id);
 }
 
--- a/src/peers.c
+++ b/src/peers.c
@@ -24,11 +24,11 @@
 	skh_peer_t *peer = item;
 
 	g_free(peer->id);
-	g_free(peer->link);
+	g_free(peer->link_address);
 	g_free(peer->failure_domain);
 	g_free(peer->service);
 	g_free(peer->group);
-	g_free(peer->admin);
+	g_free(peer->admin_address);
 	g_free(peer);
 }
 
@@ -89,7 +89,7 @@
 	for (size_t i = peers->list->len; i-- > 0;) {
 		skh_peer_t *peer = skh_peers_at(peers, i);
 
-		if (peer->listed || peer->own_in_flight > 0)
+		if (peer->is_listed || peer->own_in_flight > 0)
 			continue;
 		g_hash_table_remove(peers->by_id, peer->id);
 		g_ptr_array_remove_index_fast(peers->list, (guint)i);
@@ -99,7 +99,7 @@
 void skh_peers_sync(skh_peers_t *peers, const skh_instances_t *instances, int64_t now_us)
 {
 	for (size_t i = 0; i < peers->list->len; i++)
-		skh_peers_at(peers, i)->listed = false;
+		skh_peers_at(peers, i)->is_listed = false;
 	for (size_t i = 0; i < instances->count; i++) {
 		const skh_instance_t *instance = &instances->list[i];
 		skh_peer_t *peer;
@@ -109,10 +109,10 @@
 		peer = skh_peers_find(peers, instance->id);
 		if (!peer)
 			peer = add_peer(peers, instance, now_us);
-		peer->listed = true;
-		peer->listed_leaving = instance->leaving;
-		replace_text(&peer->link, instance->link_address);
-		replace_text(&peer->admin, instance->admin_address);
+		peer->is_listed = true;
+		peer->is_listed_leaving = instance->is_leaving;
+		replace_text(&peer->link_address, instance->link_address);
+		replace_text(&peer->admin_address, instance->admin_address);
 		replace_text(&peer->failure_domain, instance->failure_domain);
 	}
 	remove_unlisted(peers);
@@ -144,7 +144,7 @@
 	replaced = peer->incarnation != 0 && peer->incarnation != status->incarnation;
 	if (replaced)
 		peer->config_revision = revision;
-	peer->reachable = true;
+	peer->is_reachable = true;
 	peer->last_received_us = now_us;
 	peer->own_in_flight_at_report = peer->own_in_flight;
 	apply_status(peer, status);
@@ -169,14 +169,14 @@
 
 	if (now_us < peer->next_hello_us)
 		return false;
-	if (!peer->reachable)
+	if (!peer->is_reachable)
 		peer->next_hello_us = now_us + HELLO_UNREACHABLE_INTERVAL_US;
 	else if (peer->own_in_flight > 0)
 		peer->next_hello_us = now_us + HELLO_BUSY_INTERVAL_US;
 	else
 		peer->next_hello_us = now_us + idle_interval_us(peers);
 	/* A busy sidecar sends frames anyway, so a reachable one gets a hello only when silent. */
-	return !peer->reachable || peer->own_in_flight == 0 || is_silent;
+	return !peer->is_reachable || peer->own_in_flight == 0 || is_silent;
 }
 
 /* Corrects the last status by the entry's requests that began or ended since, which it lacks. */
@@ -190,12 +190,12 @@
 
 bool skh_peers_is_lost(const skh_peer_t *peer, int64_t now_us)
 {
-	return peer->reachable && peer->own_in_flight > 0 && now_us >= peer->silence_deadline_us;
+	return peer->is_reachable && peer->own_in_flight > 0 && now_us >= peer->silence_deadline_us;
 }
 
 void skh_peers_set_lost(skh_peer_t *peer, int64_t now_us)
 {
-	peer->reachable = false;
+	peer->is_reachable = false;
 	peer->next_hello_us = now_us;
 }
 
--- a/src/peers.h
+++ b/src/peers.h
@@ -20,15 +20,15 @@
 /** struct skh_peer - one sidecar; the texts are owned by the table */
 typedef struct skh_peer {
 	char *id;
-	char *link;
+	char *link_address;
 	char *failure_domain;
 	char *service;
 	char *group;
-	char *admin;
+	char *admin_address;
 	uint32_t rank;
-	bool listed;
-	bool listed_leaving;
-	bool reachable; /* a status was received and the sidecar was not lost since */
+	bool is_listed;
+	bool is_listed_leaving;
+	bool is_reachable; /* a status was received and the sidecar was not lost since */
 	skh_phase_t phase;
 	uint64_t incarnation;
 	int64_t config_revision; /* newest configuration revision in its frames */
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -220,7 +220,7 @@
 	g_mutex_unlock(&quarantine->lock);
 	if (!is_new)
 		return;
-	skh_metrics_add(SKH_COUNT_ACCUSED, 1);
+	skh_metrics_add(SKH_COUNT_CRASHES_RECORDED, 1);
 	skh_log(SKH_LOG_WARNING, PART,
 		"A request ran on a backend server that crashed; crash recorded.",
 		"content=%016" PRIx64 " crash=%016" PRIx64, content_hash, crash_id);
--- a/src/rank.c
+++ b/src/rank.c
@@ -50,20 +50,20 @@
 	if (order->fence < rank->highest_fence)
 		return SKH_ORDER_FENCED;
 	rank->highest_fence = order->fence;
-	if (rank->order_pending)
+	if (rank->is_order_pending)
 		return SKH_ORDER_BUSY;
 	if (is_already_done(rank, order) || is_retried_release(rank, order))
 		return SKH_ORDER_DONE;
 	if (!is_in_sequence(rank, order))
 		return SKH_ORDER_OUT_OF_SEQUENCE;
-	rank->order_pending = true;
+	rank->is_order_pending = true;
 	rank->engine_order = *order;
 	return SKH_ORDER_FORWARD;
 }
 
 bool skh_rank_is_running_version(const skh_rank_t *rank, uint64_t version)
 {
-	return !rank->order_pending && rank->hold_fence == 0 && !rank->may_be_held &&
+	return !rank->is_order_pending && rank->hold_fence == 0 && !rank->may_be_held &&
 	       rank->version == version;
 }
 
@@ -71,7 +71,7 @@
 {
 	const skh_order_t *order = &rank->engine_order;
 
-	rank->order_pending = false;
+	rank->is_order_pending = false;
 	if (!succeeded) {
 		/* The engine's state is unknown, so the switch can only continue with a new hold. */
 		rank->hold_fence = 0;
--- a/src/rank.h
+++ b/src/rank.h
@@ -56,7 +56,7 @@
 	uint64_t version;	   /* map version in use; 0 when not known */
 	uint64_t hold_fence;	   /* fence under which the engine is held; 0 when it may run */
 	bool may_be_held;	   /* an earlier order may have left the engine held */
-	bool order_pending;
+	bool is_order_pending;
 	skh_order_t engine_order; /* order that was sent to the engine last */
 } skh_rank_t;
 
--- a/src/rank_poller.c
+++ b/src/rank_poller.c
@@ -86,7 +86,7 @@
 static bool has_state_changed(const skh_engine_report_t *a, const skh_engine_report_t *b)
 {
 	return fabs(a->slowdown - b->slowdown) > SLOWDOWN_CHANGE_RATIO * b->slowdown ||
-	       a->epoch != b->epoch || a->group_open != b->group_open ||
+	       a->epoch != b->epoch || a->is_group_open != b->is_group_open ||
 	       a->map_version != b->map_version || a->prepared_version != b->prepared_version ||
 	       a->armed_version != b->armed_version || a->held_pass != b->held_pass ||
 	       a->rank != b->rank;
@@ -108,15 +108,15 @@
 		  has_state_changed(&report, &poller->snapshot.report);
 	group_changed = !poller->snapshot.has_report ||
 			report.epoch != poller->snapshot.report.epoch ||
-			report.group_open != poller->snapshot.report.group_open;
+			report.is_group_open != poller->snapshot.report.is_group_open;
 	if (changed)
 		skh_log(group_changed ? SKH_LOG_INFO : SKH_LOG_DEBUG, PART, "Engine state changed.",
 			"group=%s rank=%u size=%u epoch=%" G_GINT64_FORMAT
 			" open=%d pass=%" G_GINT64_FORMAT " map=%" G_GINT64_FORMAT
 			" prepared=%" G_GINT64_FORMAT " armed=%" G_GINT64_FORMAT
 			" held=%" G_GINT64_FORMAT " pace=%.2f",
-			report.in_group ? report.group : "-", report.rank, report.group_size,
-			report.epoch, report.group_open, report.pass, report.map_version,
+			report.is_in_group ? report.group : "-", report.rank, report.group_size,
+			report.epoch, report.is_group_open, report.pass, report.map_version,
 			report.prepared_version, report.armed_version, report.held_pass,
 			report.slowdown);
 	poller->snapshot.has_report = true;
--- a/src/rankrelay.c
+++ b/src/rankrelay.c
@@ -359,7 +359,7 @@
 	return NULL;
 }
 
-int64_t skh_rankrelay_last_prepared(const skh_rankrelay_t *relay, int64_t *prepared_us)
+int64_t skh_rankrelay_last_prepared_version(const skh_rankrelay_t *relay, int64_t *prepared_us)
 {
 	*prepared_us = relay->prepared_us;
 	return relay->prepared_version;
--- a/src/rankrelay.h
+++ b/src/rankrelay.h
@@ -36,11 +36,11 @@
 				     skh_error_t *err);
 
 /**
- * skh_rankrelay_last_prepared() - version of the map in the last prepare order
+ * skh_rankrelay_last_prepared_version() - version of the map in the last prepare order
  * @prepared_us: set to the time of that order, boot clock in microseconds
  * Return: 0 if there was none.
  */
-int64_t skh_rankrelay_last_prepared(const skh_rankrelay_t *relay, int64_t *prepared_us);
+int64_t skh_rankrelay_last_prepared_version(const skh_rankrelay_t *relay, int64_t *prepared_us);
 
 /* Status of an order whose map is encoded as differences from a map that is not cached. */
 #define SKH_RANKRELAY_STATUS_NO_BASE 428
--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -69,7 +69,7 @@
 /* Improvement of the objective by @change, net of the copy cost, divided by its copies. */
 static double compute_gain_per_copy(const skh_layout_t *layout, const change_t *change)
 {
-	const skh_rebalance_input_t *input = layout->view;
+	const skh_rebalance_input_t *input = layout->input;
 	double skew_reduction;
 
 	if (change->n_copies == 0)
@@ -235,7 +235,7 @@
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < layout->view->n_slots * layout->n_redundant_slots; i++) {
+	for (uint32_t i = 0; i < layout->input->slots_per_rank * layout->n_redundant_slots; i++) {
 		skh_rank_slot_t redundant = layout->redundant_slots[i % layout->n_redundant_slots];
 		relocation_t relocation = { i / layout->n_redundant_slots, redundant.rank,
 					    redundant.slot, 0.0 };
@@ -330,12 +330,12 @@
 static void evaluate_refills(const skh_layout_t *layout, uint32_t bottleneck,
 			     const relocation_t *relocation, candidates_t *candidates)
 {
-	const skh_rebalance_input_t *input = layout->view;
+	const skh_rebalance_input_t *input = layout->input;
 
 	for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
 		if (rank == bottleneck || !skh_layout_is_rank_live(input, rank))
 			continue;
-		for (uint32_t slot = 0; slot < input->n_slots; slot++) {
+		for (uint32_t slot = 0; slot < input->slots_per_rank; slot++) {
 			uint32_t incoming = skh_layout_expert_at(layout, rank, slot);
 
 			/*
@@ -367,15 +367,15 @@
 static void evaluate_changes(const skh_layout_t *layout, uint32_t bottleneck,
 			     candidates_t *candidates)
 {
-	const skh_rebalance_input_t *input = layout->view;
+	const skh_rebalance_input_t *input = layout->input;
 
-	for (uint32_t own_slot = 0; own_slot < input->n_slots; own_slot++) {
+	for (uint32_t own_slot = 0; own_slot < input->slots_per_rank; own_slot++) {
 		uint32_t expert = skh_layout_expert_at(layout, bottleneck, own_slot);
 
 		for (uint32_t rank = 0; rank < input->n_ranks; rank++) {
 			if (rank == bottleneck || !skh_layout_is_rank_live(input, rank))
 				continue;
-			for (uint32_t slot = 0; slot < input->n_slots; slot++)
+			for (uint32_t slot = 0; slot < input->slots_per_rank; slot++)
 				evaluate_swap(layout, bottleneck, own_slot, rank, slot, candidates);
 		}
 		for (uint32_t i = 0; i < layout->n_redundant_slots; i++)
@@ -394,7 +394,7 @@
 {
 	uint32_t bottleneck = 0;
 
-	for (uint32_t rank = 1; rank < layout->view->n_ranks; rank++) {
+	for (uint32_t rank = 1; rank < layout->input->n_ranks; rank++) {
 		if (layout->load[rank] > layout->load[bottleneck])
 			bottleneck = rank;
 	}
@@ -404,13 +404,13 @@
 /* Copies that can still be added to @plan. */
 static uint32_t compute_copies_left(const skh_layout_t *layout, const skh_rebalance_plan_t *plan)
 {
-	return MIN(layout->view->max_copies, SKH_REBALANCE_MAX_COPIES) - plan->n_copies;
+	return MIN(layout->input->max_copies, SKH_REBALANCE_MAX_COPIES) - plan->n_copies;
 }
 
 static bool plan_copy(skh_layout_t *layout, skh_rebalance_plan_t *plan, uint32_t rank,
 		      uint32_t slot, uint32_t expert)
 {
-	uint32_t *slot_expert = &layout->placement[rank * layout->view->n_slots + slot];
+	uint32_t *slot_expert = &layout->placement[rank * layout->input->slots_per_rank + slot];
 
 	if (compute_copies_left(layout, plan) == 0 || layout->copies_left[rank] == 0)
 		return false;
@@ -429,7 +429,7 @@
 static bool find_cheapest_redundant_slot(const skh_layout_t *layout, uint32_t expert,
 					 uint32_t *rank, uint32_t *slot)
 {
-	const skh_rebalance_input_t *input = layout->view;
+	const skh_rebalance_input_t *input = layout->input;
 	double min_cost = INFINITY;
 
 	for (uint32_t i = 0; i < layout->n_redundant_slots; i++) {
@@ -451,7 +451,7 @@
 /* Plans a copy for each expert without a live replica, in descending order of forecast share. */
 static bool restore_missing_experts(skh_layout_t *layout, skh_rebalance_plan_t *plan)
 {
-	const skh_rebalance_input_t *input = layout->view;
+	const skh_rebalance_input_t *input = layout->input;
 
 	for (;;) {
 		uint32_t missing = input->n_experts;
@@ -502,7 +502,7 @@
 {
 	uint32_t heaviest = skh_layout_expert_at(layout, rank, 0);
 
-	for (uint32_t slot = 1; slot < layout->view->n_slots; slot++) {
+	for (uint32_t slot = 1; slot < layout->input->slots_per_rank; slot++) {
 		if (skh_layout_replica_work(layout, skh_layout_expert_at(layout, rank, slot)) >
 		    skh_layout_replica_work(layout, heaviest))
 			heaviest = skh_layout_expert_at(layout, rank, slot);
@@ -536,7 +536,7 @@
  */
 static bool try_perturbation(skh_layout_t **layout, skh_rebalance_plan_t *plan)
 {
-	const skh_rebalance_input_t *input = (*layout)->view;
+	const skh_rebalance_input_t *input = (*layout)->input;
 	skh_rebalance_plan_t *candidate_plan;
 	skh_layout_t *candidate;
 	change_t change;
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -47,7 +47,7 @@
  */
 typedef struct skh_rebalance_input {
 	uint32_t n_ranks;
-	uint32_t n_slots;
+	uint32_t slots_per_rank;
 	uint32_t n_experts;
 	const uint32_t *placement;
 	const double *forecast_shares;
@@ -57,7 +57,7 @@
 	double cost_weight;
 	double copy_cost;
 	uint32_t max_copies;
-	const uint32_t *max_rank_copies;
+	const uint32_t *max_copies_per_rank;
 } skh_rebalance_input_t;
 
 /** struct skh_expert_copy - copy of the weights of @expert to a slot in @stage, counted from 0 */
--- a/src/request_fsm.c
+++ b/src/request_fsm.c
@@ -6,7 +6,7 @@
 			  int64_t deadline_us)
 {
 	memset(fsm, 0, sizeof(*fsm));
-	fsm->idempotent = idempotent;
+	fsm->is_idempotent = idempotent;
 	fsm->is_streaming = is_streaming;
 	fsm->deadline_us = deadline_us;
 }
@@ -84,7 +84,7 @@
 
 	fsm->state = SKH_REQUEST_FSM_DISPATCHING;
 	fsm->may_have_run = true;
-	if (!fsm->idempotent) {
+	if (!fsm->is_idempotent) {
 		/* The attempt may have started without ending; only a claim record proves a run. */
 		fsm->has_run = cause->kind == SKH_ALREADY_RAN;
 		return fail(fsm, cause);
@@ -165,7 +165,7 @@
 	if (!is_current(fsm, attempt))
 		return SKH_REQUEST_ACTION_WAIT;
 	/* A sidecar that was not replaced may still respond; a non-idempotent request waits. */
-	if (loss != SKH_SIDECAR_LOSS_REPLACED && !fsm->idempotent) {
+	if (loss != SKH_SIDECAR_LOSS_REPLACED && !fsm->is_idempotent) {
 		fsm->may_have_run = true;
 		return SKH_REQUEST_ACTION_WAIT;
 	}
@@ -184,7 +184,7 @@
 	if (fsm->state == SKH_REQUEST_FSM_SENT)
 		fsm->may_have_run = true;
 	/* The attempt may have started without ending: whether the request ran is unknown. */
-	if (fsm->state == SKH_REQUEST_FSM_RUNNING && !fsm->idempotent) {
+	if (fsm->state == SKH_REQUEST_FSM_RUNNING && !fsm->is_idempotent) {
 		fsm->state = SKH_REQUEST_FSM_SENT;
 		fsm->may_have_run = true;
 	}
--- a/src/request_fsm.h
+++ b/src/request_fsm.h
@@ -68,7 +68,7 @@
  * @error: cause of the failure, once the action is SKH_REQUEST_ACTION_FAIL
  */
 typedef struct skh_request_fsm {
-	bool idempotent;
+	bool is_idempotent;
 	bool is_streaming;
 	int64_t deadline_us;
 	skh_request_fsm_state_t state;
--- a/src/request_queue.c
+++ b/src/request_queue.c
@@ -69,7 +69,7 @@
 	for (guint i = 0; i < queue->requests->len; i++) {
 		skh_queued_request_t *request = g_ptr_array_index(queue->requests, i);
 
-		if (request->is_probe_rejected && !include_rejected_probes)
+		if (request->was_rejected_as_probe && !include_rejected_probes)
 			continue;
 		if (!first || is_served_before(request, first, now_us))
 			first = request;
--- a/src/request_queue.h
+++ b/src/request_queue.h
@@ -31,7 +31,7 @@
 	int64_t dispatch_objective_us; /* latest dispatch that meets the latency objective */
 	int64_t expires_us;	       /* time from which the request can't be served any more */
 	int32_t index;		       /* position in the queue's array; -1 if not queued */
-	bool is_probe_rejected;	       /* rejected as a probe of a tripped group */
+	bool was_rejected_as_probe;    /* rejected as a probe of a tripped group */
 } skh_queued_request_t;
 
 typedef struct skh_request_queue skh_request_queue_t;
--- a/src/retry_policy.c
+++ b/src/retry_policy.c
@@ -2,12 +2,12 @@
 
 static bool can_retry(const skh_retry_policy_view_t *view)
 {
-	if (view->sends >= SKH_RETRY_POLICY_MAX_SENDS ||
-	    view->now_us + SKH_RETRY_POLICY_MIN_TIME_US >= view->deadline_us)
+	if (view->attempts >= SKH_RETRY_POLICY_MAX_ATTEMPTS ||
+	    view->now_us + SKH_RETRY_POLICY_MIN_TIME_LEFT_US >= view->deadline_us)
 		return false;
 	/* If an attempt may have run, a retry at another server may run the request once more. */
 	if (view->possible_runs > 0 &&
-	    (view->retry_mode == SKH_RETRY_MODE_NEVER || view->possible_runs >= view->max_attempts))
+	    (view->retry_mode == SKH_RETRY_MODE_NEVER || view->possible_runs >= view->max_runs))
 		return false;
 	switch (view->end) {
 	case SKH_END_UNREACHABLE:
--- a/src/retry_policy.h
+++ b/src/retry_policy.h
@@ -32,8 +32,8 @@
 	skh_attempt_end_t end;
 	skh_retry_mode_t retry_mode;
 	uint32_t possible_runs; /* attempts that may have run, the failed one included */
-	uint32_t max_attempts;	/* the route's limit of @possible_runs */
-	uint32_t sends;		/* attempts so far, whether run or not */
+	uint32_t max_runs;	/* the route's limit of @possible_runs */
+	uint32_t attempts;	/* attempts so far, whether run or not */
 	bool has_retry_budget;	/* the retry budget has room */
 	bool is_suspect;	/* the request is a crash suspect */
 	int64_t now_us;
@@ -50,9 +50,9 @@
 } skh_retry_decision_t;
 
 /* Maximum number of attempts per request, including those that the server rejects. */
-#define SKH_RETRY_POLICY_MAX_SENDS 4
+#define SKH_RETRY_POLICY_MAX_ATTEMPTS 4
 /* Minimum time left before the deadline for a retry; no server can respond in less time. */
-#define SKH_RETRY_POLICY_MIN_TIME_US ((int64_t)60000)
+#define SKH_RETRY_POLICY_MIN_TIME_LEFT_US ((int64_t)60000)
 
 /** skh_retry_policy_decide() - decide what follows the failed attempt described by @view */
 skh_retry_decision_t skh_retry_policy_decide(const skh_retry_policy_view_t *view);
--- a/src/roster.c
+++ b/src/roster.c
@@ -52,7 +52,7 @@
 {
 	return strcmp(a->service, b->service) == 0 && strcmp(a->host, b->host) == 0 &&
 	       a->port == b->port && strcmp(a->failure_domain, b->failure_domain) == 0 &&
-	       a->slots == b->slots && a->leaving == b->leaving &&
+	       a->slots == b->slots && a->is_leaving == b->is_leaving &&
 	       a->started_unix_ms == b->started_unix_ms &&
 	       a->grace_expires_us == b->grace_expires_us;
 }
@@ -77,7 +77,7 @@
 	if (!server)
 		return false;
 	/* A server that was leaving is not expected to register again. */
-	if (!may_have_expired || server->leaving) {
+	if (!may_have_expired || server->is_leaving) {
 		(void)g_hash_table_remove(builder->servers, id);
 		return true;
 	}
--- a/src/roster.h
+++ b/src/roster.h
@@ -31,7 +31,7 @@
 	uint16_t port;
 	char *failure_domain;
 	uint32_t slots;		  /* maximum number of concurrent requests */
-	bool leaving;		  /* gets no new requests */
+	bool is_leaving;	  /* gets no new requests */
 	int64_t started_unix_ms;  /* Unix time of the server's start; 0 when unknown */
 	int64_t grace_expires_us; /* removal time once the entry may have expired; 0 while listed */
 } skh_server_t;
--- a/src/routing.c
+++ b/src/routing.c
@@ -22,7 +22,8 @@
 	routing->services = g_array_new(FALSE, TRUE, sizeof(skh_service_info_t));
 	routing->routes = g_array_new(FALSE, TRUE, sizeof(skh_route_t));
 	routing->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_key_owner);
-	routing->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_route_list);
+	routing->routes_by_host =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_route_list);
 	return routing;
 }
 
@@ -40,13 +41,13 @@
 
 		g_free(route->name);
 		g_free(route->host);
-		g_free(route->prefix);
+		g_free(route->path_prefix);
 	}
 	(void)g_array_free(routing->services, TRUE);
 	(void)g_array_free(routing->routes, TRUE);
 	if (routing->keys)
 		g_hash_table_unref(routing->keys);
-	g_hash_table_unref(routing->hosts);
+	g_hash_table_unref(routing->routes_by_host);
 }
 
 void skh_routing_free(skh_routing_t *routing)
@@ -62,7 +63,7 @@
 	const skh_route_t *const *a = left;
 	const skh_route_t *const *b = right;
 
-	return (gint)strlen((*b)->prefix) - (gint)strlen((*a)->prefix);
+	return (gint)strlen((*b)->path_prefix) - (gint)strlen((*a)->path_prefix);
 }
 
 void skh_routing_seal(skh_routing_t *routing)
@@ -74,14 +75,15 @@
 		skh_route_t *route = &g_array_index(routing->routes, skh_route_t, i);
 		g_autofree char *host = g_ascii_strdown(route->host, -1);
 
-		routes = g_hash_table_lookup(routing->hosts, host);
+		routes = g_hash_table_lookup(routing->routes_by_host, host);
 		if (!routes) {
 			routes = g_ptr_array_new();
-			g_hash_table_insert(routing->hosts, g_steal_pointer(&host), routes);
+			g_hash_table_insert(routing->routes_by_host, g_steal_pointer(&host),
+					    routes);
 		}
 		g_ptr_array_add(routes, route);
 	}
-	g_hash_table_iter_init(&iter, routing->hosts);
+	g_hash_table_iter_init(&iter, routing->routes_by_host);
 	while (g_hash_table_iter_next(&iter, NULL, &routes))
 		g_ptr_array_sort(routes, compare_prefix_length_desc);
 }
@@ -112,12 +114,12 @@
 					  const char *target)
 {
 	g_autofree char *host_name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
-	const GPtrArray *routes = g_hash_table_lookup(routing->hosts, host_name);
+	const GPtrArray *routes = g_hash_table_lookup(routing->routes_by_host, host_name);
 
 	for (guint i = 0; routes && i < routes->len; i++) {
 		const skh_route_t *route = g_ptr_array_index(routes, i);
 
-		if (has_path_prefix(target, route->prefix))
+		if (has_path_prefix(target, route->path_prefix))
 			return route;
 	}
 	return NULL;
--- a/src/routing.h
+++ b/src/routing.h
@@ -42,7 +42,7 @@
 typedef struct skh_route {
 	char *name;
 	char *host;
-	char *prefix;
+	char *path_prefix;
 	skh_retry_mode_t retry_mode;
 	bool is_streaming;
 	bool needs_key;
@@ -57,13 +57,13 @@
 
 /** struct skh_engine_spec - size and cost parameters of a model service's engines */
 typedef struct skh_engine_spec {
-	uint32_t slots;		    /* requests that a rank runs concurrently */
+	uint32_t request_slots;	    /* requests that a rank runs concurrently */
 	uint32_t expert_sets;	    /* sets of layers; each set has its own experts */
 	uint32_t experts_per_set;   /* number of experts in each set */
 	uint32_t expert_slots;	    /* slots for experts of one set at a rank */
-	uint32_t spare_slots;	    /* max new experts of one set copied to a rank per map switch */
-	double expert_share;	    /* fraction of a step's duration spent in experts */
-	double expert_mb;	    /* size of one expert's weights, in megabytes */
+	uint32_t max_new_experts;   /* max new experts of one set copied to a rank per map switch */
+	double expert_time_ratio;   /* fraction of a step's duration spent in experts */
+	double expert_size_mb;	    /* size of one expert's weights, in megabytes */
 	double link_mbps;	    /* bandwidth for copying experts to a rank, in Mbit/s */
 	double step_ms;		    /* duration of a step without requests */
 	double step_ms_per_request; /* added duration of a step per generating request */
@@ -99,10 +99,11 @@
 	int64_t version;  /* version that the operators assigned to the configuration */
 	int64_t revision; /* revision of the key-value service */
 	skh_caller_limits_t limits;
-	GArray *services;  /* skh_service_info_t */
-	GArray *routes;	   /* skh_route_t */
-	GHashTable *keys;  /* key -> skh_key_owner_t; NULL when no key is required */
-	GHashTable *hosts; /* lower-case host -> GPtrArray of skh_route_t *, longest prefix first */
+	GArray *services; /* skh_service_info_t */
+	GArray *routes;	  /* skh_route_t */
+	GHashTable *keys; /* key -> skh_key_owner_t; NULL when no key is required */
+	GHashTable *
+		routes_by_host; /* lower-case host -> GPtrArray of skh_route_t *, longest prefix first */
 } skh_routing_t;
 
 /** skh_routing_new() - allocate an empty table; free it with skh_routing_free() */
--- a/src/serve.c
+++ b/src/serve.c
@@ -107,7 +107,7 @@
 	start->body.len = request->body.len;
 	start->stream = request->is_streaming;
 	start->resume_from = serving->has_begun ? serving->fsm.forwarded_events : 0;
-	start->idempotent = request->idempotent;
+	start->idempotent = request->is_idempotent;
 	start->key = (char *)request->idempotency_key;
 }
 
@@ -440,7 +440,7 @@
 	};
 	bool is_complete;
 
-	skh_request_fsm_init(&serving.fsm, request->idempotent, request->is_streaming,
+	skh_request_fsm_init(&serving.fsm, request->is_idempotent, request->is_streaming,
 			     request->deadline_us);
 	serving.inbox = skh_inbox_new();
 	serving.query.service = request->service;
--- a/src/serve.h
+++ b/src/serve.h
@@ -41,7 +41,7 @@
 	const char *content_type;
 	skh_chunk_t body;
 	bool is_streaming;
-	bool idempotent;
+	bool is_idempotent;
 	const char *idempotency_key;
 	uint64_t prefix_hash;
 	int64_t accepted_at_us;
--- a/src/server_selection.c
+++ b/src/server_selection.c
@@ -30,12 +30,13 @@
 
 static double estimate_cost(const skh_selection_view_t *view, const skh_candidate_t *candidate)
 {
-	double mean_ms = candidate->mean_ms > 0.0 ? candidate->mean_ms : DEFAULT_RESPONSE_MS;
+	double mean_ms =
+		candidate->mean_latency_ms > 0.0 ? candidate->mean_latency_ms : DEFAULT_RESPONSE_MS;
 	double load =
 		(double)candidate->running + FAILURE_PENALTY_REQUESTS * candidate->failure_ratio;
 
 	/* The small factor makes expected_tokens break ties between equally loaded ranks only. */
-	if (view->lock_step)
+	if (view->is_lock_step)
 		return (load + IDLE_STEP_REQUESTS) * MAX(candidate->slowdown, 1.0) +
 		       candidate->expected_tokens * 1e-6;
 	return (load + 1.0) / (double)candidate->slots * mean_ms;
@@ -51,7 +52,7 @@
 		const skh_candidate_t *candidate = &view->candidates[position];
 		double cost;
 
-		if (candidate->excluded || is_full(view, candidate) ||
+		if (candidate->is_excluded || is_full(view, candidate) ||
 		    is_avoided(view, candidate) != from_avoided)
 			continue;
 		cost = estimate_cost(view, candidate);
@@ -70,7 +71,7 @@
 	if (view->n_candidates == 0)
 		return SKH_SELECTION_NONE;
 	for (uint32_t i = 0; i < view->n_candidates; i++)
-		has_unavoided = has_unavoided || (!view->candidates[i].excluded &&
+		has_unavoided = has_unavoided || (!view->candidates[i].is_excluded &&
 						  !is_avoided(view, &view->candidates[i]));
 	return select_cheapest(view, !has_unavoided);
 }
@@ -78,7 +79,7 @@
 bool skh_selection_has_candidate(const skh_selection_view_t *view)
 {
 	for (uint32_t i = 0; i < view->n_candidates; i++) {
-		if (!view->candidates[i].excluded)
+		if (!view->candidates[i].is_excluded)
 			return true;
 	}
 	return false;
--- a/src/server_selection.h
+++ b/src/server_selection.h
@@ -30,19 +30,19 @@
 	uint32_t slots;
 	uint32_t running;	/* requests in flight at the server, from all gateways */
 	double expected_tokens; /* expected tokens of the running requests, or 0 */
-	double mean_ms;		/* mean response time of recent requests; 0 if unknown */
+	double mean_latency_ms; /* mean response time of recent requests; 0 if unknown */
 	double slowdown;	/* time that a rank takes relative to normal; 1 is normal */
 	double failure_ratio;	/* ratio of recent requests that failed, 0 to 1 */
 	int64_t avoid_until_us; /* end of the avoidance period after a failure; 0 for none */
 	int64_t full_until_us;	/* counts as full until then, after a rejection; 0 for none */
-	bool excluded;		/* not eligible: leaving, or already tried by the request */
+	bool is_excluded;	/* not eligible: leaving, or already tried by the request */
 } skh_candidate_t;
 
 /** struct skh_selection_view - all candidates of a service */
 typedef struct skh_selection_view {
 	const skh_candidate_t *candidates;
 	uint32_t n_candidates;
-	bool lock_step;	     /* the candidates are ranks of one lock-step group */
+	bool is_lock_step;   /* the candidates are ranks of one lock-step group */
 	uint32_t overcommit; /* requests that a server may get in excess of its slots */
 	uint64_t random;     /* random number, breaks ties */
 	int64_t now_us;
--- a/src/settings.c
+++ b/src/settings.c
@@ -171,13 +171,14 @@
 
 	settings->role = role;
 	set_defaults(settings);
-	settings->tree = skh_doc_node_from_toml(text, &line, &err);
-	if (!settings->tree) {
+	settings->document = skh_doc_node_from_toml(text, &line, &err);
+	if (!settings->document) {
 		skh_validation_errors_add(errors, line, "", "%s", err.text);
 		return settings;
 	}
 	for (size_t s = 0; s < G_N_ELEMENTS(sections); s++) {
-		const skh_doc_node_t *table = skh_doc_node_find(settings->tree, sections[s].name);
+		const skh_doc_node_t *table =
+			skh_doc_node_find(settings->document, sections[s].name);
 
 		if (!(sections[s].role_bits & ROLE_BIT(role)) ||
 		    (!table && sections[s].is_optional))
@@ -188,7 +189,7 @@
 	if (settings->store_endpoints && skh_doc_node_count(settings->store_endpoints) == 0)
 		skh_validation_errors_add(errors, skh_doc_node_line(settings->store_endpoints),
 					  "store.endpoints", "at least one address is needed");
-	reject_unknown_sections(settings->tree, role, errors);
+	reject_unknown_sections(settings->document, role, errors);
 	return settings;
 }
 
@@ -213,7 +214,7 @@
 {
 	if (!settings)
 		return;
-	skh_doc_node_free(settings->tree);
+	skh_doc_node_free(settings->document);
 	g_free(settings->path);
 	g_free(settings);
 }
--- a/src/settings.h
+++ b/src/settings.h
@@ -92,7 +92,7 @@
 	int32_t log_output; /* 0: standard error, 1: standard output */
 	skh_role_t role;
 	char *path; /* path of the file; NULL when parsed from memory */
-	skh_doc_node_t *tree;
+	skh_doc_node_t *document;
 } skh_settings_t;
 
 /**
--- a/src/sidecar.c
+++ b/src/sidecar.c
@@ -40,7 +40,7 @@
 	const skh_instances_t *instances = skh_board_acquire_instances(sidecar->board);
 	const skh_instance_t *self =
 		instances ? skh_instances_find(instances, sidecar->settings->id) : NULL;
-	bool leaving = self && self->leaving;
+	bool leaving = self && self->is_leaving;
 
 	skh_board_release(instances);
 	return leaving;
--- a/src/stages.c
+++ b/src/stages.c
@@ -63,13 +63,13 @@
 
 void skh_stages_assign(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan)
 {
-	g_autofree uint32_t *placement =
-		g_memdup2(input->placement, input->n_ranks * input->n_slots * sizeof(uint32_t));
+	g_autofree uint32_t *placement = g_memdup2(
+		input->placement, input->n_ranks * input->slots_per_rank * sizeof(uint32_t));
 	/*
 	 * An expert can occupy two slots of a rank in succession, which the hosts do not
 	 * distinguish; a slot is therefore not overwritten before the stage stored here.
 	 */
-	uint32_t *first_free_stage = g_new0(uint32_t, input->n_ranks * input->n_slots);
+	uint32_t *first_free_stage = g_new0(uint32_t, input->n_ranks * input->slots_per_rank);
 	schedule_t schedule = { input->n_experts, plan->n_copies + 1, NULL };
 
 	schedule.hosts = g_new(uint64_t, (size_t)schedule.n_stages * input->n_experts);
@@ -77,7 +77,7 @@
 		skh_layout_find_hosts(input, placement, hosts_at(&schedule, stage, 0));
 	for (uint32_t i = 0; i < plan->n_copies; i++) {
 		skh_expert_copy_t *copy = &plan->copies[i];
-		uint32_t slot_index = copy->rank * input->n_slots + copy->slot;
+		uint32_t slot_index = copy->rank * input->slots_per_rank + copy->slot;
 		uint32_t *slot_expert = &placement[slot_index];
 
 		/* One copy per stage, in the order of the plan, is always possible. */
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -281,7 +281,7 @@
 			return;
 		}
 		bytes = skh_chunk_make(bytes.data + consumed, bytes.len - consumed);
-		if (!upstream->response.done)
+		if (!upstream->response.is_complete)
 			continue;
 		if (finish_response(upstream))
 			continue;
--- a/src/wire.c
+++ b/src/wire.c
@@ -5,7 +5,7 @@
 
 #define MAX_QUEUED_FRAMES 100000 /* per peer and direction */
 
-void skh_wire_set_option(void *socket, int option, int value)
+void skh_wire_set_socket_option(void *socket, int option, int value)
 {
 	(void)zmq_setsockopt(socket, option, &value, sizeof(value));
 }
@@ -14,12 +14,12 @@
 {
 	const int64_t max_frame_bytes = SKH_WIRE_MAX_FRAME_BYTES;
 
-	skh_wire_set_option(socket, ZMQ_LINGER, linger_ms);
-	skh_wire_set_option(socket, ZMQ_SNDHWM, MAX_QUEUED_FRAMES);
-	skh_wire_set_option(socket, ZMQ_RCVHWM, MAX_QUEUED_FRAMES);
-	skh_wire_set_option(socket, ZMQ_IMMEDIATE, 1);
-	skh_wire_set_option(socket, ZMQ_ROUTER_MANDATORY, 1);
-	skh_wire_set_option(socket, ZMQ_ROUTER_HANDOVER, 1);
+	skh_wire_set_socket_option(socket, ZMQ_LINGER, linger_ms);
+	skh_wire_set_socket_option(socket, ZMQ_SNDHWM, MAX_QUEUED_FRAMES);
+	skh_wire_set_socket_option(socket, ZMQ_RCVHWM, MAX_QUEUED_FRAMES);
+	skh_wire_set_socket_option(socket, ZMQ_IMMEDIATE, 1);
+	skh_wire_set_socket_option(socket, ZMQ_ROUTER_MANDATORY, 1);
+	skh_wire_set_socket_option(socket, ZMQ_ROUTER_HANDOVER, 1);
 	/* ZeroMQ allocates a message's announced size before its first byte arrives. */
 	(void)zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &max_frame_bytes, sizeof(max_frame_bytes));
 }
@@ -48,7 +48,7 @@
 	return is_valid_name(start->request) && is_valid_name(start->customer) &&
 	       is_valid_name(start->method) && is_valid_name(start->content_type) &&
 	       is_valid_name(start->service) && start->attempt != 0 &&
-	       !(start->attempt & SKH_WIRE_LOCAL_TRANSFER_BIT);
+	       !(start->attempt & SKH_WIRE_LOCAL_ID_BIT);
 }
 
 static bool is_valid_body(const Skh__Frame *frame)
--- a/src/wire.h
+++ b/src/wire.h
@@ -23,7 +23,7 @@
 #define SKH_WIRE_MAX_FRAME_BYTES (80U << 20)
 #define SKH_WIRE_MAX_NAME_BYTES	 256
 /* Set in the ids that a sidecar makes for its own use, clear in attempt ids. */
-#define SKH_WIRE_LOCAL_TRANSFER_BIT (1ULL << 63)
+#define SKH_WIRE_LOCAL_ID_BIT (1ULL << 63)
 
 /** enum skh_phase - phase that a sidecar reports in its status */
 typedef enum skh_phase {
@@ -32,8 +32,8 @@
 	SKH_PHASE_LEAVING
 } skh_phase_t;
 
-/** skh_wire_set_option() - set an integer option of a ZeroMQ socket; errors are ignored */
-void skh_wire_set_option(void *socket, int option, int value);
+/** skh_wire_set_socket_option() - set an integer option of a ZeroMQ socket; errors are ignored */
+void skh_wire_set_socket_option(void *socket, int option, int value);
 
 /**
  * skh_wire_setup_router() - set the options of a ROUTER socket of an entry or sidecar
--- a/test/config_test.cc
+++ b/test/config_test.cc
@@ -156,14 +156,14 @@
 	EXPECT_EQ(result.revision, 1);
 	ASSERT_TRUE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(result.revision, 2);
-	EXPECT_EQ(result.parts_written, 1U);
+	EXPECT_EQ(result.n_parts_written, 1U);
 }
 
 TEST_F(Apply, RetryOfAnAcceptedManifestChangesNothing)
 {
 	ASSERT_TRUE(apply(valid_manifest_text()));
 	ASSERT_TRUE(apply(valid_manifest_text()));
-	EXPECT_TRUE(result.unchanged);
+	EXPECT_TRUE(result.is_unchanged);
 	EXPECT_EQ(result.revision, 1);
 }
 
@@ -195,7 +195,7 @@
 {
 	ASSERT_TRUE(apply(valid_manifest_text()));
 	store.lose_response_of_txn = store.n_txns + 2;
-	store.down_after_loss = true;
+	store.is_down_after_loss = true;
 	EXPECT_FALSE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_OUTCOME_UNKNOWN);
 	EXPECT_EQ(err.run_state, SKH_RUN_UNKNOWN);
--- a/test/fake_store.h
+++ b/test/fake_store.h
@@ -28,12 +28,12 @@
 	int64_t next_lease = 1;
 	int n_txns = 0;
 	int n_ranges = 0;
-	bool down = false; /* every call fails with SKH_STORE_UNAVAILABLE */
+	bool is_down = false; /* every call fails with SKH_STORE_UNAVAILABLE */
 	// Faults in one transaction, by its number from 1; 0 disables a fault.
-	int lose_response_of_txn = 0; /* applied, but the caller gets SKH_STORE_UNKNOWN */
-	int drop_txn = 0;	      /* not applied, the caller gets SKH_STORE_UNKNOWN */
-	bool down_after_loss = false; /* down from a lost response on */
-	int hooked_txn = 0;	      /* @before_txn_hook runs before this transaction */
+	int lose_response_of_txn = 0;	 /* applied, but the caller gets SKH_STORE_UNKNOWN */
+	int drop_txn = 0;		 /* not applied, the caller gets SKH_STORE_UNKNOWN */
+	bool is_down_after_loss = false; /* down from a lost response on */
+	int hooked_txn = 0;		 /* @before_txn_hook runs before this transaction */
 	std::function<void()> before_txn_hook;
 };
 
@@ -52,7 +52,7 @@
 
 	*pairs = {};
 	fake->n_ranges++;
-	if (fake->down)
+	if (fake->is_down)
 		return skh_error_set(err, SKH_STORE_UNAVAILABLE, "the fake is down");
 	pairs->list = g_new0(skh_kv_pair_t, fake->values.size());
 	pairs->store_revision = fake->revision;
@@ -127,7 +127,7 @@
 	const int txn_number = ++fake->n_txns;
 
 	*result = {};
-	if (fake->down)
+	if (fake->is_down)
 		return skh_error_set(err, SKH_STORE_UNAVAILABLE, "the fake is down");
 	if (txn_number == fake->hooked_txn && fake->before_txn_hook)
 		fake->before_txn_hook();
@@ -140,7 +140,7 @@
 		run_ops(fake, txn->else_ops, txn->n_else_ops, &result->pairs);
 	result->pairs.store_revision = fake->revision;
 	if (txn_number == fake->lose_response_of_txn) {
-		fake->down = fake->down_after_loss;
+		fake->is_down = fake->is_down_after_loss;
 		skh_kv_pairs_clear(&result->pairs);
 		return skh_error_set(err, SKH_STORE_UNKNOWN, "the fake lost the response");
 	}
@@ -152,7 +152,7 @@
 	FakeStore *fake = from_base(store);
 
 	(void)ttl_s;
-	if (fake->down)
+	if (fake->is_down)
 		return skh_error_set(err, SKH_STORE_UNAVAILABLE, "the fake is down");
 	*lease = fake->next_lease++;
 	return true;
@@ -161,8 +161,8 @@
 inline bool lease_keep(skh_store_t *store, int64_t lease, int64_t *ttl_s, skh_error_t *err)
 {
 	(void)lease;
-	*ttl_s = from_base(store)->down ? 0 : 1;
-	if (from_base(store)->down)
+	*ttl_s = from_base(store)->is_down ? 0 : 1;
+	if (from_base(store)->is_down)
 		return skh_error_set(err, SKH_STORE_UNAVAILABLE, "the fake is down");
 	return true;
 }
--- a/test/forward_test.cc
+++ b/test/forward_test.cc
@@ -33,7 +33,7 @@
 		skh_http_message_reset(&message, type, &ops, nullptr);
 		EXPECT_TRUE(skh_http_message_feed(
 			&message, skh_chunk_make(text.data(), text.size()), &consumed, &err));
-		EXPECT_TRUE(message.done);
+		EXPECT_TRUE(message.is_complete);
 	}
 	~ParsedMessage()
 	{
--- a/test/gateway_core_test.cc
+++ b/test/gateway_core_test.cc
@@ -42,8 +42,8 @@
 	view.end = SKH_END_LOST;
 	view.retry_mode = retry_mode;
 	view.possible_runs = 1;
-	view.sends = 1;
-	view.max_attempts = 2;
+	view.attempts = 1;
+	view.max_runs = 2;
 	view.has_retry_budget = true;
 	view.deadline_us = kS;
 	return view;
@@ -80,12 +80,12 @@
 	skh_retry_policy_view_t view = make_lost_view(SKH_RETRY_MODE_NEVER);
 
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
-	view.max_attempts = 9;
+	view.max_runs = 9;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	// A later attempt that was not sent does not undo an earlier run.
 	view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 	view.end = SKH_END_UNREACHABLE;
-	view.sends = SKH_RETRY_POLICY_MAX_SENDS;
+	view.attempts = SKH_RETRY_POLICY_MAX_ATTEMPTS;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	view.possible_runs = 0;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_REJECT);
@@ -132,8 +132,8 @@
 		view.possible_runs = random() % 3;
 		if (view.end >= SKH_END_ERROR)
 			view.possible_runs = std::max(view.possible_runs, 1U);
-		view.sends = std::max(view.possible_runs, 1U) + random() % 4;
-		view.max_attempts = 1 + random() % 3;
+		view.attempts = std::max(view.possible_runs, 1U) + random() % 4;
+		view.max_runs = 1 + random() % 3;
 		view.has_retry_budget = random() % 2;
 		view.is_suspect = random() % 2;
 		view.deadline_us = static_cast<int64_t>(random() % 2000) * kMs;
@@ -144,7 +144,7 @@
 		if (decision == SKH_RETRY_DECISION_RETRY && ran) {
 			EXPECT_NE(view.retry_mode, SKH_RETRY_MODE_NEVER);
 			if (view.end != SKH_END_UNREACHABLE && view.end != SKH_END_NOT_RUN) {
-				EXPECT_LT(view.possible_runs, view.max_attempts);
+				EXPECT_LT(view.possible_runs, view.max_runs);
 			}
 		}
 		if (decision == SKH_RETRY_DECISION_REJECT) {
@@ -312,16 +312,16 @@
 	for (auto &candidate : candidates)
 		candidate.slots = 2;
 	candidates[0].running = 2;
-	candidates[1].excluded = true;
+	candidates[1].is_excluded = true;
 	candidates[2].full_until_us = 2 * kS;
 	EXPECT_EQ(skh_select_server(&view), SKH_SELECTION_NONE);
 	EXPECT_TRUE(skh_selection_has_candidate(&view));
 	candidates[2].full_until_us = 0;
 	candidates[2].avoid_until_us = 2 * kS;
 	// A server to be avoided is selected when no other is left.
-	candidates[0].excluded = true;
+	candidates[0].is_excluded = true;
 	EXPECT_EQ(skh_select_server(&view), 2);
-	candidates[0].excluded = false;
+	candidates[0].is_excluded = false;
 	candidates[0].running = 0;
 	EXPECT_EQ(skh_select_server(&view), 0);
 }
@@ -333,7 +333,7 @@
 
 	for (auto &candidate : candidates) {
 		candidate.slots = 6;
-		candidate.mean_ms = 60;
+		candidate.mean_latency_ms = 60;
 	}
 	candidates[0].failure_ratio = 0.5;
 	for (view.random = 0; view.random < 9; view.random++)
@@ -366,7 +366,7 @@
 	skh_roster_builder_t *builder = skh_roster_builder_new();
 	skh_server_t *leaving = make_server("a");
 
-	leaving->leaving = true;
+	leaving->is_leaving = true;
 	(void)skh_roster_builder_put(builder, leaving);
 	EXPECT_TRUE(skh_roster_builder_remove(builder, "a", true, kS));
 	(void)skh_roster_builder_put(builder, make_server("b"));
@@ -513,7 +513,7 @@
 
 	skh_http_message_reset(&message, HTTP_REQUEST, &ops, nullptr);
 	ASSERT_TRUE(skh_http_message_feed(&message, make_chunk(two), &used, &err));
-	EXPECT_TRUE(message.done);
+	EXPECT_TRUE(message.is_complete);
 	EXPECT_EQ(two.substr(used), "GET /b HTTP/1.1\r\n\r\n");
 	EXPECT_EQ(to_string(message.body), "hi");
 	skh_http_message_free(&message);
@@ -564,7 +564,7 @@
 
 		route.name = g_strdup(prefix);
 		route.host = g_strdup("Host.Example");
-		route.prefix = g_strdup(prefix);
+		route.path_prefix = g_strdup(prefix);
 		route.n_splits = 1;
 		route.splits[0] = { 0, 1 };
 		g_array_append_val(routing->routes, route);
@@ -617,7 +617,7 @@
 		if (is_rejecting) {
 			skh_group_breaker_record_rejection(&breaker, now);
 		} else {
-			skh_group_breaker_record_answer(&breaker);
+			skh_group_breaker_record_response(&breaker);
 			recovered_us = recovered_us ? recovered_us : now;
 		}
 	}
@@ -638,7 +638,7 @@
 	EXPECT_FALSE(skh_group_breaker_is_down(&breaker, 4 * kS + 600 * kMs));
 	EXPECT_TRUE(skh_group_breaker_is_tripped(&breaker));
 	EXPECT_TRUE(skh_group_breaker_is_down(&breaker, 6 * kS));
-	skh_group_breaker_record_answer(&breaker);
+	skh_group_breaker_record_response(&breaker);
 	EXPECT_FALSE(skh_group_breaker_is_down(&breaker, 6 * kS));
 }
 
@@ -655,10 +655,10 @@
 	skh_request_queue_enqueue(queue, &first);
 	skh_request_queue_enqueue(queue, &second);
 	EXPECT_EQ(skh_request_queue_peek_probe(queue, kS), &first);
-	first.is_probe_rejected = true;
+	first.was_rejected_as_probe = true;
 	EXPECT_EQ(skh_request_queue_peek_probe(queue, kS), &second);
 	EXPECT_EQ(skh_request_queue_peek(queue, kS), &first);
-	second.is_probe_rejected = true;
+	second.was_rejected_as_probe = true;
 	EXPECT_EQ(skh_request_queue_peek_probe(queue, kS), &first);
 	skh_request_queue_free(queue);
 }
@@ -674,7 +674,7 @@
 		bool is_frozen = now >= 2 * kS && now < 6 * kS;
 
 		if (!is_frozen) {
-			skh_group_breaker_record_answer(&breaker);
+			skh_group_breaker_record_response(&breaker);
 			recovered_us = now >= 6 * kS && recovered_us == 0 ? now : recovered_us;
 		}
 		if (now % (100 * kMs) != 0 || !skh_group_breaker_can_send(&breaker, now))
@@ -699,7 +699,7 @@
 	EXPECT_TRUE(skh_group_breaker_can_send(&breaker, 2 * kS + 1 * kMs));
 	skh_group_breaker_record_send(&breaker, 2 * kS + 1 * kMs);
 	EXPECT_FALSE(skh_group_breaker_can_send(&breaker, 2 * kS + 500 * kMs));
-	skh_group_breaker_record_answer(&breaker);
+	skh_group_breaker_record_response(&breaker);
 	EXPECT_TRUE(skh_group_breaker_can_send(&breaker, 2 * kS + 500 * kMs));
 }
 
--- a/test/greedy_rebalance_test.cc
+++ b/test/greedy_rebalance_test.cc
@@ -41,7 +41,7 @@
 	engine_spec.expert_sets = sets;
 	engine_spec.experts_per_set = experts;
 	engine_spec.expert_slots = slots;
-	engine_spec.spare_slots = spare;
+	engine_spec.max_new_experts = spare;
 	return engine_spec;
 }
 
@@ -121,15 +121,15 @@
 		}
 		options.greedy_only = true;
 		options.greedy_target_skew = 1.08;
-		options.max_new_per_rank = 8;
-		skh_mapplan_make(&engine_spec, ranks[group], &options, shares.data(), map.data(),
-				 &result);
+		options.max_copies_per_rank = 8;
+		skh_mapplan_compute(&engine_spec, ranks[group], &options, shares.data(), map.data(),
+				    &result);
 		EXPECT_LT(result.skew_after, 1.35);
 		slowdowns[5] = 5.0;
 		options.slowdowns = slowdowns.data();
-		options.max_new_per_rank = 4;
-		skh_mapplan_make(&engine_spec, ranks[group], &options, shares.data(), map.data(),
-				 &result);
+		options.max_copies_per_rank = 4;
+		skh_mapplan_compute(&engine_spec, ranks[group], &options, shares.data(), map.data(),
+				    &result);
 		EXPECT_GT(result.skew_before, 4.0);
 		EXPECT_LT(result.skew_after, 1.5);
 		EXPECT_TRUE(skh_mapplan_is_valid(&engine_spec, ranks[group], map.data()));
@@ -162,11 +162,11 @@
 			std::vector<uint32_t> before = map;
 			skh_mapplan_result_t result;
 
-			skh_mapplan_make(&engine_spec, 12, &option, shares.data(), map.data(),
-					 &result);
+			skh_mapplan_compute(&engine_spec, 12, &option, shares.data(), map.data(),
+					    &result);
 			ASSERT_TRUE(skh_mapplan_is_valid(&engine_spec, 12, map.data())) << shift;
 			EXPECT_LE(result.skew_after, result.skew_before + 1e-9) << shift;
-			EXPECT_LE(result.max_copies_per_rank, option.max_new_per_rank) << shift;
+			EXPECT_LE(result.max_copies_per_rank, option.max_copies_per_rank) << shift;
 			for (size_t row = 0; row < 4 * 12; row++) {
 				int n_new = 0;
 
@@ -236,7 +236,7 @@
 
 TEST(Fence, IsUniqueUnderOneLease)
 {
-	skh_fence_t fence = {};
+	skh_fence_counter_t fence = {};
 	int64_t first = skh_fence_reserve(&fence, 7, 2);
 	int64_t second = skh_fence_reserve(&fence, 7, 2);
 
--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -181,9 +181,9 @@
 			sidecar.stalled_until_us = now_us + random_below(8000) * kUsPerMs;
 			break;
 		case 2:
-			store.down = true;
+			store.is_down = true;
 			schedule_after(random_below(6000) * kUsPerMs,
-				       [this] { store.down = false; });
+				       [this] { store.is_down = false; });
 			break;
 		case 3:
 			store.lose_response_of_txn = store.n_txns + 1;
@@ -447,7 +447,7 @@
 
 		claim.state = state;
 		claim.owner = g_strdup(attempt.owner.c_str());
-		claim.body_hash = static_cast<uint64_t>(attempt.content);
+		claim.request_hash = static_cast<uint64_t>(attempt.content);
 		claim.content_type = g_strdup("");
 		claim.has_response = state == SKH_CLAIM_DONE;
 		skh_buffer_append_string(&claim.response, response.c_str());
@@ -791,7 +791,7 @@
 	int n_backend_failures = 0; // still to be injected
 };
 
-const uint32_t kSeeds = seeds_or(600);
+const uint32_t kSeeds = get_seed_count(600);
 
 TEST(History, NothingIsFoundInRunsWithEveryFault)
 {
--- a/test/map_test.cc
+++ b/test/map_test.cc
@@ -236,14 +236,14 @@
 	{
 		const Engine &engine = engines[index];
 
-		if (ranks[index].order_pending)
+		if (ranks[index].is_order_pending)
 			return SKH_ORDER_BUSY;
 		if (order.step == SKH_STEP_PREPARE ||
 		    (order.step == SKH_STEP_HOLD && engine.held) ||
 		    (order.step == SKH_STEP_SET && engine.version == order.version) ||
 		    (order.step == SKH_STEP_GO && !engine.held))
 			return SKH_ORDER_DONE;
-		ranks[index].order_pending = true;
+		ranks[index].is_order_pending = true;
 		ranks[index].engine_order = order;
 		return SKH_ORDER_FORWARD;
 	}
@@ -305,7 +305,7 @@
 	uint64_t last_version = 1;
 };
 
-const uint32_t kSeeds = seeds_or(400);
+const uint32_t kSeeds = get_seed_count(400);
 constexpr int kEventsPerRun = 6000;
 
 TEST(ExpertMap, NoStepMixesTwoMapsUnderAnyFault)
--- a/test/mapchange_test.cc
+++ b/test/mapchange_test.cc
@@ -285,8 +285,8 @@
 		const Engine &engine = engines[rank];
 		skh_engine_report_t report = {};
 
-		report.in_group = true;
-		report.group_open = true;
+		report.is_in_group = true;
+		report.is_group_open = true;
 		report.rank = rank;
 		report.epoch = epoch;
 		report.pass = pass;
@@ -402,7 +402,7 @@
 		else if (event.status == 412)
 			result = SKH_ENGINE_ORDER_FENCED;
 		else if (event.status == 0)
-			result = SKH_ENGINE_ORDER_NO_ANSWER;
+			result = SKH_ENGINE_ORDER_NO_RESPONSE;
 		skh_mapchange_record_result(&coordinator.change, event.order.rank, result, now_us);
 		send_orders(event.order.coordinator);
 	}
@@ -539,7 +539,7 @@
 		skh_mapchange_t &change = coordinator.change;
 
 		if (injected_fault == InjectedFault::kReleaseBeforeArmed &&
-		    change.phase == SKH_MAPCHANGE_ARM && change.ranks[0].armed)
+		    change.phase == SKH_MAPCHANGE_ARM && change.ranks[0].is_armed)
 			change.phase = SKH_MAPCHANGE_GO;
 		if (injected_fault == InjectedFault::kArmWithoutHold &&
 		    change.phase == SKH_MAPCHANGE_HOLD)
@@ -611,7 +611,7 @@
 {
 	int64_t n_changes = 0;
 
-	for (uint32_t seed = 1; seed <= seeds_or(150); seed++) {
+	for (uint32_t seed = 1; seed <= get_seed_count(150); seed++) {
 		Simulation simulation(seed, 2 + seed % 5, InjectedFault::kNone);
 
 		simulation.run(40 * kS, true);
@@ -623,7 +623,7 @@
 
 TEST(MapChange, GroupRunsAndChangesMapsAfterFaults)
 {
-	for (uint32_t seed = 1; seed <= seeds_or(100); seed++) {
+	for (uint32_t seed = 1; seed <= get_seed_count(100); seed++) {
 		Simulation simulation(seed, 2 + seed % 5, InjectedFault::kNone);
 		int64_t n_passes;
 		int64_t n_changes;
@@ -645,7 +645,7 @@
 // The instance that placed a hold freezes; the other ranks and the coordinator undo the hold.
 TEST(MapChange, GroupIsReleasedWhileProxyIsFrozen)
 {
-	for (uint32_t seed = 1; seed <= seeds_or(100); seed++) {
+	for (uint32_t seed = 1; seed <= get_seed_count(100); seed++) {
 		Simulation simulation(seed, 3 + seed % 5, InjectedFault::kNone);
 		int64_t n_changes;
 
--- a/test/peer_selection_test.cc
+++ b/test/peer_selection_test.cc
@@ -87,7 +87,7 @@
 	for (uint64_t r = 0; r < 64; r++)
 		EXPECT_EQ(fleet.select_peer(r * 0x9e3779b97f4a7c15U), fleet.peer(1));
 	fleet.report(0, SKH_PHASE_READY, 1);
-	fleet.members[1].leaving = true;
+	fleet.members[1].is_leaving = true;
 	fleet.sync();
 	for (uint64_t r = 0; r < 64; r++)
 		EXPECT_EQ(fleet.select_peer(r * 0x9e3779b97f4a7c15U), fleet.peer(0));
@@ -245,19 +245,19 @@
 
 		fleet.report(i, static_cast<skh_phase_t>(*rc::gen::inRange(0, 3)), 1,
 			     *rc::gen::inRange(0, 16));
-		peer->reachable = *rc::gen::inRange(0, 4) != 0;
-		peer->listed_leaving = *rc::gen::inRange(0, 4) == 0;
+		peer->is_reachable = *rc::gen::inRange(0, 4) != 0;
+		peer->is_listed_leaving = *rc::gen::inRange(0, 4) == 0;
 		peer->avoid_until_us = *rc::gen::inRange(0, 2) * 5000;
-		n_eligible +=
-			peer->reachable && peer->phase == SKH_PHASE_READY && !peer->listed_leaving;
+		n_eligible += peer->is_reachable && peer->phase == SKH_PHASE_READY &&
+			      !peer->is_listed_leaving;
 	}
 	skh_peer_t *selected =
 		fleet.select_peer(*rc::gen::arbitrary<uint64_t>(), *rc::gen::inRange(0, 2) * 77U);
 	RC_ASSERT((selected != nullptr) == (n_eligible > 0));
 	if (selected) {
-		RC_ASSERT(selected->reachable);
+		RC_ASSERT(selected->is_reachable);
 		RC_ASSERT(selected->phase == SKH_PHASE_READY);
-		RC_ASSERT(!selected->listed_leaving);
+		RC_ASSERT(!selected->is_listed_leaving);
 	}
 }
 
--- a/test/rebalance_test.cc
+++ b/test/rebalance_test.cc
@@ -30,7 +30,7 @@
 		skh_rebalance_input_t input = {};
 
 		input.n_ranks = ranks;
-		input.n_slots = slots;
+		input.slots_per_rank = slots;
 		input.n_experts = experts;
 		input.placement = placement.data();
 		input.forecast_shares = forecast.data();
--- a/test/seeds.h
+++ b/test/seeds.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <cstdlib>
 
-inline uint32_t seeds_or(uint32_t default_count)
+inline uint32_t get_seed_count(uint32_t default_count)
 {
 	const char *text = std::getenv("SKH_SEEDS");
 
--- a/test/standin/engine.c
+++ b/test/standin/engine.c
@@ -119,7 +119,7 @@
 	for (int64_t i = run->first_token; i < n_tokens; i++) {
 		if (!apply_fault(i) || is_run_cancelled(run) ||
 		    !send_token(connection, run->body, i))
-			return standin_hang_up(connection);
+			return standin_close_connection(connection);
 		run->n_sent++;
 		if (token_us > 0 && i + 1 < n_tokens)
 			(void)usleep((useconds_t)token_us);
@@ -139,7 +139,7 @@
 		g_autofree char *token = make_token(run->body, i);
 
 		if (!apply_fault(i))
-			return standin_hang_up(connection);
+			return standin_close_connection(connection);
 		g_string_append_printf(text, "%s ", token);
 		if (token_us > 0 && i + 1 < n_tokens)
 			(void)usleep((useconds_t)token_us);
@@ -150,12 +150,12 @@
 	g_string_free(text, TRUE);
 	run->n_sent = n_tokens;
 	run->is_complete = true;
-	return standin_answer(connection, 200, response);
+	return standin_respond(connection, 200, response);
 }
 
 static int handle_completion(struct mg_connection *connection)
 {
-	g_autofree char *body = standin_read(connection);
+	g_autofree char *body = standin_read_body(connection);
 	json_t *json = json_loads(body, 0, NULL);
 	const json_t *max_tokens = json_object_get(json, "max_tokens");
 	int64_t n_tokens = max_tokens ? json_integer_value(max_tokens) : DEFAULT_TOKENS;
@@ -175,7 +175,7 @@
 
 static int handle_cancel(struct mg_connection *connection, const char *attempt)
 {
-	g_autofree char *body = standin_read(connection);
+	g_autofree char *body = standin_read_body(connection);
 
 	g_mutex_lock(&lock);
 	for (guint i = 0; i < runs->len; i++) {
@@ -185,7 +185,7 @@
 			run->is_cancelled = true;
 	}
 	g_mutex_unlock(&lock);
-	return standin_answer(connection, 200, json_object());
+	return standin_respond(connection, 200, json_object());
 }
 
 static int handle_order(struct mg_connection *connection)
@@ -201,7 +201,7 @@
 	g_mutex_lock(&lock);
 	json_array_append_new(received_orders, order);
 	g_mutex_unlock(&lock);
-	return standin_answer(connection, 200, json_object());
+	return standin_respond(connection, 200, json_object());
 }
 
 static int handle_list_orders(struct mg_connection *connection)
@@ -211,7 +211,7 @@
 	g_mutex_lock(&lock);
 	copy = json_deep_copy(received_orders);
 	g_mutex_unlock(&lock);
-	return standin_answer(connection, 200, copy);
+	return standin_respond(connection, 200, copy);
 }
 
 static int handle_runs(struct mg_connection *connection)
@@ -229,7 +229,7 @@
 					"cancelled", run->is_cancelled));
 	}
 	g_mutex_unlock(&lock);
-	return standin_answer(connection, 200, list);
+	return standin_respond(connection, 200, list);
 }
 
 static int handle_load(struct mg_connection *connection)
@@ -243,8 +243,8 @@
 		running += !run->is_complete && !run->is_cancelled && !run->has_ended;
 	}
 	g_mutex_unlock(&lock);
-	return standin_answer(connection, 200,
-			      json_pack("{s:I, s:i}", "running", running, "queued", 0));
+	return standin_respond(connection, 200,
+			       json_pack("{s:I, s:i}", "running", running, "queued", 0));
 }
 
 /* Every run stores its prefix. Each fifth event is missing, since engines lose events too. */
@@ -261,7 +261,7 @@
 							      "event", "stored"));
 	}
 	g_mutex_unlock(&lock);
-	return standin_answer(connection, 200, list);
+	return standin_respond(connection, 200, list);
 }
 
 static int64_t get_fault_value(const json_t *request, const char *key)
@@ -283,7 +283,7 @@
 	order_ms = get_fault_value(request, "order_ms");
 	g_mutex_unlock(&lock);
 	json_decref(request);
-	return standin_answer(connection, 200, json_object());
+	return standin_respond(connection, 200, json_object());
 }
 
 static int handle_request(struct mg_connection *connection, void *context)
@@ -307,7 +307,7 @@
 		return handle_runs(connection);
 	if (strcmp(path, "/fault") == 0)
 		return handle_fault(connection);
-	return standin_answer(connection, 404, json_object());
+	return standin_respond(connection, 404, json_object());
 }
 
 int main(int argc, char **argv)
--- a/test/standin/fleet_servers.c
+++ b/test/standin/fleet_servers.c
@@ -343,8 +343,8 @@
 		status = apply_order(rank, request);
 	g_mutex_unlock(&lock);
 	json_decref(request);
-	return *fault ? standin_hang_up(connection)
-		      : standin_answer(connection, status, json_object());
+	return *fault ? standin_close_connection(connection)
+		      : standin_respond(connection, status, json_object());
 }
 
 static json_t *report_to_json(const server_t *rank)
@@ -423,7 +423,7 @@
 		write_text(connection, text);
 		if (should_close && i == first_event + 1) {
 			write_text(connection, "10\r\nid: 9\nda");
-			return standin_hang_up(connection);
+			return standin_close_connection(connection);
 		}
 	}
 	write_text(connection, "0\r\n\r\n");
@@ -457,7 +457,7 @@
 	} else if (strcmp(fault, "mute") == 0) {
 		(void)usleep(MUTE_DELAY_US);
 	}
-	return standin_hang_up(connection);
+	return standin_close_connection(connection);
 }
 
 static void record_request(struct mg_connection *connection, server_t *server, const char *attempt)
@@ -482,7 +482,7 @@
 	const char *expected = mg_get_header(connection, "Skylarkhead-Expect-Instance");
 	const char *attempt = mg_get_header(connection, "Skylarkhead-Attempt-Id");
 	const char *slow = strstr(path, "/slow");
-	g_autofree char *body = standin_read(connection);
+	g_autofree char *body = standin_read_body(connection);
 	char fault[sizeof(server->fault)] = "";
 
 	if (expected && strcmp(expected, server->id) != 0) {
@@ -583,7 +583,7 @@
 	else if (strcmp(path, "/v1/picked") == 0)
 		json = expert_demand_to_json(connection, server);
 	g_mutex_unlock(&lock);
-	return json ? standin_answer(connection, 200, json) : handle_request(connection, server);
+	return json ? standin_respond(connection, 200, json) : handle_request(connection, server);
 }
 
 static void add_server(GString *ports, int port, bool is_engine)
--- a/test/standin/fleet_store.c
+++ b/test/standin/fleet_store.c
@@ -414,11 +414,11 @@
 		(void)usleep(SILENT_DELAY_US);
 	if (strcmp(mode, "drop") == 0 || strcmp(mode, "silent") == 0) {
 		json_decref(request);
-		return standin_hang_up(connection);
+		return standin_close_connection(connection);
 	}
 	if (strcmp(mode, "down") == 0) {
 		json_decref(request);
-		return standin_answer(connection, 503, json_object());
+		return standin_respond(connection, 503, json_object());
 	}
 	g_mutex_lock(&lock);
 	response = handle_call(connection, request, &status);
@@ -426,9 +426,9 @@
 	json_decref(request);
 	if (strcmp(mode, "lose") == 0) {
 		json_decref(response);
-		return standin_hang_up(connection);
+		return standin_close_connection(connection);
 	}
-	return standin_answer(connection, status, response);
+	return standin_respond(connection, status, response);
 }
 
 int main(int argc, char **argv)
--- a/test/standin/kv.c
+++ b/test/standin/kv.c
@@ -402,9 +402,9 @@
 	if (strcmp(mode, "stall") == 0)
 		(void)usleep((useconds_t)(ms * 1000));
 	if (response && strcmp(mode, "lose") != 0)
-		return standin_answer(connection, 200, response);
+		return standin_respond(connection, 200, response);
 	json_decref(response);
-	return standin_hang_up(connection);
+	return standin_close_connection(connection);
 }
 
 static bool send_line(struct mg_connection *connection, json_t *result)
@@ -511,15 +511,15 @@
 	fault.ms = get_integer(request, "ms");
 	g_mutex_unlock(&lock);
 	json_decref(request);
-	return standin_answer(connection, 200, json_object());
+	return standin_respond(connection, 200, json_object());
 }
 
 static int handle_counts(struct mg_connection *connection)
 {
-	return standin_answer(connection, 200,
-			      json_pack("{s:I, s:I, s:I, s:I}", "range", (json_int_t)n_range, "txn",
-					(json_int_t)n_txn, "lease", (json_int_t)n_lease, "watch",
-					(json_int_t)n_watch));
+	return standin_respond(connection, 200,
+			       json_pack("{s:I, s:I, s:I, s:I}", "range", (json_int_t)n_range,
+					 "txn", (json_int_t)n_txn, "lease", (json_int_t)n_lease,
+					 "watch", (json_int_t)n_watch));
 }
 
 static int handle_request(struct mg_connection *connection, void *context)
@@ -537,7 +537,7 @@
 		return handle_fault(connection);
 	if (strcmp(path, "/counts") == 0)
 		return handle_counts(connection);
-	return standin_answer(connection, 404, json_object());
+	return standin_respond(connection, 404, json_object());
 }
 
 int main(int argc, char **argv)
--- a/test/standin/plain.c
+++ b/test/standin/plain.c
@@ -23,7 +23,7 @@
 
 static int handle_post(struct mg_connection *connection)
 {
-	char *body = standin_read(connection);
+	char *body = standin_read_body(connection);
 	const char *query = mg_get_request_info(connection)->query_string;
 	const char *delay = query ? strstr(query, DELAY_PARAMETER) : NULL;
 	json_int_t number;
@@ -41,9 +41,9 @@
 			(useconds_t)(g_ascii_strtoll(delay + strlen(DELAY_PARAMETER), NULL, 10) *
 				     1000));
 	if (should_hang_up)
-		return standin_hang_up(connection);
-	return standin_answer(connection, 201,
-			      json_pack("{s:I, s:s}", "line", number, "text", body));
+		return standin_close_connection(connection);
+	return standin_respond(connection, 201,
+			       json_pack("{s:I, s:s}", "line", number, "text", body));
 }
 
 static int handle_runs(struct mg_connection *connection)
@@ -54,7 +54,7 @@
 	for (guint i = 0; i < lines->len; i++)
 		json_array_append_new(list, json_string(lines->pdata[i]));
 	g_mutex_unlock(&lock);
-	return standin_answer(connection, 200, list);
+	return standin_respond(connection, 200, list);
 }
 
 static int handle_fault(struct mg_connection *connection)
@@ -65,7 +65,7 @@
 	n_hang_ups = json_integer_value(json_object_get(request, "hang_up"));
 	g_mutex_unlock(&lock);
 	json_decref(request);
-	return standin_answer(connection, 200, json_object());
+	return standin_respond(connection, 200, json_object());
 }
 
 static int handle(struct mg_connection *connection, void *context)
@@ -79,7 +79,7 @@
 		return handle_fault(connection);
 	if (strcmp(info->request_method, "POST") == 0)
 		return handle_post(connection);
-	return standin_answer(connection, 200, json_pack("{s:s}", "path", info->local_uri));
+	return standin_respond(connection, 200, json_pack("{s:s}", "path", info->local_uri));
 }
 
 int main(int argc, char **argv)
--- a/test/standin/standin.c
+++ b/test/standin/standin.c
@@ -46,7 +46,7 @@
 		(void)pause();
 }
 
-char *standin_read(struct mg_connection *connection)
+char *standin_read_body(struct mg_connection *connection)
 {
 	GString *body = g_string_new(NULL);
 	char buffer[READ_BUFFER_BYTES];
@@ -59,13 +59,13 @@
 
 json_t *standin_read_json(struct mg_connection *connection)
 {
-	g_autofree char *body = standin_read(connection);
+	g_autofree char *body = standin_read_body(connection);
 	json_t *json = json_loads(body, 0, NULL);
 
 	return json ? json : json_object();
 }
 
-int standin_answer(struct mg_connection *connection, int status, json_t *json)
+int standin_respond(struct mg_connection *connection, int status, json_t *json)
 {
 	char *body = json_dumps(json, JSON_COMPACT);
 	g_autofree char *response =
@@ -79,7 +79,7 @@
 	return status;
 }
 
-int standin_hang_up(struct mg_connection *connection)
+int standin_close_connection(struct mg_connection *connection)
 {
 	mg_disable_connection_keep_alive(connection);
 	return 500;
--- a/test/standin/standin.h
+++ b/test/standin/standin.h
@@ -23,28 +23,28 @@
  */
 int standin_serve(const char *listen, mg_request_handler handler);
 
-/** standin_read() - read the request body as text; free with g_free() */
-char *standin_read(struct mg_connection *connection);
+/** standin_read_body() - read the request body as text; free with g_free() */
+char *standin_read_body(struct mg_connection *connection);
 
 /** standin_read_json() - read the request body as JSON; an empty object if it is not JSON */
 json_t *standin_read_json(struct mg_connection *connection);
 
 /**
- * standin_answer() - send a JSON response
+ * standin_respond() - send a JSON response
  * @connection: connection of the request
  * @status: HTTP status code
  * @json: response body; ownership passes to the call
  *
  * Return: @status, as the result of the handler.
  */
-int standin_answer(struct mg_connection *connection, int status, json_t *json);
+int standin_respond(struct mg_connection *connection, int status, json_t *json);
 
 /**
- * standin_hang_up() - close the connection without a response
+ * standin_close_connection() - close the connection without a response
  * @connection: connection of the request
  *
  * Return: the value that the handler must return at once.
  */
-int standin_hang_up(struct mg_connection *connection);
+int standin_close_connection(struct mg_connection *connection);
 
 #endif
--- a/test/wire_test.cc
+++ b/test/wire_test.cc
@@ -117,7 +117,7 @@
 	zero_attempt.start.attempt = 0;
 	EXPECT_FALSE(can_unpack(pack(zero_attempt.frame)));
 	StartFrame reserved_attempt;
-	reserved_attempt.start.attempt = SKH_WIRE_LOCAL_TRANSFER_BIT | 1;
+	reserved_attempt.start.attempt = SKH_WIRE_LOCAL_ID_BIT | 1;
 	EXPECT_FALSE(can_unpack(pack(reserved_attempt.frame)));
 }
 
