--- a/src/backends.c
+++ b/src/backends.c
@@ -10,17 +10,17 @@
 /* Weight of the newest response in a server's moving averages. */
 #define LATENCY_EWMA_GAIN 0.2
 #define FAILURE_EWMA_GAIN 0.15
-/* How long record_failure() avoids a server, doubled with each failure in a row. */
+/* Time for which a failing server is avoided, doubled with each failure in a row. */
 #define AVOID_BASE_US	    (200 * SKH_US_PER_MS)
 #define AVOID_MAX_DOUBLINGS 5
-/* A server that rejected a request as full has room again after about this time. */
+/* A server that rejected a request as full has a free slot again after about this time. */
 #define FULL_PAUSE_US (60 * SKH_US_PER_MS)
-/* The list names a stopped instance until its entry expires after three missed heartbeats. */
+/* The roster holds a stopped server until its entry expires after three missed heartbeats. */
 #define WRONG_INSTANCE_PAUSE_US (4 * SKH_US_PER_S)
 #define RATE_SLOT_US		(500 * SKH_US_PER_MS)
 /*
- * Requests sent beyond the slots of a server, or of a rank of a lock-step group, because responses
- * take a moment to arrive.
+ * Requests sent beyond the slots of a server, or of a rank of a lock-step group: a slot is free at
+ * the server before its last response arrives at the gateway.
  */
 #define OVERCOMMIT_PLAIN_REQUESTS 2
 #define OVERCOMMIT_RANK_REQUESTS  1
@@ -126,20 +126,20 @@
 {
 	skh_target_t *other = value;
 	skh_target_t *added = context;
-	bool is_later = added->server->started_unix_ms > other->server->started_unix_ms;
+	bool is_added_newer = added->server->started_unix_ms > other->server->started_unix_ms;
 
 	(void)key;
 	if (other == added || other->server->port != added->server->port ||
 	    strcmp(other->server->host, added->server->host) != 0 ||
 	    added->server->started_unix_ms == other->server->started_unix_ms)
 		return;
-	other->is_superseded = other->is_superseded || is_later;
-	added->is_superseded = added->is_superseded || !is_later;
+	other->is_superseded = other->is_superseded || is_added_newer;
+	added->is_superseded = added->is_superseded || !is_added_newer;
 	skh_log(SKH_LOG_INFO, PART,
 		"Address has a newer instance; the older one gets no new requests.",
 		"address=%s:%u old=%s new=%s", added->server->host, added->server->port,
-		is_later ? other->server->id : added->server->id,
-		is_later ? added->server->id : other->server->id);
+		is_added_newer ? other->server->id : added->server->id,
+		is_added_newer ? added->server->id : other->server->id);
 }
 
 /*
@@ -150,8 +150,8 @@
 {
 	g_autofree char *address =
 		g_strdup_printf("\n%s:%u ", target->server->host, target->server->port);
-	const char *entry = strstr(slowdowns, address);
-	double slowdown = entry ? g_ascii_strtod(entry + strlen(address), NULL) : 1.0;
+	const char *line = strstr(slowdowns, address);
+	double slowdown = line ? g_ascii_strtod(line + strlen(address), NULL) : 1.0;
 
 	if (slowdown != target->slowdown)
 		skh_log(SKH_LOG_INFO, PART, "Slowdown of a rank changed.", "server=%s pace=%.1f",
@@ -159,7 +159,7 @@
 	target->slowdown = slowdown;
 }
 
-static void update_slowdown_entry(gpointer id, gpointer value, gpointer context)
+static void update_target_slowdown(gpointer id, gpointer value, gpointer context)
 {
 	(void)id;
 	update_slowdown(value, context);
@@ -169,7 +169,7 @@
 {
 	g_free(backends->slowdowns);
 	backends->slowdowns = g_strconcat("\n", text, NULL);
-	g_hash_table_foreach(backends->targets, update_slowdown_entry, backends->slowdowns);
+	g_hash_table_foreach(backends->targets, update_target_slowdown, backends->slowdowns);
 }
 
 static void add_target(skh_backends_t *backends, const skh_server_t *server)
@@ -219,7 +219,7 @@
 	(void)value;
 	if (skh_roster_find(context, id))
 		return FALSE;
-	skh_log(SKH_LOG_INFO, PART, "Server is gone from the list and gets no new requests.",
+	skh_log(SKH_LOG_INFO, PART, "Server is no longer listed and gets no new requests.",
 		"server=%s", (const char *)id);
 	return TRUE;
 }
--- a/src/backends.h
+++ b/src/backends.h
@@ -28,8 +28,8 @@
 /**
  * struct skh_target - one backend server; counted by reference
  *
- * The list holds one reference and each request in flight another, so a target
- * stays valid after its server has left the roster.
+ * The set of listed servers holds one reference and each request in flight another,
+ * so a target stays valid after its server has left the roster.
  */
 struct skh_target {
 	skh_server_t *server;
@@ -85,7 +85,7 @@
 void skh_backends_sync(skh_backends_t *backends, const skh_roster_t *roster,
 		       const skh_routing_t *routing);
 
-/** skh_backends_get_or_create_pool() - returns the service called @name; creates an unknown one */
+/** skh_backends_get_or_create_pool() - returns the pool of service @name, creates it if missing */
 skh_target_pool_t *skh_backends_get_or_create_pool(skh_backends_t *backends, const char *name);
 /** skh_backends_find_target() - returns the listed server called @id, or NULL; borrowed */
 skh_target_t *skh_backends_find_target(skh_backends_t *backends, const char *id);
@@ -109,7 +109,7 @@
  */
 void skh_backends_set_slowdowns(skh_backends_t *backends, const char *text);
 
-/** skh_target_pool_has_servers() - true when some server can get requests now or later */
+/** skh_target_pool_has_servers() - true when a server is neither leaving nor superseded */
 bool skh_target_pool_has_servers(const skh_target_pool_t *pool);
 
 /** skh_target_pool_completion_rate() - returns successful requests per second; 0 when unknown */
@@ -130,7 +130,7 @@
 	SKH_OUTCOME_SUCCEEDED,
 	SKH_OUTCOME_FAILED,
 	SKH_OUTCOME_UNREACHABLE,
-	SKH_OUTCOME_FULL,	    /* the server rejected the request for lack of room */
+	SKH_OUTCOME_FULL,	    /* the server rejected the request: no free slot */
 	SKH_OUTCOME_WRONG_INSTANCE, /* another instance responded at the address */
 	SKH_OUTCOME_CANCELED /* the caller disconnected; the server's statistics stay as they are */
 } skh_outcome_t;
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -52,19 +52,19 @@
 	int64_t prepared_version; /* map version whose copies are complete; 0 for none */
 	int64_t armed_version;	  /* map version to switch to; 0 for none */
 	int64_t held_pass;	  /* pass that is held until its release; 0 for none */
-	double slowdown;	  /* time relative to normal; over 1 is slow */
+	double slowdown;	  /* time that the rank takes; 1 is normal */
 } skh_engine_report_t;
 
 /** enum skh_engine_op - orders of a map switch */
 typedef enum skh_engine_op {
 	SKH_ENGINE_PREPARE, /* copy the experts' weights that the map needs */
-	SKH_ENGINE_ARM,	    /* switch at the beginning of the pass */
-	SKH_ENGINE_DISARM,  /* cancel the switch */
-	SKH_ENGINE_HOLD,    /* do not begin the pass */
+	SKH_ENGINE_ARM,	    /* switch to @map_version at the beginning of @pass */
+	SKH_ENGINE_DISARM,  /* cancel the armed switch */
+	SKH_ENGINE_HOLD,    /* do not begin @pass before its release */
 	SKH_ENGINE_GO	    /* release the held pass */
 } skh_engine_op_t;
 
-/** struct skh_engine_order - one order; fields that its kind does not use are ignored */
+/** struct skh_engine_order - one order; fields that @op does not use are ignored */
 typedef struct skh_engine_order {
 	skh_engine_op_t op;
 	int64_t map_version;
--- a/src/engine.c
+++ b/src/engine.c
@@ -23,7 +23,7 @@
 struct skh_engine {
 	skh_backend_t *backend;
 	skh_fetch_t *fetch;
-	GMutex lock; /* guards the view and the queue */
+	GMutex lock; /* guards @view and @orders */
 	skh_engine_view_t view;
 	GQueue orders; /* skh_backend_order_t, owned */
 	bool is_order_pending;
@@ -31,8 +31,8 @@
 	bool are_events_pending;
 	skh_buffer_t load_text;
 	skh_buffer_t events_text;
-	uint64_t transfer_count; /* number of transfers so far */
-	int64_t next_report_us;	 /* time at which the next reports are requested */
+	uint64_t transfer_count;
+	int64_t next_report_us; /* time at which the next reports are requested */
 };
 
 bool skh_engine_read_load(skh_chunk_t text, skh_engine_view_t *view)
--- a/src/engine.h
+++ b/src/engine.h
@@ -5,9 +5,10 @@
  * DOC: Engine
  *
  * A sidecar's control channel to its engine: polls load reports and cache events
- * and sends orders (load a model, an adapter or a version; change role). Reports
- * and events arrive late, and events may have gaps. Runs on the sidecar's one
- * thread; owns transfers of its own, so that a slow report delays no response.
+ * and sends orders (load a model or an adapter in a given version, change role).
+ * Reports and events arrive late, and events may have gaps. Runs on the sidecar's
+ * event loop thread, except where a function says otherwise. Its HTTP transfers
+ * are apart from those of requests, so that a slow report delays no response.
  * Times are microseconds of the monotonic clock.
  */
 
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -4,9 +4,10 @@
 /**
  * DOC: HTTP client for an engine
  *
- * Sends small JSON calls with a timeout to one engine: reports, counts, orders.
- * Owns a connection pool to the engine and the calls in progress. All functions and
- * callbacks run on the event loop's thread. Calls are not retried.
+ * Makes small JSON calls with a timeout to one engine: requests for reports and
+ * counts, and orders. Owns a connection pool to the engine and the calls in
+ * progress. All functions and callbacks run on the event loop's thread. Calls are
+ * not retried.
  */
 
 #include "upstream.h"
--- a/src/feed.c
+++ b/src/feed.c
@@ -269,7 +269,7 @@
 				      &changes, err)) {
 		if (err->kind == SKH_STORE_COMPACTED) {
 			skh_log(SKH_LOG_INFO, PART,
-				"Store history is gone after a compaction; reading the full state.",
+				"Store history was compacted; reading the full state.",
 				"revision=%" G_GINT64_FORMAT, feed->read_revision);
 			feed->read_revision = 0;
 			record_response(feed);
@@ -284,7 +284,7 @@
 	return true;
 }
 
-static void publish(skh_feed_t *feed, int64_t previous_revision)
+static void publish(skh_feed_t *feed, int64_t previous_config_revision)
 {
 	if (skh_roster_builder_expire(feed->builder, skh_clock_boot_us()))
 		feed->roster_changed = true;
@@ -292,7 +292,7 @@
 		skh_board_publish_roster(
 			feed->options.board,
 			skh_roster_builder_snapshot(feed->builder, feed->read_revision));
-	if (feed->roster_changed || feed->config_revision != previous_revision)
+	if (feed->roster_changed || feed->config_revision != previous_config_revision)
 		feed->options.notify(feed->options.context);
 	feed->roster_changed = false;
 }
@@ -348,16 +348,16 @@
 
 	while (!is_stopped(feed)) {
 		int64_t poll_started_us = skh_clock_boot_us();
-		int64_t previous_revision = feed->config_revision;
+		int64_t previous_config_revision = feed->config_revision;
 		skh_error_t err;
 		bool needs_full_read = feed->read_revision == 0;
 
 		if (needs_full_read ? !read_all(feed, &err) : !read_changes(feed, &err)) {
-			publish(feed, previous_revision);
+			publish(feed, previous_config_revision);
 			record_failure(feed, &err);
 			continue;
 		}
-		publish(feed, previous_revision);
+		publish(feed, previous_config_revision);
 		/* Set only after publishing: now the board is as new as the store at poll start. */
 		if (feed->read_revision != 0)
 			__atomic_store_n(&feed->fresh_as_of_us, poll_started_us, __ATOMIC_RELEASE);
--- a/src/gossip.c
+++ b/src/gossip.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 #define PART "gossip"
-/* A gateway may use 2 KB/s for control traffic in all; a third of it is left for the store. */
+/* Control traffic of a gateway is limited to 2 KB/s; about a third is left for store calls. */
 #define SEND_BYTES_PER_S	1400
 #define DATAGRAM_OVERHEAD_BYTES 42 /* Ethernet, IP and UDP headers */
 #define MIN_INTERVAL_US		(80 * SKH_US_PER_MS)
@@ -23,7 +23,7 @@
 #define REPORT_EXPIRY_US   (2500 * SKH_US_PER_MS)
 #define MAX_SERVERS	   400
 #define MAX_CRASH_SUSPECTS 16
-#define SUSPECT_REPORTS	   8   /* limit on the reports that carry one suspect; some may be lost */
+#define SUSPECT_REPORTS	   8   /* maximum for one suspect; repeated as reports may be lost */
 #define MAX_RUNNING	   255 /* one byte per server in the report */
 #define MAX_REPORT_BYTES   4096
 
@@ -34,9 +34,9 @@
 } peer_report_t;
 
 typedef struct crash_suspect {
-	uint64_t content;
-	uint64_t crash;
-	uint32_t reports_left; /* limit on the further reports that carry the suspect */
+	uint64_t content_hash;
+	uint64_t crash_id;
+	uint32_t reports_left; /* maximum number of further reports with this suspect */
 } crash_suspect_t;
 
 struct skh_gossip {
@@ -246,12 +246,15 @@
 		if (suspect->reports_left == 0)
 			continue;
 		suspect->reports_left--;
-		outgoing->suspects[outgoing->n_suspects] = suspect->content;
-		outgoing->crashes[outgoing->n_suspects++] = suspect->crash;
+		outgoing->suspects[outgoing->n_suspects] = suspect->content_hash;
+		outgoing->crashes[outgoing->n_suspects++] = suspect->crash_id;
 	}
 }
 
-/* Hashes what shows a change: servers, their counts and the number of crash suspects. */
+/*
+ * Hashes the servers, their counts and the number of crash suspects. Unless this hash changes, the
+ * next report is sent only after MAX_INTERVAL_US.
+ */
 static uint64_t hash_report(const outgoing_report_t *outgoing)
 {
 	uint64_t hash =
@@ -314,15 +317,15 @@
 					      MIN_INTERVAL_US, MAX_INTERVAL_US);
 }
 
-void skh_gossip_add_crash_suspect(skh_gossip_t *gossip, uint64_t content, uint64_t crash)
+void skh_gossip_add_crash_suspect(skh_gossip_t *gossip, uint64_t content_hash, uint64_t crash_id)
 {
-	crash_suspect_t *oldest = &gossip->suspects[0];
+	crash_suspect_t *replaced = &gossip->suspects[0];
 
 	for (uint32_t i = 1; i < MAX_CRASH_SUSPECTS; i++) {
-		if (gossip->suspects[i].reports_left < oldest->reports_left)
-			oldest = &gossip->suspects[i];
+		if (gossip->suspects[i].reports_left < replaced->reports_left)
+			replaced = &gossip->suspects[i];
 	}
-	*oldest = (crash_suspect_t){ content, crash, SUSPECT_REPORTS };
+	*replaced = (crash_suspect_t){ content_hash, crash_id, SUSPECT_REPORTS };
 }
 
 void skh_gossip_close(skh_gossip_t *gossip)
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -42,10 +42,10 @@
 
 /**
  * skh_gossip_add_crash_suspect() - adds a suspect to the next few reports
- * @content: hash of the request's content
- * @crash: id of the server crash
+ * @content_hash: hash of the request's content
+ * @crash_id: id of the server crash
  */
-void skh_gossip_add_crash_suspect(skh_gossip_t *gossip, uint64_t content, uint64_t crash);
+void skh_gossip_add_crash_suspect(skh_gossip_t *gossip, uint64_t content_hash, uint64_t crash_id);
 
 /** skh_gossip_close() - closes the socket; the event loop must run before skh_gossip_free() */
 void skh_gossip_close(skh_gossip_t *gossip);
--- a/src/peers.c
+++ b/src/peers.c
@@ -151,13 +151,13 @@
 	return replaced;
 }
 
-/* Hellos to idle sidecars share a fixed byte rate, so the interval grows with their number. */
+/* Hellos to idle sidecars share a byte rate, so the interval grows with the count of sidecars. */
 static int64_t idle_interval_us(const skh_peers_t *peers)
 {
-	int64_t sweep_us =
+	int64_t exchange_all_us =
 		(int64_t)peers->list->len * HELLO_EXCHANGE_BYTES * SKH_US_PER_S / HELLO_BYTES_PER_S;
 
-	return MAX(sweep_us, HELLO_IDLE_MIN_INTERVAL_US);
+	return MAX(exchange_all_us, HELLO_IDLE_MIN_INTERVAL_US);
 }
 
 bool skh_peers_schedule_hello(skh_peers_t *peers, skh_peer_t *peer, int64_t now_us)
@@ -175,17 +175,17 @@
 		peer->next_hello_us = now_us + HELLO_BUSY_INTERVAL_US;
 	else
 		peer->next_hello_us = now_us + idle_interval_us(peers);
-	/* A busy sidecar sends frames anyway, so a reachable one gets a hello only when silent. */
+	/* A reachable sidecar with requests sends frames anyway; it gets a hello only when silent. */
 	return !peer->is_reachable || peer->own_in_flight == 0 || is_silent;
 }
 
-/* Corrects the last status by the entry's requests that began or ended since, which it lacks. */
+/* Adds the change of the entry's own requests since the last status to the reported load. */
 uint32_t skh_peers_estimate_load(const skh_peer_t *peer)
 {
 	int64_t reported_load = (int64_t)peer->running + peer->queued;
-	int64_t since_report = (int64_t)peer->own_in_flight - peer->own_in_flight_at_report;
+	int64_t change_since_report = (int64_t)peer->own_in_flight - peer->own_in_flight_at_report;
 
-	return (uint32_t)MAX(reported_load + since_report, (int64_t)peer->own_in_flight);
+	return (uint32_t)MAX(reported_load + change_since_report, (int64_t)peer->own_in_flight);
 }
 
 bool skh_peers_is_lost(const skh_peer_t *peer, int64_t now_us)
--- a/src/peers.h
+++ b/src/peers.h
@@ -28,7 +28,7 @@
 	uint32_t rank;
 	bool is_listed;
 	bool is_listed_leaving;
-	bool is_reachable; /* a status was received and the sidecar was not lost since */
+	bool is_reachable; /* a status was received and no loss was detected since */
 	skh_phase_t phase;
 	uint64_t incarnation;
 	int64_t config_revision; /* newest configuration revision in its frames */
@@ -77,7 +77,8 @@
 
 /**
  * skh_peers_schedule_hello() - when a hello is due, schedules the next one
- * Return: true when a hello must be sent to @peer now.
+ * Return: true when a hello must be sent to @peer now; false when none is due or when other frames
+ * show that @peer is alive.
  */
 bool skh_peers_schedule_hello(skh_peers_t *peers, skh_peer_t *peer, int64_t now_us);
 
--- a/src/roster.h
+++ b/src/roster.h
@@ -33,7 +33,7 @@
 	uint32_t slots;		  /* maximum number of concurrent requests */
 	bool is_leaving;	  /* gets no new requests */
 	int64_t started_unix_ms;  /* Unix time of the server's start; 0 when unknown */
-	int64_t grace_expires_us; /* removal time once the entry may have expired; 0 while listed */
+	int64_t grace_expires_us; /* removal time of an unlisted server; 0 while listed */
 } skh_server_t;
 
 /** struct skh_roster - snapshot of the backend servers, sorted by id */
@@ -59,7 +59,7 @@
 bool skh_roster_builder_put(skh_roster_builder_t *builder, skh_server_t *server);
 
 /**
- * skh_roster_builder_remove() - handles a server that is no longer listed or has an invalid entry
+ * skh_roster_builder_remove() - removes a server that is no longer listed or has an invalid entry
  * @may_have_expired: the entry may have expired because the store was unavailable; unless the
  *                    server was leaving, it is then kept for the grace period
  * Return: true when the roster changed and readers need a new snapshot.
--- a/test/backends_test.cc
+++ b/test/backends_test.cc
@@ -1,5 +1,5 @@
 // Guards against requests to servers that no longer exist: after a power loss the list of servers
-// still holds entries of instances that ran before it.
+// still holds entries of instances from before the loss.
 #include "backends.h"
 #include "clock.h"
 
