--- a/src/admission.c
+++ b/src/admission.c
@@ -5,7 +5,10 @@
 #include <glib.h>
 #include <math.h>
 
-/* The end of a running request can't be predicted; one second is an estimate. */
+/*
+ * Delay before a retry when a customer has too many requests in flight. It is an estimate,
+ * because it is unknown when one of them will end.
+ */
 #define IN_FLIGHT_RETRY_US (1 * SKH_US_PER_S)
 
 typedef struct account {
@@ -70,13 +73,13 @@
 {
 	account_t *account = get_or_create_account(admission, customer, entries, now_us);
 	double rate_per_s = limit_per_entry(customer->rate_per_s, entries);
-	int64_t max_requests =
+	int64_t max_in_flight =
 		(int64_t)ceil(limit_per_entry((double)customer->max_in_flight, entries));
 
 	refill_tokens(account, rate_per_s, burst_per_entry(customer, entries), now_us);
-	if (account->in_flight >= max_requests) {
+	if (account->in_flight >= max_in_flight) {
 		(void)skh_error_set(err, SKH_LIMITED,
-				    "customer \"%s\" has reached its limit of open requests",
+				    "customer \"%s\" has reached its limit of requests in flight",
 				    customer->name);
 		err->retry_at_us = now_us + IN_FLIGHT_RETRY_US;
 		return false;
--- a/src/claim_backlog.h
+++ b/src/claim_backlog.h
@@ -6,12 +6,12 @@
  *
  * Holds claim records whose write failed because the key-value service was
  * unavailable: releases of claims and results of runs. Each is written later, but
- * only over a record of the same owner. Without the write, requests with the same key
- * would get "outcome unknown" until the key expires.
+ * never over a closed claim or a record of another owner. Without the write, requests
+ * with the same idempotency key would get "outcome unknown" until that key expires.
  *
  * Owns copies of the records and does no I/O: the caller executes the writes,
  * reports their results and serialises calls. A write is given up after
- * SKH_CLAIM_MAX_KEY_AGE_MS, because its key has expired by then. Times are in
+ * SKH_CLAIM_MAX_KEY_AGE_MS, because its idempotency key has expired by then. Times are in
  * microseconds on the monotonic clock.
  */
 
@@ -35,7 +35,7 @@
 void skh_claim_backlog_add(skh_claim_backlog_t *backlog, const char *path, const skh_claim_t *claim,
 			   int64_t expected_revision, int64_t now_us);
 
-/** struct skh_claim_backlog_write - a due write; its strings are valid until its result is known */
+/** struct skh_claim_backlog_write - a due write; its strings are valid until its result is reported */
 typedef struct skh_claim_backlog_write {
 	uint64_t id; /* has SKH_WIRE_LOCAL_ID_BIT set */
 	const char *path;
--- a/src/curve_auth.c
+++ b/src/curve_auth.c
@@ -89,17 +89,17 @@
 
 static void send_reply(const skh_curve_auth_t *auth, const zap_request_t *request)
 {
-	bool authorized = is_authorized(auth, request);
+	bool is_accepted = is_authorized(auth, request);
 	size_t id_len =
 		request->n_frames > ZAP_FRAME_REQUEST_ID ? request->len[ZAP_FRAME_REQUEST_ID] : 0;
 
-	if (!authorized)
+	if (!is_accepted)
 		skh_log(SKH_LOG_WARNING, PART,
 			"Peer rejected because it does not have the configured key.", "%s", "");
 	send_text(auth->zap_socket, ZAP_VERSION, ZMQ_SNDMORE);
 	(void)zmq_send(auth->zap_socket, request->frame[ZAP_FRAME_REQUEST_ID], id_len, ZMQ_SNDMORE);
-	send_text(auth->zap_socket, authorized ? "200" : "400", ZMQ_SNDMORE);
-	send_text(auth->zap_socket, authorized ? "OK" : "unknown key", ZMQ_SNDMORE);
+	send_text(auth->zap_socket, is_accepted ? "200" : "400", ZMQ_SNDMORE);
+	send_text(auth->zap_socket, is_accepted ? "OK" : "unknown key", ZMQ_SNDMORE);
 	send_text(auth->zap_socket, "", ZMQ_SNDMORE);
 	send_text(auth->zap_socket, "", 0);
 }
--- a/src/curve_auth.h
+++ b/src/curve_auth.h
@@ -7,9 +7,9 @@
  * Authenticates connections between the processes of the system with ZeroMQ's CURVE
  * mechanism and the key pair that the settings give to every process. A connection
  * with any other key is closed before a frame of it is read, so only processes of the
- * system can send work or orders to a sidecar.
+ * system can send requests or orders to a sidecar.
  *
- * Owns the ZAP socket of a context and the thread that serves it. Without keys in the
+ * Owns the ZAP (ZeroMQ Authentication Protocol) socket of a context and its thread. Without keys in the
  * settings, connections are neither authenticated nor encrypted.
  */
 
--- a/src/fair_queue.c
+++ b/src/fair_queue.c
@@ -41,13 +41,13 @@
 }
 
 /* The only function that changes the counts, so that active_weight follows every change. */
-static void update_counts(skh_fair_queue_t *queue, account_t *account, int32_t waiting,
-			  int32_t running)
+static void update_counts(skh_fair_queue_t *queue, account_t *account, int32_t waiting_change,
+			  int32_t running_change)
 {
 	bool was_active = is_active(account);
 
-	account->waiting += (uint32_t)waiting;
-	account->running += (uint32_t)running;
+	account->waiting += (uint32_t)waiting_change;
+	account->running += (uint32_t)running_change;
 	if (is_active(account) && !was_active)
 		queue->active_weight += account->weight;
 	else if (!is_active(account) && was_active)
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -41,7 +41,7 @@
 /** skh_fair_queue_start() - record that the waiting request of @customer with @tag has started */
 void skh_fair_queue_start(skh_fair_queue_t *queue, uint64_t customer, double tag);
 
-/** skh_fair_queue_cancel() - remove a waiting request of @customer and refund its share */
+/** skh_fair_queue_cancel() - remove a waiting request of @customer and the delay that it adds */
 void skh_fair_queue_cancel(skh_fair_queue_t *queue, uint64_t customer);
 
 /** skh_fair_queue_finish() - record the end of a started request of @customer */
--- a/src/peer_selection.c
+++ b/src/peer_selection.c
@@ -5,7 +5,10 @@
 #include <glib.h>
 #include <string.h>
 
-/* Load limit of a peer selected by affinity: mean * ratio + slack, as in bounded-load hashing. */
+/*
+ * Load limit of a peer selected for a prefix that needs only one peer: mean * ratio + slack, as
+ * in bounded-load hashing.
+ */
 #define AFFINITY_MAX_LOAD_RATIO 1.25
 #define AFFINITY_LOAD_SLACK	0.10
 /* Peers considered for a prefix, by descending weight; the most frequent prefixes need many. */
@@ -104,9 +107,9 @@
 
 static double estimate_cost(const skh_peer_t *peer, const skh_peer_query_t *query)
 {
-	bool local = strcmp(peer->failure_domain, query->failure_domain) == 0;
+	bool is_local = strcmp(peer->failure_domain, query->failure_domain) == 0;
 
-	return skh_peer_load(peer) + (local ? 0.0 : REMOTE_DOMAIN_PENALTY);
+	return skh_peer_load(peer) + (is_local ? 0.0 : REMOTE_DOMAIN_PENALTY);
 }
 
 static skh_peer_t *select_less_loaded_of_two(const GPtrArray *candidates,
--- a/src/peer_selection.h
+++ b/src/peer_selection.h
@@ -19,7 +19,7 @@
 #endif
 
 #define SKH_PEER_QUERY_MAX_TRIED 16
-/** SKH_MAX_NO_QUEUE_ATTEMPTS - first attempts that full servers reject; later ones may be queued */
+/** SKH_MAX_NO_QUEUE_ATTEMPTS - attempts of a request before one may be queued at a full server */
 #define SKH_MAX_NO_QUEUE_ATTEMPTS 7
 
 /** struct skh_peer_query - requirements of one attempt */
--- a/src/prefix_share.c
+++ b/src/prefix_share.c
@@ -52,10 +52,11 @@
 }
 
 /*
- * Subtracts from a count what can be chance: one request and the standard deviation of a
- * Poisson count. The result is 0 for a prefix that was seen only once or twice.
+ * Subtracts one request and the standard deviation of a Poisson count, so that prefixes that
+ * recur by chance do not count as frequent. The result is 0 for a prefix that was seen only once
+ * or twice.
  */
-static double subtract_chance(uint32_t count)
+static double subtract_chance_repeats(uint32_t count)
 {
 	return MAX((double)count - 1.0 - sqrt((double)count), 0.0);
 }
@@ -72,5 +73,5 @@
 	share->current->total++;
 	total = share->current->total + share->previous->total;
 	count = (uint32_t)share->current->count[bucket] + share->previous->count[bucket];
-	return subtract_chance(count) / (double)total;
+	return subtract_chance_repeats(count) / (double)total;
 }
--- a/src/quarantine.c
+++ b/src/quarantine.c
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #define PART		   "quarantine"
-#define KEY_FOLDER	   "suspects/"
+#define KEY_SUBPREFIX	   "suspects/"
 #define MAX_BATCH_WRITES   64
 #define MAX_PENDING_WRITES 4096
 #define RETRY_DELAY_US	   (1 * SKH_US_PER_S) /* the jitter adds up to RETRY_DELAY_US more */
@@ -152,7 +152,7 @@
 	skh_quarantine_t *quarantine = g_new0(skh_quarantine_t, 1);
 
 	quarantine->store = store;
-	quarantine->prefix = g_strconcat(store_prefix, KEY_FOLDER, NULL);
+	quarantine->prefix = g_strconcat(store_prefix, KEY_SUBPREFIX, NULL);
 	quarantine->suspects = skh_suspects_new();
 	quarantine->lease.period_s = LEASE_PERIOD_S;
 	quarantine->lease.min_ttl_s = SKH_SUSPECT_EXPIRY_S;
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -6,7 +6,7 @@
  *
  * The table of crash suspects (suspect.h) of one entry, shared with all entries
  * through the key-value service. Each crash of a request is a key of its own, so
- * that a write needs no comparison and is safe to retry after a lost response.
+ * that a write needs no compare-and-swap and is safe to retry after a lost response.
  * While the service is unavailable an entry uses the records it has and writes
  * new ones later.
  *
--- a/src/request_queue.h
+++ b/src/request_queue.h
@@ -12,8 +12,8 @@
  * skh_request_queue_find_expired() finds, so that no request waits that can't be served
  * any more.
  *
- * Does no I/O. The queue borrows the requests, which their owner embeds and removes. The
- * caller serialises calls. Times are in microseconds on one monotonic clock.
+ * Does no I/O. The queue borrows the requests: the owner embeds each in a struct of its own
+ * and removes it from the queue before freeing it. The caller serialises calls. Times are in microseconds on one monotonic clock.
  */
 
 #include <glib.h>
--- a/src/routing.h
+++ b/src/routing.h
@@ -38,7 +38,7 @@
 	uint32_t weight;
 } skh_traffic_split_t;
 
-/** struct skh_route - rules for the requests to @host whose path begins with @prefix */
+/** struct skh_route - rules for the requests to @host whose path begins with @path_prefix */
 typedef struct skh_route {
 	char *name;
 	char *host;
@@ -49,8 +49,8 @@
 	int64_t timeout_us;	  /* from the receipt of a request to its deadline */
 	int64_t objective_us;	  /* latency objective; for a stream, until its first event */
 	int64_t gap_objective_us; /* objective for the time between two stream events */
-	uint32_t max_attempts;
-	uint32_t priority; /* 0 is the highest */
+	uint32_t max_attempts;	  /* limit of the attempts that may have run the request */
+	uint32_t priority;	  /* 0 is the highest */
 	uint32_t n_splits;
 	skh_traffic_split_t splits[SKH_ROUTING_MAX_SPLITS];
 } skh_route_t;
@@ -97,7 +97,7 @@
 /** struct skh_routing - the routing table; owns its arrays, tables and texts */
 typedef struct skh_routing {
 	int64_t version;  /* version that the operators assigned to the configuration */
-	int64_t revision; /* revision of the key-value service */
+	int64_t revision; /* mod revision of the configuration in the key-value service */
 	skh_caller_limits_t limits;
 	GArray *services; /* skh_service_info_t */
 	GArray *routes;	  /* skh_route_t */
--- a/src/server_selection.h
+++ b/src/server_selection.h
@@ -7,8 +7,8 @@
  * Selects the backend server for one attempt by load, speed and recent failures.
  * In a lock-step group every rank waits for the rank with the most generating
  * requests, so the rank with the fewest requests is selected, and a slow rank gets
- * fewer than the others. Plain servers differ in speed, so the one with the lowest
- * expected response time is selected. A server that failed recently is avoided for
+ * fewer than the others. Servers outside lock-step groups differ in speed, so the one with
+ * the lowest expected response time is selected. A server that failed recently is avoided for
  * a period, and afterwards its load counts as higher in proportion to its failure
  * ratio; if all eligible servers are avoided, avoided ones are used.
  *
@@ -29,7 +29,7 @@
 typedef struct skh_candidate {
 	uint32_t slots;
 	uint32_t running;	/* requests in flight at the server, from all gateways */
-	double expected_tokens; /* expected tokens of the running requests, or 0 */
+	double expected_tokens; /* expected tokens of this gateway's requests in flight */
 	double mean_latency_ms; /* mean response time of recent requests; 0 if unknown */
 	double slowdown;	/* time that a rank takes relative to normal; 1 is normal */
 	double failure_ratio;	/* ratio of recent requests that failed, 0 to 1 */
@@ -51,8 +51,10 @@
 /**
  * skh_select_server() - select the server for one attempt
  *
- * Return: index into the candidates, or SKH_SELECTION_NONE if every eligible server
- * is full.
+ * Avoided servers are considered only if all eligible servers are avoided.
+ *
+ * Return: index into the candidates, or SKH_SELECTION_NONE if every server that is considered
+ * is full or none is eligible.
  */
 int32_t skh_select_server(const skh_selection_view_t *view);
 
--- a/src/suspect.h
+++ b/src/suspect.h
@@ -71,8 +71,8 @@
 /**
  * skh_suspects_begin_snapshot() - begin to replace the shared records by a complete snapshot
  *
- * skh_suspects_end_snapshot() removes the shared crashes that are not in the snapshot, as other
- * entries have removed them. Crashes that only this process has recorded stay.
+ * skh_suspects_end_snapshot() removes the shared crashes that are not in the snapshot, because
+ * other entries have removed them. Crashes that only this process has recorded stay.
  */
 void skh_suspects_begin_snapshot(skh_suspects_t *suspects);
 
--- a/test/gateway_core_test.cc
+++ b/test/gateway_core_test.cc
@@ -626,7 +626,8 @@
 	EXPECT_FALSE(skh_group_breaker_is_tripped(&breaker));
 }
 
-// All instances lose power; the ranks restart after 1 s and their group has formed 0.6 s later.
+// All instances lose power; a rank restarts 3 s after the first rejection, and the group takes
+// 0.6 s to form.
 TEST(GroupBreaker, RequestsWaitWhileTheGroupForms)
 {
 	skh_group_breaker_t breaker = {};
--- a/test/suspect_test.cc
+++ b/test/suspect_test.cc
@@ -116,14 +116,14 @@
 	}
 }
 
-Skh__Start make_start(uint64_t attempt, bool suspect)
+Skh__Start make_start(uint64_t attempt, bool is_suspect)
 {
 	Skh__Start start = SKH__START__INIT;
 
 	start.attempt = attempt;
 	start.incarnation = 1;
 	start.start_before_us = kLater_us;
-	start.suspect = suspect;
+	start.suspect = is_suspect;
 	return start;
 }
 
@@ -156,9 +156,9 @@
 				queued[next] = action == 1;
 			next++;
 		} else if (!running.empty()) {
-			const auto [first, suspect] = *running.begin();
+			const auto [first, is_suspect] = *running.begin();
 
-			if (action == 2 && suspect) {
+			if (action == 2 && is_suspect) {
 				skh_gate_clear_suspect(gate.get(), first);
 				cleared.insert(first);
 			} else {
@@ -172,10 +172,10 @@
 		}
 		size_t n_suspects_running = 0;
 		size_t n_others_queued = 0;
-		for (const auto &[attempt, suspect] : running)
-			n_suspects_running += suspect && cleared.count(attempt) == 0;
-		for (const auto &[attempt, suspect] : queued)
-			n_others_queued += !suspect;
+		for (const auto &[attempt, is_suspect] : running)
+			n_suspects_running += is_suspect && cleared.count(attempt) == 0;
+		for (const auto &[attempt, is_suspect] : queued)
+			n_others_queued += !is_suspect;
 		RC_ASSERT(n_suspects_running <= 1);
 		RC_ASSERT(running.size() <= kCapacity);
 		if (running.size() < kCapacity) {
