--- a/src/admission.c
+++ b/src/admission.c
@@ -79,7 +79,7 @@
 	refill_tokens(account, rate_per_s, burst_per_entry(customer, entries), now_us);
 	if (account->in_flight >= max_in_flight) {
 		(void)skh_error_set(err, SKH_LIMITED,
-				    "customer \"%s\" has reached its limit of requests in flight",
+				    "customer \"%s\" has reached its limit of open requests",
 				    customer->name);
 		err->retry_at_us = now_us + IN_FLIGHT_RETRY_US;
 		return false;
--- a/src/admission.h
+++ b/src/admission.h
@@ -4,9 +4,9 @@
 /**
  * DOC: Admission control
  *
- * Enforces each customer's limits of the request rate and of requests in flight at one
- * entry. Entries exchange no counters, so each entry enforces an equal share of a limit:
- * the limit divided by the number of live entries.
+ * Enforces each customer's rate limit and concurrency limit at one entry. Entries
+ * exchange no counters, so each entry enforces an equal share of a limit: the
+ * limit divided by the number of live entries.
  *
  * Owns the counters of all customers and does no I/O. The caller serialises
  * calls. Times are in microseconds on the monotonic clock.
--- a/src/claim_backlog.h
+++ b/src/claim_backlog.h
@@ -35,7 +35,7 @@
 void skh_claim_backlog_add(skh_claim_backlog_t *backlog, const char *path, const skh_claim_t *claim,
 			   int64_t expected_revision, int64_t now_us);
 
-/** struct skh_claim_backlog_write - a due write; its strings are valid until its result is reported */
+/** struct skh_claim_backlog_write - a due write; strings are valid until its result is reported */
 typedef struct skh_claim_backlog_write {
 	uint64_t id; /* has SKH_WIRE_LOCAL_ID_BIT set */
 	const char *path;
--- a/src/curve_auth.h
+++ b/src/curve_auth.h
@@ -9,8 +9,9 @@
  * with any other key is closed before a frame of it is read, so only processes of the
  * system can send requests or orders to a sidecar.
  *
- * Owns the ZAP (ZeroMQ Authentication Protocol) socket of a context and its thread. Without keys in the
- * settings, connections are neither authenticated nor encrypted.
+ * Owns the ZAP (ZeroMQ Authentication Protocol) socket of a context and the thread that
+ * serves it. Without keys in the settings, connections are neither authenticated nor
+ * encrypted.
  */
 
 #include "settings.h"
