--- a/src/balancer.c
+++ b/src/balancer.c
@@ -162,7 +162,7 @@
 	return balancer->coordinator && has_valid_lease(balancer, now_us);
 }
 
-/* Passes the state of the own rank to the coordinator in this process. */
+/* Passes the state of the rank beside this process to the coordinator in this process. */
 static void handle_own_report(balancer_t *balancer, int64_t now_us)
 {
 	const skh_rank_snapshot_t *snapshot = skh_rank_poller_snapshot(balancer->poller);
@@ -465,7 +465,7 @@
 	(void)uv_timer_init(&balancer->loop, &balancer->tick);
 	balancer->tick.data = balancer;
 	(void)uv_timer_start(&balancer->tick, on_tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS);
-	skh_log(SKH_LOG_INFO, PART, "Balancer runs.", "id=%s engine=%s service=%s", settings->id,
+	skh_log(SKH_LOG_INFO, PART, "Balancer started.", "id=%s engine=%s service=%s", settings->id,
 		settings->engine_address, settings->backend_service);
 	return true;
 }
--- a/src/balancer.h
+++ b/src/balancer.h
@@ -5,7 +5,7 @@
  * DOC: Expert balancer of a rank
  *
  * Main program of the process beside a model server that is a rank of a group. It polls the
- * rank's state and expert counts, reports them to the group's coordinator over UDP, relays the
+ * rank's state and token counts, reports them to the group's coordinator over UDP, relays the
  * coordinator's orders to the engine, and acts as the coordinator while it holds the group's
  * lease. All work is done on one event loop except for the store requests of the election.
  */
--- a/src/coordinator.c
+++ b/src/coordinator.c
@@ -20,7 +20,7 @@
 /* Longer than ORDER_TIMEOUT_US because the relay retries an order at its engine for 180 ms. */
 #define RELAY_TIMEOUT_US (220 * SKH_US_PER_MS)
 /*
- * Shorter than ORDER_TIMEOUT_US because the group may stand still until the hold is confirmed.
+ * Shorter than ORDER_TIMEOUT_US because the group may be stopped until the hold is confirmed.
  * Allows for three network hops of one millisecond each and for slow processes.
  */
 #define HOLD_TIMEOUT_US (60 * SKH_US_PER_MS)
@@ -38,18 +38,18 @@
 #define TARGET_SKEW		 1.08
 #define TARGET_SKEW_SHORT_PASSES 1.6
 /*
- * Target of a relief change, the first change after a demand shift (see RELIEF_MIN_SKEW). It is
- * less strict because an order takes longer to send with each further copy.
+ * Target of a relief change (see RELIEF_MIN_SKEW). It is higher than TARGET_SKEW because an order
+ * takes longer to send with each further copy.
  */
 #define RELIEF_TARGET_SKEW 1.45
-/* A pass is short if it takes less than this ratio of a pass with all request slots in use. */
+/* A pass is short if it takes less than this fraction of a pass with all request slots in use. */
 #define SHORT_PASS_RATIO 0.75
-/* Copying lengthens passes, so a plan charges each copied expert this much skew of its set. */
+/* Cost of one copied expert in a plan, in units of its set's skew: copying lengthens passes. */
 #define COPY_COST_SKEW 0.006
 /*
- * A change above this skew is a relief change. It is limited to what a rank can copy in about half
- * a pass, but to no less than one expert per rank: waiting for more copies costs more than a
- * second change.
+ * A change is a relief change, usually the first one after a demand shift, if the skew of the map
+ * in use is above this. It is limited to what a rank can copy in about half a pass, but to no less
+ * than one expert per rank: waiting for more copies costs more than a second change.
  */
 #define RELIEF_MIN_SKEW	  1.8
 #define RELIEF_COPY_MS	  45.0
@@ -62,9 +62,9 @@
 /* A slowdown that differs from the planned one by more than this ratio makes a new plan due. */
 #define SLOWDOWN_CHANGE_RATIO 0.2
 #define MAX_COPIES_PER_RANK   64.0
-/* Largest map, in slots, that the full search can handle in a small share of a core. */
+/* Largest map, in slots, that the full search handles fast enough on a small share of a core. */
 #define MAX_SEARCH_SLOTS 600
-/* Planning takes milliseconds of a small share of a core and seldom finds a gain. */
+/* Planning takes milliseconds on a small share of a core and seldom finds a gain. */
 #define MIN_PLAN_INTERVAL_US (60 * SKH_US_PER_MS)
 /* A new lease holder waits for reports of all ranks before it decides. */
 #define TAKEOVER_DELAY_US (400 * SKH_US_PER_MS)
@@ -317,9 +317,9 @@
 }
 
 /*
- * Sends the order through the relay of @relay_rank. A rank's own relay receives the map as
- * differences and has the engine beside it; the proxy's relay sends the order to the
- * coordinator's engine over the network.
+ * Sends the order through the relay of @relay_rank. The relay of @rank itself receives the map as
+ * differences and sends the order to the engine beside it; the relay of the proxy rank sends the
+ * order to the coordinator's engine over the network.
  */
 static void send_relayed(skh_coordinator_t *coordinator, uint32_t rank, uint32_t relay_rank,
 			 const skh_engine_order_t *order)
@@ -376,7 +376,7 @@
 
 /* --- Decisions --- */
 
-/* Selects a different rank each time; the own rank if no other has reported recently. */
+/* Selects ranks in turn; returns the coordinator's own rank if no other has reported recently. */
 static uint32_t select_proxy_rank(const skh_coordinator_t *coordinator, int64_t now_us)
 {
 	const skh_groupview_t *view = &coordinator->view;
@@ -402,7 +402,7 @@
 		.own_rank = view->own_rank,
 		.proxy_rank = select_proxy_rank(coordinator, now_us),
 		.epoch = epoch,
-		/* Fences increase from holder to holder, and so do map versions that equal them. */
+		/* Equal to the fence so that versions, too, increase from one lease holder to the next. */
 		.version = fence,
 		.fence = fence,
 	};
@@ -430,7 +430,7 @@
 	send_orders(coordinator, now_us);
 }
 
-/* Number of experts that a rank can copy in @time_ms, but at least @min_copies. */
+/* Number of experts that a rank can copy in @time_ms, from @min_copies to MAX_COPIES_PER_RANK. */
 static uint32_t copies_within(const skh_engine_spec_t *spec, double time_ms, double min_copies)
 {
 	double bits = spec->expert_size_mb * 8.0e6;
@@ -487,7 +487,7 @@
 	return g_string_free(text, FALSE);
 }
 
-/* Plans the next map unless the skew of the current one is too small to be worth a change. */
+/* Plans the next map unless the current skew is too small or the pass duration is unknown. */
 static void plan_next_map(skh_coordinator_t *coordinator, bool short_passes)
 {
 	skh_groupview_t *view = &coordinator->view;
@@ -516,7 +516,7 @@
 		.slowdowns = coordinator->slowdowns,
 	};
 
-	/* Except for a relief change, the minimum gain depends on the pass duration, still unknown. */
+	/* The minimum gain depends on the pass duration; only a relief change does not wait for it. */
 	if (!is_relief && view->pass_duration_us == 0)
 		return;
 	if (skew - 1.0 < (short_passes ? MIN_SKEW_GAIN_SHORT_PASSES : MIN_SKEW_GAIN))
@@ -615,7 +615,7 @@
 	skh_metrics_add(succeeded ? SKH_COUNT_MAP_CHANGES : SKH_COUNT_MAP_FAILURES, 1);
 }
 
-/* Another process may have held the lease in between, so a change ends with its lease. */
+/* A change ends with the lease that it began under: another process may have held the lease since. */
 static void update_lease(skh_coordinator_t *coordinator, int64_t fence, int64_t now_us)
 {
 	if (fence == coordinator->fence)
--- a/src/coordinator.h
+++ b/src/coordinator.h
@@ -18,7 +18,7 @@
 extern "C" {
 #endif
 
-/** struct skh_coordinator_options - copied; the pointers must outlive the coordinator */
+/** struct skh_coordinator_options - copied, but what it points to must outlive the coordinator */
 typedef struct skh_coordinator_options {
 	uv_loop_t *loop;
 	const skh_dialect_t *dialect;
@@ -43,15 +43,15 @@
 				 double cost_weight);
 
 /**
- * skh_coordinator_handle_report() - record a rank's state, map and expert counts
- * @message: borrowed; ignored if it is invalid or older than the last one of its sender
+ * skh_coordinator_handle_report() - record a rank's state, map and token counts
+ * @message: borrowed; ignored if it is invalid or not newer than the last one from its sender
  * @is_own_rank: the report is from the rank beside this process
  */
 void skh_coordinator_handle_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
 				   bool is_own_rank, int64_t now_us);
 
 /**
- * skh_coordinator_handle_sample() - add expert counts to the demand estimate
+ * skh_coordinator_handle_sample() - add token counts to the demand estimate
  * @sample: counts of any rank; borrowed
  *
  * Plans and starts a map change if one is due and the lease is held.
--- a/src/election.c
+++ b/src/election.c
@@ -137,7 +137,7 @@
 	set_coordinator_address(election, *is_held ? pairs.list[0].value : NULL);
 	/*
 	 * The value is unique to this process, so if the response to the acquisition was lost, this
-	 * read shows whether the acquisition succeeded. The deadline is over at once, so that the
+	 * read shows whether the acquisition succeeded. The deadline expires at once so that the
 	 * holder acts only after it has renewed the lease.
 	 */
 	if (*is_held && strcmp(pairs.list[0].value, election->value) == 0 &&
@@ -147,6 +147,7 @@
 	return true;
 }
 
+/* Returns false only if a request failed, not if another process acquired the lease first. */
 static bool acquire_lease(skh_election_t *election, skh_error_t *err)
 {
 	skh_store_t *store = election->options.store;
@@ -351,6 +352,7 @@
 		skh_election_view_t view;
 
 		skh_election_get_view(election, &view);
+		/* Renewals are retried past the deadline; one TTL later the lease is considered lost. */
 		if (view.is_holder &&
 		    skh_clock_boot_us() > view.lease_deadline_us + LEASE_TTL_S * SKH_US_PER_S)
 			set_lease_state(election, 0, 0);
--- a/src/election.h
+++ b/src/election.h
@@ -6,9 +6,9 @@
  *
  * A thread that acquires, renews and watches the group's lease in the store. The store revision
  * at which the lease was acquired is the fencing token of all orders of its holder, so a later
- * holder always has a higher one. A paused holder may act after its lease has expired; the
- * fencing token makes such orders harmless. All functions may be called from any thread.
- * Failed store requests are logged, counted and retried.
+ * holder always has a higher one. A holder that was paused may send orders after its lease has
+ * expired; ranks that have received a higher token reject them. All functions may be called from
+ * any thread. Failed store requests are logged, counted and retried.
  */
 
 #include "dialect.h"
@@ -17,7 +17,7 @@
 extern "C" {
 #endif
 
-/** struct skh_election_options - copied; the pointers must outlive the election */
+/** struct skh_election_options - copied, but what it points to must outlive the election */
 typedef struct skh_election_options {
 	skh_store_t *store;	    /* used by the election's thread only */
 	skh_store_t *release_store; /* used on stop because a watch may occupy @store */
--- a/src/fence.h
+++ b/src/fence.h
@@ -4,9 +4,10 @@
 /**
  * DOC: Fencing tokens for the changes of one lease holder
  *
- * Derives increasing fencing tokens from the store revision of a lease. Each change needs a fence
- * higher than all earlier ones, including those of the same holder, even if the holder
- * temporarily took its lease for lost. No I/O; the owner of the struct serialises calls.
+ * Derives increasing fencing tokens (fences) from the store revision of a lease. Each change needs
+ * a fence higher than all earlier ones, including those of the same holder. This also applies if
+ * the holder considers its lease lost and later finds that it still holds it. No I/O; the owner of
+ * the struct serialises calls.
  */
 
 #include <stdint.h>
--- a/src/group_member.c
+++ b/src/group_member.c
@@ -25,7 +25,7 @@
 	bool is_rank_initialized;  /* @rank has received the fence floor */
 	uint64_t last_transfer_id; /* id of the newest transfer to the engine */
 	char *prepared_placement; /* JSON of the last prepare order; sent to the engine with each order */
-	/* Used while this sidecar leads the group; @next_resend_us is used at all times. */
+	/* Used only while this sidecar leads the group, except for @next_resend_us: */
 	skh_mapswitch_t *mapswitch; /* NULL while no switch is in progress */
 	uint64_t switch_fence;	    /* fencing token of the lease under which orders are sent */
 	uint64_t completed_version; /* map version switched to under @switch_fence; 0 for none */
@@ -76,6 +76,7 @@
 	member->backend->ops->send_map_order(
 		member->backend, member->fetch, ++member->last_transfer_id, order,
 		member->prepared_placement ? member->prepared_placement : "", skh_clock_now_us());
+	/* The leader resends the order and receives SKH_ORDER_DONE once the engine has executed it. */
 	return SKH_ORDER_BUSY;
 }
 
--- a/src/group_member.h
+++ b/src/group_member.h
@@ -8,9 +8,9 @@
  * sidecar of an engine that belongs to a group. It forwards map switch orders
  * to its own engine and, while its sidecar leads the group, switches all ranks
  * to the placement in the current configuration. It owns the HTTP transfers to
- * the engine and the thread of leader.h. All functions run on the sidecar's one
- * thread; times are in microseconds of skh_clock_now_us(). A failed order is
- * logged and retried by the leader.
+ * the engine and the thread of leader.h. All functions run on the sidecar's event
+ * loop thread; times are in microseconds of skh_clock_now_us(). A failed order is
+ * logged here; the leader retries it.
  */
 
 #include "backend.h"
@@ -26,7 +26,7 @@
 typedef struct skh_group_member skh_group_member_t;
 
 /**
- * skh_group_member_new() - start taking part in the group that @settings name
+ * skh_group_member_new() - start taking part in the group named in @settings
  * @settings: borrowed
  * @board: source of the configuration; borrowed
  * @store: key-value service that holds the leader lease; borrowed
--- a/src/groupview.c
+++ b/src/groupview.c
@@ -15,9 +15,9 @@
 #define MAX_STATE_AGE_US (2500 * SKH_US_PER_MS)
 /* Short because the server list may contain addresses that do not respond. */
 #define PROBE_TIMEOUT_US (100 * SKH_US_PER_MS)
-/* Minimum time over which the pass duration is measured after a map change. */
+/* Minimum time over which the pass duration is measured. */
 #define MIN_PASS_SPAN_US (250 * SKH_US_PER_MS)
-/* A hold that lasts longer than this is taken for abandoned and makes a repair due. */
+/* A hold that lasts longer than this is considered abandoned and makes a repair due. */
 #define MAX_HOLD_US	(250 * SKH_US_PER_MS)
 #define LOG_INTERVAL_US (500 * SKH_US_PER_MS)
 
--- a/src/groupview.h
+++ b/src/groupview.h
@@ -5,10 +5,10 @@
  * DOC: Coordinator's view of its group
  *
  * Holds the last known state of each rank and the expert map in use, and checks whether the
- * state is complete and consistent. The state comes from reports that the ranks' processes send
- * and from polls of the engines whose process is silent; a rank's process is the balancer
- * (balancer.h) beside its engine. Owns the clients of engines and relays. All calls are made on
- * the event loop's thread; times are microseconds of the boot clock.
+ * state is complete and consistent. The process of a rank is the balancer (balancer.h) beside its
+ * engine; the state comes from the reports that these processes send, and from polls of the engine
+ * if a rank's process is silent. Owns the clients of engines and relays. All calls are made on the
+ * event loop's thread; times are microseconds of the boot clock.
  */
 
 #include "engine_client.h"
@@ -29,14 +29,14 @@
 	uint64_t sender_id;
 	uint64_t sequence;
 	skh_engine_report_t report;
-	bool has_map;
+	bool has_map; /* the rank's part of the view's @map is known */
 	bool is_poll_pending;
 	int64_t poll_started_us;
-	int64_t next_poll_us; /* earliest time of the next poll */
-	int64_t held_since_us;
+	int64_t next_poll_us;  /* earliest time of the next poll */
+	int64_t held_since_us; /* since when the rank has reported a hold; 0 if it reports none */
 } skh_groupview_rank_t;
 
-/** struct skh_groupview_options - copied; the pointers must outlive the view */
+/** struct skh_groupview_options - copied, but what it points to must outlive the view */
 typedef struct skh_groupview_options {
 	uv_loop_t *loop;
 	const skh_dialect_t *dialect;
@@ -68,7 +68,7 @@
 	int64_t next_version;
 	int64_t switch_pass; /* pass in which the group switched to @next_map */
 	/* Private: */
-	int64_t last_pass; /* pass of the own rank at @last_pass_us */
+	int64_t last_pass; /* pass of @own_rank at @last_pass_us */
 	int64_t last_pass_us;
 	skh_engine_client_t *probe_client; /* engine probed for its rank, or NULL */
 	int64_t probe_started_us;
@@ -112,7 +112,8 @@
 
 /**
  * skh_groupview_is_complete() - whether a map change may be decided
- * Return: true if the state of all ranks is known, recent, and of one epoch and map version.
+ * Return: true if the group is open and the state of all ranks is known, recent, and of one epoch
+ * and map version.
  */
 bool skh_groupview_is_complete(skh_groupview_t *view, int64_t now_us);
 
--- a/src/leader.h
+++ b/src/leader.h
@@ -6,9 +6,9 @@
  *
  * A thread that registers this sidecar's rank, acquires and renews the leader's lease in the
  * key-value service, and reads the registered ranks. The store revision at which the lease was
- * acquired is the fencing token of the leader's orders. A paused holder may act after its lease
- * has expired; the fencing token makes such orders harmless. Functions may be called from any
- * thread; failed store requests are logged, counted and retried.
+ * acquired is the fencing token of the leader's orders. A leader that was paused may send orders
+ * after its lease has expired; ranks that have received a higher token reject them. Functions may
+ * be called from any thread; failed store requests are logged, counted and retried.
  */
 
 #include "settings.h"
@@ -29,7 +29,7 @@
 /** struct skh_leader_view - state last read from the store; free @ranks with g_free() */
 typedef struct skh_leader_view {
 	bool has_fence_floor;	   /* whether @fence_floor is known */
-	uint64_t fence_floor;	   /* no fence issued before the start is higher */
+	uint64_t fence_floor;	   /* no fence issued before this sidecar's start is higher */
 	uint64_t fence;		   /* fencing token of this sidecar's lease; 0 if it holds none */
 	int64_t lease_deadline_us; /* monotonic clock; the leader must not act later */
 	size_t n_ranks;
--- a/src/lease.h
+++ b/src/lease.h
@@ -2,7 +2,7 @@
 #define SKH_LEASE_H
 
 /**
- * DOC: Store leases shared by all keys of a period
+ * DOC: Store leases shared by all keys that are written in one period
  *
  * A lease is granted once per period and never renewed, so that the keys written under it expire
  * together without a delete for each. The owner of the struct serialises calls.
@@ -15,7 +15,7 @@
 #endif
 
 /**
- * struct skh_period_lease - zeroed before its first use, except for the first two fields
+ * struct skh_period_lease - zeroed before its first use, except for @period_s and @min_ttl_s
  * @period_s: time for which one lease is used for new keys
  * @min_ttl_s: minimum time to live of a key written under the lease
  * @id: lease ID in the store; 0 before the first grant and after a failed one
--- a/src/rank.h
+++ b/src/rank.h
@@ -7,7 +7,7 @@
  * State machine in a rank's sidecar that checks each order of a map switch before it is sent to
  * the engine. The orders come from the coordinator, the sidecar that leads the group (leader.h).
  * All orders pass through this state machine, so an engine that ignores fencing tokens is as safe
- * as one that checks them. No I/O and no errors; the owner of the struct serialises calls.
+ * as one that checks them. Does no I/O and cannot fail; the owner of the struct serialises calls.
  *
  * Rules:
  *
@@ -24,7 +24,7 @@
 extern "C" {
 #endif
 
-/** enum skh_order_step - the steps of a switch, in order */
+/** enum skh_order_step - the steps of a switch, in sequence */
 typedef enum skh_order_step {
 	SKH_STEP_PREPARE, /* copy the experts that the new map needs to the rank */
 	SKH_STEP_HOLD,	  /* start no further engine step */
@@ -54,8 +54,8 @@
 	uint64_t highest_fence;	   /* highest fence received */
 	uint64_t prepared_version; /* map version whose experts have been copied */
 	uint64_t version;	   /* map version in use; 0 when not known */
-	uint64_t hold_fence;	   /* fence under which the engine is held; 0 when it may run */
-	bool may_be_held;	   /* an earlier order may have left the engine held */
+	uint64_t hold_fence; /* fence under which the engine is held; 0 if not held or unknown */
+	bool may_be_held;    /* an earlier order may have left the engine held */
 	bool is_order_pending;
 	skh_order_t engine_order; /* order that was sent to the engine last */
 } skh_rank_t;
--- a/src/rank_liveness.h
+++ b/src/rank_liveness.h
@@ -7,7 +7,7 @@
  * Detects a rank of a lock-step group that has become unreachable while its
  * group continues. Stateless; callable from any thread.
  *
- * The failure is an instance that freezes or loses its network connection: its
+ * This happens when an instance freezes or loses its network connection: its
  * engine still takes part in every pass, so the group makes progress, but the
  * gateway receives nothing from the rank. The ranks of a lock-step group begin
  * each pass together, so a rank whose streams are silent while streams of other
--- a/src/rank_poller.h
+++ b/src/rank_poller.h
@@ -4,12 +4,12 @@
 /**
  * DOC: Rank poller
  *
- * Polls one engine over HTTP for its report, its token counts and its expert
- * map, and keeps the newest values in a snapshot. The engine runs beside this
- * process, so its values are fresh and polling costs no network traffic. All
- * functions and callbacks run on the event loop's thread. Times are in
- * microseconds of skh_clock_boot_us(). A failed or unreadable response is
- * logged, and the next poll is sent as usual.
+ * Polls one engine over HTTP for its report, its token counts per expert and its
+ * expert map, and keeps the newest report and map in a snapshot. The engine runs
+ * beside this process, so its values are fresh and polling costs no network
+ * traffic. All functions and callbacks run on the event loop's thread. Times are
+ * in microseconds of skh_clock_boot_us(). The first of consecutive failed requests
+ * and each unreadable response are logged; the next poll is sent as usual.
  */
 
 #include "demand.h"
--- a/src/rankrelay.c
+++ b/src/rankrelay.c
@@ -41,7 +41,7 @@
 	uint32_t n_attempts;
 } pending_order_t;
 
-static uint64_t hash_map(const uint32_t *map, size_t n_slots)
+static uint64_t compute_map_hash(const uint32_t *map, size_t n_slots)
 {
 	return skh_chunk_hash(skh_chunk_make(map, n_slots * sizeof(*map)), 0);
 }
@@ -90,7 +90,7 @@
 		message.sets = order->n_sets;
 		message.ranks = order->n_ranks;
 		message.places = order->n_slots;
-		message.map_hash = hash_map(order->map, n_slots);
+		message.map_hash = compute_map_hash(order->map, n_slots);
 		if (base && base->map && base->n_slots == n_slots && base->version != 0)
 			pack_map_differences(order, base, &message);
 		else
@@ -173,7 +173,7 @@
 			  : unpack_map_differences(message,
 						   skh_map_cache_find(cache, message->base_version),
 						   n_slots);
-	if (!map || hash_map(map, n_slots) != message->map_hash) {
+	if (!map || compute_map_hash(map, n_slots) != message->map_hash) {
 		g_free(map);
 		return is_complete ? STATUS_BAD_REQUEST : SKH_RANKRELAY_STATUS_NO_BASE;
 	}
--- a/src/rankrelay.h
+++ b/src/rankrelay.h
@@ -6,9 +6,9 @@
  *
  * Accepts orders of the group's coordinator over HTTP and sends them to the engine beside this
  * process, so that a map crosses the network in a compact form and is expanded only here. The
- * response has the engine's status; the engine checks the fencing token. As the proxy rank of a
- * map change it sends an order over the network to the coordinator's engine instead. Owns the
- * listener and the maps of recent orders; runs on the event loop's thread.
+ * response has the engine's status; the engine checks the fencing token. The relay of a map
+ * change's proxy rank sends the hold order over the network to the coordinator's engine instead.
+ * Owns the listener and the maps of recent orders; runs on the event loop's thread.
  */
 
 #include "dialect.h"
--- a/test/map_test.cc
+++ b/test/map_test.cc
@@ -123,7 +123,7 @@
 			break;
 		case 3:
 		case 4:
-			send_orders();
+			send_order();
 			break;
 		case 5:
 		case 6:
@@ -155,7 +155,7 @@
 		ranks[rank].version = engines[rank].version;
 	}
 
-	void send_orders()
+	void send_order()
 	{
 		if (coordinators.empty())
 			return;
--- a/test/rank_liveness_test.cc
+++ b/test/rank_liveness_test.cc
@@ -98,7 +98,7 @@
 	}
 }
 
-// The rank has only requests that have not started and may be queued there.
+// The rank has only requests without any response data, which may still be queued there.
 TEST(RankLiveness, ARequestThatHasNotStartedHasALongerButBoundedTimeout)
 {
 	Group group(1, 3);
