--- a/src/balancer.c
+++ b/src/balancer.c
@@ -465,7 +465,7 @@
 	(void)uv_timer_init(&balancer->loop, &balancer->tick);
 	balancer->tick.data = balancer;
 	(void)uv_timer_start(&balancer->tick, on_tick, TICK_INTERVAL_MS, TICK_INTERVAL_MS);
-	skh_log(SKH_LOG_INFO, PART, "Balancer started.", "id=%s engine=%s service=%s", settings->id,
+	skh_log(SKH_LOG_INFO, PART, "Balancer runs.", "id=%s engine=%s service=%s", settings->id,
 		settings->engine_address, settings->backend_service);
 	return true;
 }
--- a/src/election.c
+++ b/src/election.c
@@ -195,6 +195,10 @@
 	return true;
 }
 
+/*
+ * Waits while the lease is held, then tries to acquire it. *@is_holder_known and *@is_held keep
+ * between calls what was read last.
+ */
 static void follow_lease(skh_election_t *election, bool *is_holder_known, bool *is_held)
 {
 	skh_error_t err;
--- a/src/leader.c
+++ b/src/leader.c
@@ -109,6 +109,7 @@
 	*is_own_lease = holder && strcmp(holder->value, leader->value) == 0;
 	g_mutex_lock(&leader->lock);
 	update_ranks(leader, &pairs);
+	/* The holder has the highest fence so far; without one, no fence exceeds the revision. */
 	if (!leader->view.has_fence_floor)
 		leader->view.fence_floor = holder ? *holder_fence : (uint64_t)pairs.store_revision;
 	leader->view.has_fence_floor = true;
--- a/test/map_test.cc
+++ b/test/map_test.cc
@@ -35,6 +35,7 @@
 	skh_order_t order = {};
 };
 
+// An order to a rank (@to_rank) or the reply of a rank to its coordinator.
 struct Message {
 	bool to_rank = false;
 	size_t coordinator = 0;
