--- a/src/balancer.c
+++ b/src/balancer.c
@@ -162,7 +162,7 @@
 	return balancer->coordinator && has_valid_lease(balancer, now_us);
 }
 
-/* Passes the state of the own rank to the coordinator in this process. */
+/* Passes the state of the rank beside this process to the coordinator in this process. */
 static void handle_own_report(balancer_t *balancer, int64_t now_us)
 {
 	const skh_rank_snapshot_t *snapshot = skh_rank_poller_snapshot(balancer->poller);
--- a/test/map_test.cc
+++ b/test/map_test.cc
@@ -35,6 +35,7 @@
 	skh_order_t order = {};
 };
 
+// An order to a rank (@to_rank) or the reply of a rank to its coordinator.
 struct Message {
 	bool to_rank = false;
 	size_t coordinator = 0;
@@ -123,7 +124,7 @@
 			break;
 		case 3:
 		case 4:
-			send_orders();
+			send_order();
 			break;
 		case 5:
 		case 6:
@@ -155,7 +156,7 @@
 		ranks[rank].version = engines[rank].version;
 	}
 
-	void send_orders()
+	void send_order()
 	{
 		if (coordinators.empty())
 			return;
