--- a/src/attempt.c
+++ b/src/attempt.c
@@ -126,9 +126,8 @@
 }
 
 /*
- * Stores the head for the caller, unless a stream resumes at another server: it keeps the head of
- * its first response. A successful response is rejected without a signature or with a
- * Content-Encoding.
+ * Stores the head for the caller; a stream that resumes at another server keeps the head of its
+ * first response. Rejects a successful response that has no signature or has a Content-Encoding.
  */
 static bool on_head(void *context, const skh_http_message_t *response)
 {
@@ -274,7 +273,7 @@
 		forward_response(exchange);
 }
 
-static void report_crash(void *context, uint64_t content_hash, uint64_t crash_id)
+static void report_crash_suspect(void *context, uint64_t content_hash, uint64_t crash_id)
 {
 	skh_log(SKH_LOG_WARNING, PART, "Request was lost in a server crash.",
 		"content=%016" PRIx64 " crash=%016" PRIx64, content_hash, crash_id);
@@ -288,10 +287,10 @@
 
 	exchange->upstream = NULL;
 	if (!request_written) {
-		/* A failed connect counts as a crash, for the requests lost at this server before. */
+		/* A failed connect is counted as a server crash for each request recently lost there. */
 		skh_crash_suspects_record_crash(gateway->crash_suspects,
 						exchange->target->server->id, skh_clock_boot_us(),
-						report_crash, gateway->gossip);
+						report_crash_suspect, gateway->gossip);
 		finish_attempt(exchange, SKH_END_UNREACHABLE);
 		return;
 	}
--- a/src/attempt.h
+++ b/src/attempt.h
@@ -16,7 +16,7 @@
 extern "C" {
 #endif
 
-/* Retry-After without a better estimate: by then a server is back or has capacity. */
+/* Default Retry-After: time in which a server is expected to recover or to have capacity. */
 #define SKH_DEFAULT_RETRY_AFTER_MS 500
 
 /** enum skh_exchange_stage - progress of a request */
@@ -34,7 +34,7 @@
 	const skh_http_message_t *request; /* owned by @conn; valid until the response ends */
 	GList link;
 	skh_exchange_stage_t stage;
-	const skh_routing_t *routing; /* counted reference; owns @route and @owner */
+	const skh_routing_t *routing; /* counted reference; owns @route and @key_owner */
 	const skh_route_t *route;
 	const skh_key_owner_t *key_owner; /* NULL when the route needs no key */
 	skh_target_pool_t *target_pool;
--- a/src/downstream.c
+++ b/src/downstream.c
@@ -121,15 +121,15 @@
 static void write_buffer(skh_caller_conn_t *conn, skh_buffer_t *buffer)
 {
 	uv_buf_t bytes = uv_buf_init((char *)buffer->data, (unsigned int)buffer->len);
-	int done = uv_try_write((uv_stream_t *)&conn->tcp, &bytes, 1);
+	int n_written = uv_try_write((uv_stream_t *)&conn->tcp, &bytes, 1);
 	write_op_t *write_op;
 
-	if (done == (int)buffer->len) {
+	if (n_written == (int)buffer->len) {
 		skh_buffer_free(buffer);
 		return;
 	}
-	if (done > 0)
-		skh_buffer_consume(buffer, (size_t)done);
+	if (n_written > 0)
+		skh_buffer_consume(buffer, (size_t)n_written);
 	write_op = g_new0(write_op_t, 1);
 	write_op->conn = conn;
 	write_op->bytes = *buffer;
--- a/src/exchange.h
+++ b/src/exchange.h
@@ -6,7 +6,7 @@
  *
  * Follows one request from its arrival to the end of its response: routing,
  * authorization, queueing, attempts at backend servers and the response. An
- * exchange owns itself and is freed when it ends. Runs on the event loop's thread.
+ * exchange frees itself when it ends. Runs on the event loop's thread.
  */
 
 #include "gateway.h"
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -13,7 +13,7 @@
 #include <string.h>
 
 #define PART "gateway"
-/* Interval for checking queued requests, reports and signals. */
+/* Interval for checking settings, rank notices, readiness, requests, gossip and stop signals. */
 #define TICK_INTERVAL_MS 20
 /*
  * A planned stop closes the listening socket only after this time: the platform's balancer checks
@@ -129,7 +129,10 @@
 	if (!peers)
 		return;
 	skh_gossip_set_peers(gateway->gossip, peers);
-	/* Gateways that are no longer registered may have used the budget a moment ago. */
+	/*
+	 * The lower bound covers gateways that are no longer registered: they may have used a part
+	 * of the budget a moment ago.
+	 */
 	gateway->retry_limits.gateways =
 		MAX(MIN_GATEWAYS, skh_gossip_count_peers(gateway->gossip) + 1);
 }
@@ -146,9 +149,10 @@
 }
 
 /*
- * A gateway without the store becomes not ready well before it stops trusting its keys: the
- * platform's balancer takes two seconds to send new callers elsewhere. Connections that are kept
- * alive would stay, so they are closed after their response.
+ * A gateway that can't reach the store becomes not ready well before it stops trusting its keys,
+ * because the platform's balancer takes two seconds to send new callers elsewhere. Callers with a
+ * persistent connection would stay at this gateway, so each connection is closed after its
+ * response.
  */
 static void update_ready(gateway_process_t *process, int64_t now_us)
 {
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -25,7 +25,8 @@
 /**
  * struct skh_gateway - state shared by the gateway's modules
  *
- * Used on the loop's thread only, except for the board.
+ * Used on the loop's thread, except that the administration listener's threads read the
+ * settings, the board and the feed.
  */
 typedef struct skh_gateway {
 	const skh_settings_t *settings;
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -40,7 +40,7 @@
 	skh_buffer_t bytes; /* request not written yet */
 	char *attempt_id;
 	bool is_head_request;
-	bool request_written;
+	bool request_written; /* write begun; the server may have received a part */
 	bool write_pending;
 	bool skip_response; /* response being read belongs to another request */
 	bool must_close;    /* not reusable for another request */
--- a/src/upstream.h
+++ b/src/upstream.h
@@ -46,8 +46,8 @@
 typedef struct skh_upstream_pool_options {
 	const char *attempt_id_header; /* request header that the server echoes */
 	int64_t connect_timeout_us;
-	int64_t unacked_timeout_us;    /* sent bytes unacknowledged this long end the connection */
-	int64_t idle_timeout_us;       /* a connection idle for this long is not reused */
+	int64_t unacked_timeout_us; /* time after which unacknowledged bytes close a connection */
+	int64_t idle_timeout_us;    /* a connection idle for this long is not reused */
 	uint32_t max_idle_connections; /* if exceeded, the longest idle connection is closed */
 } skh_upstream_pool_options_t;
 
@@ -100,7 +100,7 @@
 /** skh_upstream_set_paused() - stop or resume reading the response, for flow control */
 void skh_upstream_set_paused(skh_upstream_t *upstream, bool paused);
 
-/** skh_upstream_pool_opened_count() - connections opened by all pools since the process started */
+/** skh_upstream_pool_opened_count() - connects by all pools since start, including failed ones */
 uint64_t skh_upstream_pool_opened_count(void);
 
 #ifdef __cplusplus
--- a/test/forward_test.cc
+++ b/test/forward_test.cc
@@ -101,8 +101,8 @@
 	EXPECT_FALSE(contains(write_request(kPostRequest, -1, nullptr), "Customer"));
 }
 
-// Guards against a stream resumed at the position of the caller's first request, which would
-// repeat events that the caller has already received.
+// Guards against resuming a stream after the Last-Event-Id of the caller's own request, which
+// would repeat events that the caller has received since.
 TEST(Forward, StreamResumesAfterCallersLastEvent)
 {
 	EXPECT_TRUE(contains(write_request(kPostRequest), "Last-Event-Id: 4\r\n"));
