--- a/src/attempt.c
+++ b/src/attempt.c
@@ -12,7 +12,7 @@
 #include <string.h>
 
 #define PART "request"
-/* Limit for a response that is buffered before it is forwarded; data beyond it is dropped. */
+/* Limit for a response that is buffered before it is forwarded; pieces that don't fit are lost. */
 #define MAX_BUFFERED_RESPONSE_BYTES (16U << 20)
 
 void skh_attempt_release(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t latency_us)
--- a/src/caller_api.c
+++ b/src/caller_api.c
@@ -136,7 +136,10 @@
 	return true;
 }
 
-/* A request can lower the priority of its customer but not raise it; level 0 is the highest. */
+/*
+ * A request can ask for a less urgent priority than its customer's, but not for a more urgent one;
+ * level 0 is the most urgent.
+ */
 static bool read_priority(caller_request_t *request, skh_error_t *err)
 {
 	const char *name = skh_http_header(request->http, "X-Priority");
--- a/src/caller_api.h
+++ b/src/caller_api.h
@@ -19,7 +19,7 @@
 #endif
 
 /**
- * skh_caller_api_handle() - authenticate, serve and answer one request of a caller
+ * skh_caller_api_handle() - authenticate, serve and respond to one request of a caller
  * @context: the &skh_entry_t; must outlive the call
  * @http: the request, borrowed for the call; the response is sent through it
  */
--- a/src/downstream.h
+++ b/src/downstream.h
@@ -56,7 +56,7 @@
 
 /**
  * skh_listener_set_close_after_response() - set whether each response ends its connection
- * @close_after_response: true to make callers reconnect, when other gateways serve them better
+ * @close_after_response: true to make callers reconnect, so that they can reach another gateway
  */
 void skh_listener_set_close_after_response(skh_listener_t *listener, bool close_after_response);
 
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -19,7 +19,7 @@
 /** struct skh_event_stream - splitter state of one stream */
 typedef struct skh_event_stream {
 	skh_buffer_t pending;  /* bytes of the incomplete event at the end of the input */
-	int64_t last_event_id; /* id of the last event emitted with one; -1 for none */
+	int64_t last_event_id; /* id of the last emitted event that has an id; -1 for none */
 	bool has_event;	       /* at least one complete event was emitted */
 } skh_event_stream_t;
 
--- a/src/forward.h
+++ b/src/forward.h
@@ -24,7 +24,7 @@
 	const char *server_id; /* another instance at the same address rejects the request */
 	const char *customer;  /* NULL for none */
 	uint32_t priority;     /* 0 is most urgent; values above 9 are sent as 9 */
-	int64_t remaining_ms;  /* until the caller's or the route's deadline; sent as at least 1 */
+	int64_t remaining_ms;  /* until the deadline of the request; sent as at least 1 */
 	int64_t last_event_id; /* last event that the caller has received; negative for none */
 } skh_forwarded_request_t;
 
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -43,7 +43,7 @@
 	skh_retry_share_limits_t retry_limits;
 	GQueue exchanges;      /* open exchanges */
 	bool is_dispatching;   /* skh_exchange_dispatch() is running */
-	bool rejects_requests; /* planned stop: callers have had time to go to other gateways */
+	bool rejects_requests; /* planned stop, after callers had time to move to other gateways */
 } skh_gateway_t;
 
 /**
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -28,6 +28,7 @@
 	bool is_freed;
 };
 
+/* A connection; upstream.h uses it as the handle of the request that it carries. */
 struct skh_upstream {
 	uv_tcp_t tcp;
 	uv_timer_t timer;
