--- a/src/gateway.h
+++ b/src/gateway.h
@@ -25,7 +25,8 @@
 /**
  * struct skh_gateway - state shared by the gateway's modules
  *
- * Used on the loop's thread only, except for the board.
+ * Used on the loop's thread, except that the administration listener's threads read the
+ * settings, the board and the feed.
  */
 typedef struct skh_gateway {
 	const skh_settings_t *settings;
@@ -42,7 +43,7 @@
 	skh_retry_share_limits_t retry_limits;
 	GQueue exchanges;      /* open exchanges */
 	bool is_dispatching;   /* skh_exchange_dispatch() is running */
-	bool rejects_requests; /* planned stop: callers have had time to go to other gateways */
+	bool rejects_requests; /* planned stop, after callers had time to move to other gateways */
 } skh_gateway_t;
 
 /**
--- a/src/upstream.c
+++ b/src/upstream.c
@@ -28,6 +28,7 @@
 	bool is_freed;
 };
 
+/* A connection; upstream.h uses it as the handle of the request that it carries. */
 struct skh_upstream {
 	uv_tcp_t tcp;
 	uv_timer_t timer;
@@ -40,7 +41,7 @@
 	skh_buffer_t bytes; /* request not written yet */
 	char *attempt_id;
 	bool is_head_request;
-	bool request_written;
+	bool request_written; /* write begun; the server may have received a part */
 	bool write_pending;
 	bool skip_response; /* response being read belongs to another request */
 	bool must_close;    /* not reusable for another request */
