--- a/src/count_reporter.c
+++ b/src/count_reporter.c
@@ -7,19 +7,22 @@
 
 /* Capacity of the send budget: two reports of a large group and some state messages. */
 #define BUDGET_CAPACITY_BYTES 2400.0
-/* Interval of reports at steady demand: prompts change, and so may the coordinator. */
+/*
+ * Interval of reports at steady demand. They continue because prompts change and the coordinator
+ * may be replaced.
+ */
 #define STEADY_INTERVAL_US (2 * SKH_US_PER_S)
 /* After a shift, each further report within this time still improves the estimate. */
 #define SHIFT_WINDOW_US (700 * SKH_US_PER_MS)
 /* Minimum interval of reports within the shift window: about one pass. */
 #define MIN_SHIFT_INTERVAL_US (60 * SKH_US_PER_MS)
 /*
- * After a shift, a rank with fewer choices per expert delays its report until it has read a
- * first prompt.
+ * After a shift, a rank with fewer choices per expert delays its report until it has processed
+ * a first prompt.
  */
 #define MIN_CHOICES_PER_EXPERT 12.0
 /*
- * Limit of the delay for a first prompt, plus a random offset for each rank: the
+ * Limit of this delay. A random offset for each rank is added to it, because the
  * coordinator's link is too slow for reports of all ranks at once.
  */
 #define MAX_CHOICES_WAIT_US (80 * SKH_US_PER_MS)
--- a/src/count_reporter.h
+++ b/src/count_reporter.h
@@ -39,9 +39,9 @@
  * @sample: copied
  *
  * Discards older counts if the sample shows a shift or has another epoch. A sample
- * with a shift in its midst is discarded, too.
+ * that spans a shift is discarded, too.
  *
- * Return: what the sample shows about the demand of this rank.
+ * Return: the effect of the sample on the demand estimate of this rank.
  */
 skh_demand_update_t skh_count_reporter_add_sample(skh_count_reporter_t *reporter,
 						  const skh_demand_sample_t *sample,
--- a/src/demand.c
+++ b/src/demand.c
@@ -63,7 +63,7 @@
 	int64_t counting_since_us; /* time of the last shift or first sample of the epoch */
 };
 
-static size_t count_shares(const skh_demand_t *demand)
+static size_t get_n_counts(const skh_demand_t *demand)
 {
 	return (size_t)demand->engine_spec.expert_sets * demand->engine_spec.experts_per_set;
 }
@@ -73,8 +73,8 @@
 	skh_demand_t *demand = g_new0(skh_demand_t, 1);
 
 	demand->engine_spec = *engine_spec;
-	demand->weighted_counts = g_new0(double, count_shares(demand));
-	demand->shares = g_new0(double, count_shares(demand));
+	demand->weighted_counts = g_new0(double, get_n_counts(demand));
+	demand->shares = g_new0(double, get_n_counts(demand));
 	demand->set_totals = g_new0(double, engine_spec->expert_sets);
 	return demand;
 }
@@ -156,7 +156,7 @@
 
 static void reset_counts(skh_demand_t *demand, int64_t epoch, int64_t from_pass, int64_t now_us)
 {
-	memset(demand->weighted_counts, 0, count_shares(demand) * sizeof(double));
+	memset(demand->weighted_counts, 0, get_n_counts(demand) * sizeof(double));
 	memset(demand->set_totals, 0, demand->engine_spec.expert_sets * sizeof(double));
 	demand->n_samples = 0;
 	demand->epoch = epoch;
@@ -215,8 +215,9 @@
 	if (has_shifted && !begins_later)
 		return SKH_DEMAND_IGNORED;
 	/*
-	 * When the sample covers several passes, the first may be from before the shift, but the
-	 * second is certainly from after it.
+	 * When the sample covers several passes, the first may be from before the shift, so the
+	 * counts are not used. Of two passes, the second is certainly from after the shift, so
+	 * samples that begin with it are accepted.
 	 */
 	if (has_shifted && sample->to_pass > sample->from_pass + 1) {
 		reset_counts(demand, sample->epoch, sample->from_pass + 1, now_us);
--- a/src/demand.h
+++ b/src/demand.h
@@ -8,10 +8,10 @@
  * expert is expected to receive, and detects shifts of demand. Each assignment of a
  * token to an expert is one choice; the counts are numbers of choices. In a shift the
  * tokens of all ranks change to other experts from one pass to the next. A sample that
- * differs from the earlier counts and begins in a later pass indicates a shift; the
- * counts from before the shift are then discarded. Owns its arrays; does no I/O and
- * takes no locks, so the caller serialises access. Times are monotonic, in
- * microseconds.
+ * differs from the earlier counts and begins after the first pass counted in them
+ * indicates a shift; the counts from before the shift are then discarded. Owns its
+ * arrays; does no I/O and takes no locks, so the caller serialises access. Times are
+ * monotonic, in microseconds.
  */
 
 #include "dialect.h"
@@ -71,7 +71,7 @@
  * skh_demand_shares() - compute the expected share of tokens of each expert
  *
  * Return: shares, [sets][experts], sum 1 in each set; owned by @demand and valid
- * until the next call.
+ * until the next call of this function.
  */
 const double *skh_demand_shares(skh_demand_t *demand);
 
--- a/src/forecast.c
+++ b/src/forecast.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <math.h>
 
-/* Holt's linear smoothing of the logarithm of each share. */
+/* Gains of Holt's linear smoothing of the logarithm of each share. */
 #define DEFAULT_LEVEL_GAIN 0.8
 #define DEFAULT_TREND_GAIN 0.1
 /*
--- a/src/forecast.h
+++ b/src/forecast.h
@@ -73,7 +73,7 @@
  * @level_gain: weight of a new observation in the level, 0 to 1
  * @trend_gain: weight of a new observation in the trend, 0 to 1
  *
- * The default gains suit one length of interval; other lengths need other gains.
+ * Suitable gains depend on the interval between observations; the defaults suit only one.
  */
 void skh_forecast_set_gains(skh_forecast_t *forecast, double level_gain, double trend_gain);
 
--- a/src/greedy_rebalance.c
+++ b/src/greedy_rebalance.c
@@ -148,8 +148,8 @@
 }
 
 /*
- * Finds the slot of @rank that loads other ranks least when overwritten: an empty slot,
- * or one whose expert has another replica. Returns false if there is none.
+ * Finds the slot of @rank whose overwriting adds the least load to other ranks: an empty
+ * slot, or one whose expert has another replica. Returns false if there is none.
  * @freed_share: share of tokens that the rank no longer serves
  * @others_load: estimated greatest load of the ranks that serve this share instead
  */
@@ -267,8 +267,8 @@
 
 /*
  * Drops a replica on the most loaded rank; the expert's other replicas take its share.
- * The estimate leaves out ranks loaded as much as @bottleneck; try_slot_content()
- * rejects the drop if the greatest load rises.
+ * As max_host_load includes the load of @bottleneck itself, the estimate usually leaves out
+ * the load of the other ranks; try_slot_content() rejects the drop if the greatest load rises.
  */
 static bool try_drop_replica(skh_greedy_rebalance_t *state, uint32_t bottleneck)
 {
--- a/src/greedy_rebalance.h
+++ b/src/greedy_rebalance.h
@@ -6,8 +6,8 @@
  *
  * Reduces the load of the most loaded rank of a group step by step, changing one
  * slot of the expert map per step. Pure computation on the caller's map; calls on
- * one object must be serialised, and so must those on objects that share a budget
- * of copies.
+ * one object must be serialised, and so must those on objects that share the array
+ * of copies left.
  *
  * It is meant for a sudden shift of demand, such as one expert that receives a
  * fifth of all tokens and has a single replica. Each step adds a replica of one of
@@ -33,11 +33,11 @@
 /**
  * struct skh_greedy_rebalance_input - input for one set of layers; arrays are borrowed
  * @n_ranks: ranks of the group, at most SKH_GREEDY_REBALANCE_MAX_RANKS
- * @n_slots: slots of each rank
+ * @slots_per_rank: slots of each rank
  * @n_experts: experts of the set
  * @shares: share of tokens of each expert, [@n_experts], sum 1
  * @slowdowns: time taken relative to normal (1) for each rank, [@n_ranks]; NULL for all 1
- * @min_gain: skew reduction that a step must bring
+ * @min_gain: minimum reduction of the skew by a step; see skh_greedy_rebalance_step()
  */
 typedef struct skh_greedy_rebalance_input {
 	uint32_t n_ranks;
@@ -53,7 +53,8 @@
 /**
  * skh_greedy_rebalance_new() - start rebalancing one set of layers
  * @input: copied; its arrays must outlive the object
- * @map: expert + 1 in each slot, 0 for empty, [n_ranks][n_slots]; borrowed, changed by each step
+ * @map: expert + 1 in each slot, 0 for empty, [n_ranks][slots_per_rank]; borrowed,
+ *	changed by each step
  * @max_set_copies: maximum copies to each rank in this set
  * @copies_left: copies to each rank still allowed in all sets together, [n_ranks]; borrowed,
  *	reduced by each copy
@@ -67,7 +68,11 @@
 
 /**
  * skh_greedy_rebalance_step() - make one change that relieves the most loaded rank
- * Return: false if no change brings the minimum gain; the map is unchanged.
+ *
+ * A change must reduce the skew by the minimum gain, or relieve one of several equally
+ * loaded ranks without raising the skew.
+ *
+ * Return: false if there is no such change; the map is unchanged.
  */
 bool skh_greedy_rebalance_step(skh_greedy_rebalance_t *state);
 
--- a/src/layout.c
+++ b/src/layout.c
@@ -11,7 +11,7 @@
 #define NORM_SQUARINGS 4
 /*
  * Root that converts the mean of the norm's terms into a skew. It is twice the power of the
- * terms, so the result is the square root of their power mean.
+ * terms, so the result is the square root of the power mean of the load ratios.
  */
 #define SMOOTH_SKEW_ROOT 32.0
 
--- a/src/layout.h
+++ b/src/layout.h
@@ -5,7 +5,7 @@
  * DOC: Expert layout
  *
  * Working copy of an expert placement that the rebalancer (rebalance.h) modifies:
- * the experts of each slot, the ranks that hold each expert, the load of each rank,
+ * the expert in each slot, the ranks that hold each expert, the load of each rank,
  * and trials that compute the effect of a change before it is made. Owns its arrays;
  * does no I/O and takes no locks, so the caller serialises access. A load is work
  * divided by speed, in the unit of the forecast shares.
@@ -31,20 +31,20 @@
  */
 typedef struct skh_layout {
 	const skh_rebalance_input_t *input; /* borrowed */
-	uint32_t *placement;		    /* expert in each slot, [n_ranks][n_slots] */
+	uint32_t *placement;		    /* expert in each slot, [n_ranks][slots_per_rank] */
 	uint64_t *hosts; /* live ranks that hold each expert, as bits, [n_experts] */
-	/* Derived from @hosts by skh_layout_recompute(): */
+	/* Set by skh_layout_recompute(), or by skh_layout_new() from @input where noted: */
 	uint32_t *replica_count;	  /* live ranks that hold each expert */
 	double *replica_work;		  /* work of one replica of each expert */
 	skh_rank_slot_t *redundant_slots; /* slots whose expert has another live replica */
 	uint32_t n_redundant_slots;
-	double inverse_speed[SKH_REBALANCE_MAX_RANKS]; /* 0 for a lost rank */
+	double inverse_speed[SKH_REBALANCE_MAX_RANKS]; /* 0 for a lost rank; from @input */
 	double load[SKH_REBALANCE_MAX_RANKS];
 	double norm_term[SKH_REBALANCE_MAX_RANKS]; /* (load / mean load)^16 */
 	double norm;				   /* sum of norm_term over the live ranks */
-	double inverse_mean_load;		   /* mean load: total work / total speed */
-	uint32_t n_live_ranks;
-	/* Experts that may still be copied to each rank; UINT32_MAX without a limit. */
+	double inverse_mean_load;		   /* total speed / total work; from @input */
+	uint32_t n_live_ranks;			   /* from @input */
+	/* Copies that may still be planned to each rank; UINT32_MAX without a limit. */
 	uint32_t copies_left[SKH_REBALANCE_MAX_RANKS];
 } skh_layout_t;
 
@@ -100,7 +100,7 @@
 /**
  * skh_layout_find_hosts() - compute the live ranks that hold each expert
  * @input: dimensions and rank speeds; its placement is not read
- * @placement: expert in each slot, [n_ranks][n_slots]
+ * @placement: expert in each slot, [n_ranks][slots_per_rank]
  * @hosts: receives the ranks as bits, [n_experts]
  */
 void skh_layout_find_hosts(const skh_rebalance_input_t *input, const uint32_t *placement,
@@ -130,7 +130,7 @@
 /**
  * skh_layout_trial_add_load() - add work to a rank in a trial
  * @layout: layout that the trial starts from
- * @trial: trial to change; @changed_ranks is 0 in a new one
+ * @trial: trial to change; a new one has a changed_ranks of 0
  * @rank: live rank
  * @work: token share to add; negative to remove
  */
@@ -140,7 +140,7 @@
 /**
  * skh_layout_trial_change_hosts() - replace the hosts of an expert in a trial
  * @layout: layout that the trial starts from
- * @trial: trial to change; @changed_ranks is 0 in a new one
+ * @trial: trial to change; a new one has a changed_ranks of 0
  * @expert: expert whose load moves
  * @before: ranks that hold it before the change, as bits
  * @after: ranks that hold it after the change, as bits
--- a/src/mapchange.c
+++ b/src/mapchange.c
@@ -21,8 +21,8 @@
 #define ARM_TIMEOUT_US (2500 * SKH_US_PER_MS)
 /*
  * Maximum age of the probe that the proxy rank responded to, when it is armed: a round trip
- * between failure domains plus one iteration of a slow process. If the proxy rank freezes after
- * the probe, it is unknown whether it is armed.
+ * between failure domains plus one event loop iteration of a slow process. If the proxy rank
+ * freezes after the probe, it is unknown whether it is armed.
  */
 #define PROBE_MAX_AGE_US (30 * SKH_US_PER_MS)
 /* Timeout of the proxy rank, which the held group waits for; a pass takes 50 to 150 ms. */
@@ -96,7 +96,7 @@
 	return rank->is_armed;
 }
 
-/* Unlike !rank->armed, also excludes an arm order that may be carried out late. */
+/* Unlike !rank->is_armed, also excludes an arm order that may be carried out late. */
 static bool cannot_be_armed(const skh_mapchange_t *change, const skh_mapchange_rank_t *rank)
 {
 	(void)change;
@@ -293,7 +293,7 @@
 		return rank == change->own_rank;
 	case SKH_MAPCHANGE_SETTLE:
 		/*
-		 * An abandoned hold order may be carried out late; all ranks are armed, so the
+		 * A hold order without a response may be carried out late; all ranks are armed, so the
 		 * hold can be released.
 		 */
 		order->op = SKH_ENGINE_GO;
@@ -397,7 +397,7 @@
 	advance(change, now_us);
 }
 
-/* Undoes the change while it is certain that the proxy rank was never armed. */
+/* Undoes the change if the proxy rank times out before it was sent an arm order. */
 static void check_proxy_timeout(skh_mapchange_t *change, int64_t now_us)
 {
 	if (!skh_mapchange_is_proxy_probe_due(change)) {
--- a/src/mapchange.h
+++ b/src/mapchange.h
@@ -12,6 +12,10 @@
  * nothing: the caller sends the orders, passes in reports and results, and
  * serialises all calls on a change. Times are monotonic, in microseconds.
  *
+ * A prepare order lets a rank copy the experts of the new map; an arm order makes it
+ * switch to the map at the beginning of a given pass, and a disarm order cancels that.
+ * A hold order keeps the group from beginning a given pass; a go order releases the hold.
+ *
  * The sequence of the phases guarantees the same map in every pass:
  *
  * 1. Prepare all ranks under a fencing token (fence) higher than any earlier one. An
@@ -78,7 +82,7 @@
 	bool has_reported;	    /* @report is valid */
 	skh_engine_report_t report; /* newest report */
 	int64_t reported_us;
-	bool has_responded;	  /* has responded to this change and so knows the fence */
+	bool has_responded;	  /* has responded to an order of this change, so knows the fence */
 	bool has_prepared;	  /* has accepted the prepare order of this change */
 	bool is_armed;		  /* is armed for this change */
 	bool may_be_armed;	  /* an arm order was sent and may take effect now or later */
@@ -147,7 +151,11 @@
 void skh_mapchange_record_result(skh_mapchange_t *change, uint32_t rank,
 				 skh_engine_order_result_t result, int64_t now_us);
 
-/** skh_mapchange_is_proxy_probe_due() - true when any request to the proxy rank's engine is due */
+/**
+ * skh_mapchange_is_proxy_probe_due() - check whether to probe the proxy rank's engine
+ *
+ * Return: true when a probe is due; any request to the engine is one.
+ */
 bool skh_mapchange_is_proxy_probe_due(const skh_mapchange_t *change);
 
 /**
--- a/src/mapplan.c
+++ b/src/mapplan.c
@@ -98,6 +98,7 @@
 	};
 }
 
+/* A row of a map has the slots of one rank in one set. */
 static bool has_expert(const uint32_t *row, uint32_t n_slots, uint32_t expert)
 {
 	for (uint32_t i = 0; i < n_slots; i++) {
@@ -116,7 +117,10 @@
 	return n;
 }
 
-/* Checks whether the rank can receive one more new expert in this set. */
+/*
+ * Checks whether the rank can receive one more new expert in this set; @n_new_so_far is the number
+ * of its new experts in the sets before.
+ */
 static bool can_add_expert(const skh_engine_spec_t *engine_spec,
 			   const skh_mapplan_options_t *options, const uint32_t *row_before,
 			   const uint32_t *row, uint32_t n_new_so_far)
@@ -155,7 +159,7 @@
 	}
 }
 
-/* Minimum reduction of the skew by each copy of a greedy plan. */
+/* Minimum reduction of a set's skew by each step of a greedy plan. */
 #define GREEDY_MIN_SKEW_GAIN 0.01
 
 static skh_greedy_rebalance_input_t make_greedy_input(const skh_engine_spec_t *engine_spec,
@@ -172,7 +176,7 @@
 	};
 }
 
-/* Returns the most skewed set above @target that can still be improved, or NULL. */
+/* Returns the set with the greatest skew above @target that can still be improved, or NULL. */
 static skh_greedy_rebalance_t *find_most_skewed(skh_greedy_rebalance_t **rebalances,
 						const bool *is_exhausted, uint32_t n_sets,
 						double target, uint32_t *set_index)
@@ -191,7 +195,7 @@
 }
 
 /*
- * Each copy goes to the most skewed set, because the duration of a pass is the sum of the
+ * Each step changes the most skewed set, because the duration of a pass is the sum of the
  * durations of all sets.
  */
 static void rebalance_sets_greedily(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
@@ -307,7 +311,7 @@
 }
 
 /*
- * Moves the empty slots of each row, the slots of a rank in one set, to its end. Engines report
+ * Moves the empty slots of each row to its end. Engines report
  * a rank's experts without gaps, and a reported map must equal the one that was sent.
  */
 static void compact_rows(const skh_engine_spec_t *engine_spec, uint32_t n_ranks, uint32_t *map)
--- a/src/mapplan.h
+++ b/src/mapplan.h
@@ -8,10 +8,10 @@
  * of tokens of each expert, set by set, with rebalance.h or greedy_rebalance.h. The
  * number of new experts per rank is limited, because passes take longer while
  * experts are copied. Keeps no state and does no I/O; safe to call from any thread
- * as long as nobody else uses the arguments. A skew is the maximum rank load, in the
- * rank's own time, divided by the mean load at normal speed; 1 is perfectly balanced
- * when no rank is slow. A map holds expert + 1 in each slot, or 0 for an empty slot,
- * [sets][ranks][slots].
+ * as long as nobody else uses the arguments. A skew is the maximum rank load, with
+ * each load multiplied by the rank's slowdown, divided by the mean load at normal
+ * speed; 1 is perfectly balanced when no rank is slow. A map holds expert + 1 in each
+ * slot, or 0 for an empty slot, [sets][ranks][slots].
  */
 
 #include "dialect.h"
@@ -25,7 +25,7 @@
 typedef struct skh_mapplan_options {
 	double skew_weight;
 	double cost_weight;
-	double copy_cost; /* cost of one new expert at a rank, as a fraction of a set's skew */
+	double copy_cost; /* cost of one new expert at a rank, in units of a set's skew */
 	uint32_t max_copies_per_rank; /* limit of new experts per rank, over all sets */
 	bool greedy_only; /* use only greedy_rebalance.h, without the search of rebalance.h */
 	double greedy_target_skew; /* a greedy plan leaves sets up to this skew unchanged */
@@ -42,7 +42,7 @@
 
 /**
  * skh_mapplan_compute() - compute the next map
- * @engine_spec: numbers of sets, experts per set, slots and spare slots
+ * @engine_spec: numbers of sets, experts per set and slots, and limit of new experts
  * @n_ranks: number of ranks in the group
  * @options: weights and limits
  * @shares: expected share of tokens of each expert, [sets][experts], sum 1 in each set
@@ -70,7 +70,7 @@
  * skh_mapplan_is_valid() - check a map
  *
  * Return: true when every expert of each set is on at least one rank, no rank holds
- * an expert twice in a set, and no slot names an unknown expert.
+ * an expert twice in a set, and no slot has an unknown expert.
  */
 bool skh_mapplan_is_valid(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
 			  const uint32_t *map);
--- a/src/rebalance.c
+++ b/src/rebalance.c
@@ -200,7 +200,7 @@
 	keep_if_better(&change, candidates);
 }
 
-/* Moves an expert from a slot of the most loaded rank to a redundant slot of another rank. */
+/* Move of an expert from a slot of the most loaded rank to a redundant slot of another rank. */
 typedef struct relocation {
 	uint32_t from_slot; /* slot of the most loaded rank */
 	uint32_t to_rank;
@@ -340,7 +340,7 @@
 
 			/*
 			 * An additional replica helps only if it relieves a rank with more than
-			 * the mean load, or the rank that the relocation loads.
+			 * the mean load, or the rank that the relocation moves an expert to.
 			 */
 			if (layout->load[rank] * layout->inverse_mean_load > 1.0 ||
 			    rank == relocation->to_rank)
@@ -381,7 +381,7 @@
 		for (uint32_t i = 0; i < layout->n_redundant_slots; i++)
 			evaluate_replacement(layout, layout->redundant_slots[i].rank,
 					     layout->redundant_slots[i].slot, expert, candidates);
-		/* Overwriting a replica here with a colder expert lowers the load, too. */
+		/* Overwriting a replica on @bottleneck with a lighter expert lowers its load, too. */
 		for (uint32_t other = 0;
 		     skh_layout_replica_count(layout, expert) >= 2 && other < input->n_experts;
 		     other++)
@@ -423,8 +423,8 @@
 }
 
 /*
- * Finds the redundant slot with the lowest cost: the load of its rank plus the
- * whole share of the expert in the slot at the speed of that rank.
+ * Finds the redundant slot with the lowest cost: the load of its rank plus the share of the
+ * expert in the slot, over all its replicas, divided by the speed of that rank.
  */
 static bool find_cheapest_redundant_slot(const skh_layout_t *layout, uint32_t expert,
 					 uint32_t *rank, uint32_t *slot)
@@ -530,9 +530,9 @@
  * Escapes a local minimum: adds a replica of the heaviest expert, runs the descent
  * from there and keeps the result if the objective improves, net of copy costs.
  *
- * An expert that fills a rank alone can only be relieved by another replica on a
- * rank that is emptied first. The intermediate layout is worse, so the descent
- * alone doesn't reach it.
+ * A rank that is overloaded by a single expert can only be relieved by another replica of
+ * that expert, on a rank that other experts leave first. The intermediate layout is worse,
+ * so the descent alone doesn't reach it.
  */
 static bool try_perturbation(skh_layout_t **layout, skh_rebalance_plan_t *plan)
 {
@@ -576,18 +576,18 @@
 bool skh_rebalance_compute_plan(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan)
 {
 	skh_layout_t *layout;
-	bool complete;
+	bool is_complete;
 
 	memset(plan, 0, sizeof(*plan));
 	if (input->n_ranks > SKH_REBALANCE_MAX_RANKS)
 		return false;
 	layout = skh_layout_new(input);
 	plan->skew_before = skh_layout_compute_skew(input, layout->hosts, input->forecast_shares);
-	complete = layout->n_live_ranks > 0 && restore_missing_experts(layout, plan);
-	if (complete)
+	is_complete = layout->n_live_ranks > 0 && restore_missing_experts(layout, plan);
+	if (is_complete)
 		run_local_search(&layout, plan);
 	plan->skew_after = skh_layout_compute_skew(input, layout->hosts, input->forecast_shares);
 	skh_stages_assign(input, plan);
 	skh_layout_free(layout);
-	return complete;
+	return is_complete;
 }
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -33,9 +33,10 @@
 /**
  * struct skh_rebalance_input - input of one plan; all arrays are borrowed
  * @n_ranks: ranks of the group, at most SKH_REBALANCE_MAX_RANKS
- * @n_slots: slots of each rank
+ * @slots_per_rank: slots of each rank
  * @n_experts: experts of the layer
- * @placement: expert in each slot, [@n_ranks][@n_slots]; a rank holds an expert at most once
+ * @placement: expert in each slot, [@n_ranks][@slots_per_rank]; a rank holds an expert at most
+ *	once
  * @forecast_shares: expected share of tokens of each expert, [@n_experts], any unit
  * @speed: speed of each rank, [@n_ranks]; 1 is nominal, 0 marks a lost rank
  * @failure_domain: failure domain of each rank, [@n_ranks]
@@ -43,7 +44,7 @@
  * @cost_weight: weight of copies in the objective
  * @copy_cost: time that one copy adds to a pass, as a fraction of the mean pass duration
  * @max_copies: maximum copies of the plan: what the weight store delivers in one interval
- * @max_rank_copies: maximum copies to each rank, [@n_ranks]; NULL for no limit
+ * @max_copies_per_rank: maximum copies to each rank, [@n_ranks]; NULL for no limit
  */
 typedef struct skh_rebalance_input {
 	uint32_t n_ranks;
@@ -92,15 +93,15 @@
  * copy is worth its cost and the plan is empty.
  *
  * Return: false if there are too many ranks, or if an expert has no live replica
- * and can't be restored, for lack of slots or of copies. In the last case @plan has
- * the copies of the experts that could be restored.
+ * and can't be restored, because no slot can take it or a copy limit is reached. When
+ * an expert can't be restored, @plan has the copies of those that could be.
  */
 bool skh_rebalance_compute_plan(const skh_rebalance_input_t *input, skh_rebalance_plan_t *plan);
 
 /**
  * skh_rebalance_skew() - compute the maximum rank load divided by the mean load
  * @input: dimensions and rank speeds; its placement is not read
- * @placement: placement to evaluate, [n_ranks][n_slots]
+ * @placement: placement to evaluate, [n_ranks][slots_per_rank]
  * @shares: share of tokens of each expert, [n_experts], any unit
  */
 double skh_rebalance_skew(const skh_rebalance_input_t *input, const uint32_t *placement,
--- a/src/stages.c
+++ b/src/stages.c
@@ -43,7 +43,7 @@
 
 	for (uint32_t later = copy->stage; later < schedule->n_stages; later++) {
 		*hosts_at(schedule, later, replaced) &= ~bit;
-		/* The copied expert serves from the stage after its copy. */
+		/* The copied expert is available from the stage after its copy. */
 		if (later > copy->stage)
 			*hosts_at(schedule, later, copy->expert) |= bit;
 	}
@@ -66,8 +66,9 @@
 	g_autofree uint32_t *placement = g_memdup2(
 		input->placement, input->n_ranks * input->slots_per_rank * sizeof(uint32_t));
 	/*
-	 * An expert can occupy two slots of a rank in succession, which the hosts do not
-	 * distinguish; a slot is therefore not overwritten before the stage stored here.
+	 * First stage in which each slot can be overwritten again. The hosts in the schedule
+	 * do not tell the slots of a rank apart, and a plan can move an expert from one slot to
+	 * another of the same rank.
 	 */
 	uint32_t *first_free_stage = g_new0(uint32_t, input->n_ranks * input->slots_per_rank);
 	schedule_t schedule = { input->n_experts, plan->n_copies + 1, NULL };
@@ -80,7 +81,7 @@
 		uint32_t slot_index = copy->rank * input->slots_per_rank + copy->slot;
 		uint32_t *slot_expert = &placement[slot_index];
 
-		/* One copy per stage, in the order of the plan, is always possible. */
+		/* Ends with a valid stage: one copy per stage, in plan order, is always possible. */
 		copy->stage = first_free_stage[slot_index];
 		while (copy->stage + 1 < schedule.n_stages &&
 		       !can_run_in_stage(&schedule, copy, *slot_expert, copy->stage))
--- a/test/demand_test.cc
+++ b/test/demand_test.cc
@@ -16,7 +16,7 @@
 
 constexpr int64_t kPassUs = 70 * SKH_US_PER_MS;
 
-// Groups like those of the users: many experts of similar popularity, or few that differ widely.
+// Typical groups: many experts of similar popularity, or few whose popularity differs widely.
 struct GroupProfile {
 	uint32_t sets;
 	uint32_t experts;
@@ -306,17 +306,17 @@
 	{
 		std::vector<double> counts = sample_pass(tokens, random);
 		skh_demand_sample_t sample = make_sample(counts, pass, pass + 1);
-		bool due = false;
+		bool is_due = false;
 
 		pass++;
 		now_us += kPassUs;
 		(void)skh_count_reporter_add_sample(reporter, &sample, now_us);
-		due = skh_count_reporter_is_due(reporter, now_us);
-		if (due) {
+		is_due = skh_count_reporter_is_due(reporter, now_us);
+		if (is_due) {
 			skh_count_reporter_record_sent(reporter, kReportBytes, true, now_us);
 			sent_bytes += kReportBytes;
 		}
-		return due;
+		return is_due;
 	}
 };
 
@@ -328,12 +328,12 @@
 		for (int i = 0; i < 30; i++)
 			(void)fixture.step();
 		for (int shift = 0; shift < 6; shift++) {
-			int passes = 0;
+			int passes_to_report = 0;
 
 			fixture.tokens.shift(0.6);
 			for (int i = 1; i <= 36; i++) {
-				if (fixture.step() && passes == 0) {
-					passes = i;
+				if (fixture.step() && passes_to_report == 0) {
+					passes_to_report = i;
 					EXPECT_EQ(
 						skh_count_reporter_pending_sample(fixture.reporter)
 							->from_pass,
@@ -342,8 +342,8 @@
 			}
 			// The report is sent in the first pass with a prompt, or after 0.16 s
 			// without one.
-			EXPECT_GE(passes, 1) << "seed " << seed;
-			EXPECT_LE(passes, 4) << "seed " << seed;
+			EXPECT_GE(passes_to_report, 1) << "seed " << seed;
+			EXPECT_LE(passes_to_report, 4) << "seed " << seed;
 		}
 		EXPECT_LT(fixture.sent_bytes,
 			  2400 + kBytesPerSecond * fixture.now_us / SKH_US_PER_S)
@@ -360,7 +360,7 @@
 	for (int i = 0; i < 5; i++)
 		(void)fixture.step();
 	fixture.tokens.shift(0.7);
-	int64_t shift = fixture.pass;
+	int64_t shift_pass = fixture.pass;
 
 	std::vector<double> counts = sample_pass(fixture.tokens, fixture.random);
 	skh_demand_sample_t sample = make_sample(counts, fixture.pass, fixture.pass + 1);
@@ -368,8 +368,8 @@
 	EXPECT_EQ(
 		skh_count_reporter_add_sample(fixture.reporter, &sample, fixture.now_us + kPassUs),
 		SKH_DEMAND_SHIFTED);
-	EXPECT_EQ(skh_count_reporter_pending_sample(fixture.reporter)->from_pass, shift);
-	EXPECT_EQ(skh_count_reporter_pending_sample(fixture.reporter)->to_pass, shift + 1);
+	EXPECT_EQ(skh_count_reporter_pending_sample(fixture.reporter)->from_pass, shift_pass);
+	EXPECT_EQ(skh_count_reporter_pending_sample(fixture.reporter)->to_pass, shift_pass + 1);
 	EXPECT_EQ(skh_count_reporter_pending_sample(fixture.reporter)->counts[3], counts[3]);
 }
 
--- a/test/greedy_rebalance_test.cc
+++ b/test/greedy_rebalance_test.cc
@@ -34,14 +34,15 @@
 	return map;
 }
 
-skh_engine_spec_t make_engine_spec(uint32_t sets, uint32_t experts, uint32_t slots, uint32_t spare)
+skh_engine_spec_t make_engine_spec(uint32_t sets, uint32_t experts, uint32_t slots,
+				   uint32_t max_new_experts)
 {
 	skh_engine_spec_t engine_spec = {};
 
 	engine_spec.expert_sets = sets;
 	engine_spec.experts_per_set = experts;
 	engine_spec.expert_slots = slots;
-	engine_spec.max_new_experts = spare;
+	engine_spec.max_new_experts = max_new_experts;
 	return engine_spec;
 }
 
@@ -86,7 +87,7 @@
 
 TEST(GreedyRebalance, KeepsReplicasThatOtherRanksNeed)
 {
-	// On 63 ranks a replica that was just made was overwritten by the next one.
+	// Guards against overwriting a replica that was just made, as happened on 63 ranks.
 	std::vector<double> shares = zipf(252, 1.3, 3);
 	std::vector<uint32_t> map = make_round_robin_map(1, 63, 5, 252);
 	std::vector<uint32_t> copies_left(63, 3);
@@ -294,7 +295,7 @@
 	EXPECT_STREQ(engine, "10.0.0.7:80");
 	g_free(engine);
 
-	// A process without the base map rejects the order instead of guessing.
+	// A process without the base map rejects the order, which has only the differences.
 	skh_map_cache_t other_cache = {};
 
 	EXPECT_EQ(skh_rankrelay_unpack(skh_buffer_chunk(&packed), &other_cache, &unpacked, &engine),
--- a/test/mapchange_test.cc
+++ b/test/mapchange_test.cc
@@ -107,9 +107,9 @@
 	int64_t proxy_frozen_since_us = 0; // set by freeze_next_proxy()
 
       private:
-	bool random_bool(double part)
+	bool random_bool(double probability)
 	{
-		return std::uniform_real_distribution<double>(0, 1)(random) < part;
+		return std::uniform_real_distribution<double>(0, 1)(random) < probability;
 	}
 
 	int64_t random_between(int64_t low, int64_t high)
@@ -138,12 +138,14 @@
 
 	void measure_hold()
 	{
-		bool held = false;
+		bool is_held = false;
 
 		for (const auto &engine : engines)
-			held = held || engine.held_pass != 0;
-		held_since_us = held && held_since_us == 0 ? now_us : held ? held_since_us : 0;
-		if (held)
+			is_held = is_held || engine.held_pass != 0;
+		held_since_us = is_held && held_since_us == 0 ? now_us
+				: is_held		      ? held_since_us
+							      : 0;
+		if (is_held)
 			max_hold_us = std::max(max_hold_us, now_us - held_since_us);
 	}
 
@@ -415,15 +417,17 @@
 			for (uint32_t rank = 0; coordinators[i]->is_alive && rank < engines.size();
 			     rank++) {
 				Event event;
-				bool own = coordinators[i]->own_rank == rank;
+				bool is_own = coordinators[i]->own_rank == rank;
 
-				if (is_frozen(rank) || (!own && inject_faults && random_bool(0.2)))
+				if (is_frozen(rank) ||
+				    (!is_own && inject_faults && random_bool(0.2)))
 					continue;
 				event.kind = 2;
 				event.order.coordinator = i;
 				event.order.rank = rank;
 				event.report = make_report(rank);
-				schedule(now_us + (own ? 0 : random_between(1, 400) * kMs), event);
+				schedule(now_us + (is_own ? 0 : random_between(1, 400) * kMs),
+					 event);
 			}
 		}
 	}
@@ -546,7 +550,7 @@
 			change.phase = SKH_MAPCHANGE_ARM;
 	}
 
-	// A resumed coordinator acts once more, not knowing that its lease expired.
+	// A resumed coordinator acts for 50 ms before it notices that its lease has expired.
 	void run_coordinator(Coordinator &coordinator)
 	{
 		size_t index = 0;
--- a/test/rebalance_test.cc
+++ b/test/rebalance_test.cc
@@ -21,7 +21,7 @@
 	std::vector<uint32_t> placement;
 	std::vector<double> forecast;
 	std::vector<double> speed;
-	std::vector<uint32_t> domain;
+	std::vector<uint32_t> failure_domain;
 	double copy_cost = 0.0002;
 	uint32_t max_copies = 64;
 
@@ -35,7 +35,7 @@
 		input.placement = placement.data();
 		input.forecast_shares = forecast.data();
 		input.speed = speed.data();
-		input.failure_domain = domain.data();
+		input.failure_domain = failure_domain.data();
 		input.skew_weight = 0.8;
 		input.cost_weight = 0.2;
 		input.copy_cost = copy_cost;
@@ -43,7 +43,7 @@
 		return input;
 	}
 
-	uint32_t &cell(uint32_t rank, uint32_t slot)
+	uint32_t &expert_at(uint32_t rank, uint32_t slot)
 	{
 		return placement[rank * slots + slot];
 	}
@@ -63,7 +63,7 @@
 	group.forecast.assign(experts, 1.0);
 	group.speed.assign(ranks, 1.0);
 	for (uint32_t rank = 0; rank < ranks; rank++)
-		group.domain.push_back(rank % 2);
+		group.failure_domain.push_back(rank % 2);
 	return group;
 }
 
@@ -138,7 +138,7 @@
 
 		for (uint32_t i = 0; i < plan.n_copies; i++) {
 			if (plan.copies[i].stage == stage)
-				during_stage.cell(plan.copies[i].rank, plan.copies[i].slot) =
+				during_stage.expert_at(plan.copies[i].rank, plan.copies[i].slot) =
 					UINT32_MAX;
 		}
 		std::set<uint32_t> available = find_available_experts(during_stage);
@@ -149,7 +149,7 @@
 			const skh_expert_copy_t &copy = plan.copies[i];
 
 			if (copy.stage == stage)
-				group.cell(copy.rank, copy.slot) = copy.expert;
+				group.expert_at(copy.rank, copy.slot) = copy.expert;
 		}
 	}
 	return true;
@@ -209,6 +209,7 @@
 	skh_rebalance_input_t input = group.input();
 
 	RC_ASSERT(skh_rebalance_compute_plan(&input, &plan));
+	// Leaves out plans that the copy limit may have cut off.
 	RC_PRE(plan.n_copies + 8 < group.max_copies);
 	RC_ASSERT(apply_plan(group, plan));
 	input = group.input();
