--- a/fuzz/fuzz_http.c
+++ b/fuzz/fuzz_http.c
@@ -80,7 +80,7 @@
 		check_events(bytes, split_at);
 	} else {
 		skh_map_cache_t map_cache = { 0 };
-		skh_engine_order_t order;
+		skh_mapchange_order_t order;
 		char *engine;
 
 		(void)skh_rankrelay_unpack(bytes, &map_cache, &order, &engine);
--- a/src/apply.c
+++ b/src/apply.c
@@ -146,7 +146,7 @@
 			" was accepted",
 			state->next->revision);
 	}
-	is_ours = latest && strcmp(latest->attempt_id, state->next->attempt_id) == 0;
+	is_ours = latest && strcmp(latest->apply_id, state->next->apply_id) == 0;
 	if (!is_ours && latest && latest->revision > state->next->revision)
 		(void)skh_error_set(err, SKH_OUTCOME_UNKNOWN,
 				    "revision %" PRId64 " has been replaced by %" PRId64
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -15,7 +15,7 @@
 /* Limit for a response that is buffered before it is forwarded; pieces that don't fit are lost. */
 #define MAX_BUFFERED_RESPONSE_BYTES (16U << 20)
 
-void skh_attempt_release(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t latency_us)
+void skh_attempt_release(skh_exchange_t *exchange, skh_target_outcome_t outcome, int64_t latency_us)
 {
 	if (exchange->upstream) {
 		skh_upstream_cancel(exchange->upstream);
@@ -27,7 +27,7 @@
 						     .outcome = outcome,
 						     .latency_us = latency_us };
 
-		skh_target_end_request(exchange->target, &result, skh_clock_boot_us());
+		skh_target_end_attempt(exchange->target, &result, skh_clock_boot_us());
 	}
 	exchange->target = NULL;
 	exchange->attempt_is_streaming = false;
@@ -57,30 +57,31 @@
 	};
 
 	skh_request_queue_remove(exchange->target_pool->queue, &exchange->queued_request);
-	exchange->queued_us += now_us - exchange->queued_request.enqueued_us;
-	if (exchange->send_count == 0)
+	exchange->queue_duration_us += now_us - exchange->queued_request.enqueued_us;
+	if (exchange->n_attempts == 0)
 		skh_retry_share_record_request(&exchange->target_pool->retry_share,
 					       &gateway->retry_limits, now_us);
 	else
 		skh_retry_share_record_retry(&exchange->target_pool->retry_share,
 					     &gateway->retry_limits, now_us);
-	skh_metrics_add(exchange->send_count == 0 ? SKH_COUNT_ATTEMPTS : SKH_COUNT_RETRIES, 1);
-	exchange->send_count++;
+	skh_metrics_add(exchange->n_attempts == 0 ? SKH_COUNT_ATTEMPTS : SKH_COUNT_RETRIES, 1);
+	exchange->n_attempts++;
 	skh_group_breaker_record_send(&exchange->target_pool->breaker, now_us);
-	exchange->stage = exchange->stage == SKH_EXCHANGE_RESPONDING ? SKH_EXCHANGE_RESPONDING
+	exchange->state = exchange->state == SKH_EXCHANGE_RESPONDING ? SKH_EXCHANGE_RESPONDING
 								     : SKH_EXCHANGE_SENT;
 	exchange->target = target;
 	exchange->sent_us = now_us;
 	exchange->reported_not_run = false;
 	exchange->attempt_status = 0;
 	skh_buffer_clear(&exchange->response_body);
-	skh_target_begin_request(target, exchange->expected_tokens, now_us);
+	skh_target_begin_attempt(target, exchange->expected_tokens, now_us);
 	skh_log(SKH_LOG_INFO, PART, "Request sent to a server.",
 		"id=%s server=%s send=%u queued_ms=%" PRId64 " running=%u peers=%u waiting=%u"
 		" config=%" PRId64 " config_age_ms=%" PRId64 " list=%" PRId64,
-		exchange->attempt_id, target->server->id, exchange->send_count,
-		exchange->queued_us / SKH_US_PER_MS, target->own_running, target->peers_running,
-		skh_request_queue_length(exchange->target_pool->queue), exchange->routing->version,
+		exchange->attempt_id, target->server->id, exchange->n_attempts,
+		exchange->queue_duration_us / SKH_US_PER_MS, target->own_in_flight,
+		target->peers_running, skh_request_queue_length(exchange->target_pool->queue),
+		exchange->routing->version,
 		skh_gateway_config_age_us(gateway, now_us) / SKH_US_PER_MS,
 		gateway->roster ? gateway->roster->revision : 0);
 	skh_forward_write_request(&forwarded, &bytes);
@@ -98,12 +99,12 @@
 		.status = exchange->response_status,
 		.reason = exchange->response_reason,
 		.headers = exchange->response_headers->str,
-		.chunked = chunked,
+		.is_chunked = chunked,
 		.content_length = content_length,
 		.no_body = exchange->request->parser.method == HTTP_HEAD,
 	};
 
-	exchange->stage = SKH_EXCHANGE_RESPONDING;
+	exchange->state = SKH_EXCHANGE_RESPONDING;
 	skh_caller_conn_begin_response(exchange->conn, &head);
 }
 
@@ -143,7 +144,7 @@
 	if (is_success && (!exchange->response_is_signed ||
 			   skh_http_message_header(response, "Content-Encoding")))
 		return false;
-	if (exchange->stage == SKH_EXCHANGE_RESPONDING)
+	if (exchange->state == SKH_EXCHANGE_RESPONDING)
 		return true;
 	store_response_head(exchange, response);
 	return true;
@@ -159,11 +160,12 @@
 
 static void record_first_byte(skh_exchange_t *exchange)
 {
-	if (exchange->first_byte_us != 0)
+	if (exchange->first_event_us != 0)
 		return;
-	exchange->first_byte_us = skh_clock_boot_us();
+	exchange->first_event_us = skh_clock_boot_us();
 	skh_metrics_observe(SKH_HIST_FIRST_BYTE, skh_exchange_customer(exchange),
-			    exchange->route->name, exchange->first_byte_us - exchange->received_us);
+			    exchange->route->name,
+			    exchange->first_event_us - exchange->received_us);
 }
 
 static void forward_events(skh_exchange_t *exchange, skh_chunk_t bytes)
@@ -177,7 +179,7 @@
 		exchange->attempt_is_streaming = true;
 		skh_group_breaker_record_response(&exchange->target_pool->breaker);
 		record_first_byte(exchange);
-		if (exchange->stage != SKH_EXCHANGE_RESPONDING)
+		if (exchange->state != SKH_EXCHANGE_RESPONDING)
 			begin_response(exchange, true, 0);
 		skh_metrics_add(SKH_COUNT_STREAM_EVENTS, 1);
 		skh_caller_conn_write(exchange->conn, skh_buffer_chunk(&out));
@@ -220,9 +222,9 @@
 	record_completion(exchange);
 	skh_exchange_log_end(exchange, "passed", exchange->response_status, "-");
 	skh_attempt_release(exchange,
-			    exchange->response_status < 500 ? SKH_OUTCOME_SUCCEEDED
-							    : SKH_OUTCOME_FAILED,
-			    exchange->first_byte_us - exchange->sent_us);
+			    exchange->response_status < 500 ? SKH_TARGET_OUTCOME_SUCCEEDED
+							    : SKH_TARGET_OUTCOME_FAILED,
+			    exchange->first_event_us - exchange->sent_us);
 	skh_exchange_end(exchange);
 	skh_caller_conn_end_response(exchange->conn);
 	skh_exchange_dispatch(exchange->gateway);
@@ -235,13 +237,13 @@
 		finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 		return;
 	}
-	if (exchange->stage != SKH_EXCHANGE_RESPONDING)
+	if (exchange->state != SKH_EXCHANGE_RESPONDING)
 		begin_response(exchange, true, 0);
 	record_completion(exchange);
 	skh_exchange_log_end(exchange, "streamed", exchange->response_status, "-");
-	skh_attempt_release(exchange, SKH_OUTCOME_SUCCEEDED,
-			    exchange->first_byte_us ? exchange->first_byte_us - exchange->sent_us
-						    : 0);
+	skh_attempt_release(exchange, SKH_TARGET_OUTCOME_SUCCEEDED,
+			    exchange->first_event_us ? exchange->first_event_us - exchange->sent_us
+						     : 0);
 	skh_exchange_end(exchange);
 	skh_caller_conn_end_response(exchange->conn);
 	skh_exchange_dispatch(exchange->gateway);
@@ -259,7 +261,7 @@
 	}
 	if (status / 100 == 2 && exchange->route->is_streaming)
 		end_stream(exchange);
-	else if (exchange->stage == SKH_EXCHANGE_RESPONDING)
+	else if (exchange->state == SKH_EXCHANGE_RESPONDING)
 		finish_attempt(exchange, SKH_END_STREAM_BROKEN);
 	else if (status == 408 || status == 421 || status == 429 || status == 503)
 		/*
@@ -307,17 +309,17 @@
 	.on_error = on_error,
 };
 
-static skh_outcome_t choose_outcome(const skh_exchange_t *exchange, skh_attempt_end_t end)
+static skh_target_outcome_t choose_outcome(const skh_exchange_t *exchange, skh_attempt_end_t end)
 {
 	if (end == SKH_END_NOT_RUN && exchange->attempt_status == 421)
-		return SKH_OUTCOME_WRONG_INSTANCE;
+		return SKH_TARGET_OUTCOME_WRONG_INSTANCE;
 	switch (end) {
 	case SKH_END_UNREACHABLE:
-		return SKH_OUTCOME_UNREACHABLE;
+		return SKH_TARGET_OUTCOME_UNREACHABLE;
 	case SKH_END_NOT_RUN:
-		return SKH_OUTCOME_FULL;
+		return SKH_TARGET_OUTCOME_FULL;
 	default:
-		return SKH_OUTCOME_FAILED;
+		return SKH_TARGET_OUTCOME_FAILED;
 	}
 }
 
@@ -372,36 +374,36 @@
 
 /* Decides what follows when the current attempt ends with @end; fills @view. */
 static skh_retry_decision_t decide_retry(const skh_exchange_t *exchange, skh_attempt_end_t end,
-					 int64_t now_us, skh_retry_policy_view_t *view)
+					 int64_t now_us, skh_retry_policy_input_t *view)
 {
 	const skh_gateway_t *gateway = exchange->gateway;
 	bool may_have_run =
 		end == SKH_END_ERROR || end == SKH_END_LOST || end == SKH_END_STREAM_BROKEN;
 
-	*view = (skh_retry_policy_view_t){
+	*view = (skh_retry_policy_input_t){
 		.end = end,
 		.retry_mode = exchange->route->retry_mode,
 		.possible_runs = exchange->possible_runs + may_have_run,
-		.max_runs = exchange->route->max_attempts,
-		.attempts = exchange->send_count - exchange->rejected_probes,
+		.max_runs = exchange->route->max_runs,
+		.n_attempts = exchange->n_attempts - exchange->rejected_probes,
 		.has_retry_budget = skh_retry_share_has_room(&exchange->target_pool->retry_share,
 							     &gateway->retry_limits, now_us),
-		.is_suspect = skh_crash_suspects_is_retry_blocked(gateway->crash_suspects,
-								  exchange->content_hash, now_us),
+		.is_retry_blocked = skh_crash_suspects_is_retry_blocked(
+			gateway->crash_suspects, exchange->content_hash, now_us),
 		.now_us = now_us,
 		.deadline_us = exchange->deadline_us,
 	};
 	return skh_retry_policy_decide(view);
 }
 
-static void log_failure(const skh_exchange_t *exchange, const skh_retry_policy_view_t *view,
+static void log_failure(const skh_exchange_t *exchange, const skh_retry_policy_input_t *view,
 			skh_retry_decision_t decision)
 {
 	skh_log(SKH_LOG_INFO, PART, "Attempt failed.",
 		"id=%s server=%s end=%s status=%" PRId32 " runs=%u budget=%d suspect=%d again=%d",
 		exchange->attempt_id, exchange->target->server->id, attempt_end_name(view->end),
 		exchange->attempt_status, view->possible_runs, view->has_retry_budget,
-		view->is_suspect, decision == SKH_RETRY_DECISION_RETRY);
+		view->is_retry_blocked, decision == SKH_RETRY_DECISION_RETRY);
 }
 
 static void finish_attempt(skh_exchange_t *exchange, skh_attempt_end_t end)
@@ -409,10 +411,10 @@
 	skh_gateway_t *gateway = exchange->gateway;
 	int64_t now_us = skh_clock_boot_us();
 	skh_target_t *target = exchange->target;
-	skh_retry_policy_view_t view;
+	skh_retry_policy_input_t view;
 	skh_retry_decision_t decision;
 
-	if (end == SKH_END_STREAM_BROKEN && exchange->stage != SKH_EXCHANGE_RESPONDING)
+	if (end == SKH_END_STREAM_BROKEN && exchange->state != SKH_EXCHANGE_RESPONDING)
 		end = SKH_END_LOST;
 	if (end == SKH_END_NOT_RUN && exchange->target_pool->is_lock_step &&
 	    exchange->attempt_status == 503) {
@@ -441,10 +443,10 @@
 void skh_attempt_retry_elsewhere(skh_exchange_t *exchange)
 {
 	skh_attempt_end_t end =
-		exchange->stage == SKH_EXCHANGE_RESPONDING ? SKH_END_STREAM_BROKEN : SKH_END_LOST;
+		exchange->state == SKH_EXCHANGE_RESPONDING ? SKH_END_STREAM_BROKEN : SKH_END_LOST;
 	int64_t now_us = skh_clock_boot_us();
 	skh_target_t *target = exchange->target;
-	skh_retry_policy_view_t view;
+	skh_retry_policy_input_t view;
 	skh_retry_decision_t decision = decide_retry(exchange, end, now_us, &view);
 
 	log_failure(exchange, &view, decision);
@@ -452,7 +454,7 @@
 		return;
 	exchange->possible_runs = view.possible_runs;
 	target->references++; /* used after the attempt has released it */
-	skh_attempt_release(exchange, SKH_OUTCOME_CANCELED, 0);
+	skh_attempt_release(exchange, SKH_TARGET_OUTCOME_CANCELLED, 0);
 	enqueue_retry(exchange, target, end, now_us);
 	skh_target_unref(target);
 }
--- a/src/attempt.h
+++ b/src/attempt.h
@@ -19,13 +19,13 @@
 /* Default Retry-After: time in which a server is expected to recover or to have capacity. */
 #define SKH_DEFAULT_RETRY_AFTER_MS 500
 
-/** enum skh_exchange_stage - progress of a request */
-typedef enum skh_exchange_stage {
+/** enum skh_exchange_state - progress of a request */
+typedef enum skh_exchange_state {
 	SKH_EXCHANGE_QUEUED,	 /* in the queue */
 	SKH_EXCHANGE_SENT,	 /* sent to a server */
 	SKH_EXCHANGE_RESPONDING, /* response head sent, also while queued to resume the stream */
 	SKH_EXCHANGE_ENDED
-} skh_exchange_stage_t;
+} skh_exchange_state_t;
 
 /** struct skh_exchange - one request, from its arrival to the end of its response */
 typedef struct skh_exchange {
@@ -33,7 +33,7 @@
 	skh_caller_conn_t *conn;
 	const skh_http_message_t *request; /* owned by @conn; valid until the response ends */
 	GList link;
-	skh_exchange_stage_t stage;
+	skh_exchange_state_t state;
 	const skh_routing_t *routing; /* counted reference; owns @route and @key_owner */
 	const skh_route_t *route;
 	const skh_key_owner_t *key_owner; /* NULL when the route needs no key */
@@ -41,16 +41,16 @@
 	char attempt_id[80];
 	uint64_t content_hash; /* hash of request target, customer and body */
 	int64_t received_us;
-	int64_t deadline_us;	/* earlier of the caller's deadline and the route's timeout */
-	int64_t sent_us;	/* start of the current attempt */
-	int64_t queued_us;	/* total time in the queue */
-	int64_t first_byte_us;	/* time of the first event or the response; 0 before */
-	double expected_tokens; /* estimated work */
+	int64_t deadline_us;	   /* earlier of the caller's deadline and the route's timeout */
+	int64_t sent_us;	   /* start of the current attempt */
+	int64_t queue_duration_us; /* total time in the queue */
+	int64_t first_event_us;	   /* time of the first event or the response; 0 before */
+	double expected_tokens;	   /* estimated work */
 	skh_queued_request_t queued_request;
 	GPtrArray *excluded_targets; /* skh_target_t not to retry at; counted references */
 	skh_target_t *target;	     /* server of the current attempt, or NULL */
 	skh_upstream_t *upstream;    /* connection of the current attempt, or NULL */
-	uint32_t send_count;	     /* attempts so far */
+	uint32_t n_attempts;	     /* attempts so far */
 	uint32_t possible_runs;	     /* attempts that may have run */
 	uint32_t rejected_probes;    /* attempts rejected while the group's breaker was tripped */
 	bool upstream_paused;
@@ -77,7 +77,8 @@
  *
  * Closes the connection to the server if the response is not complete.
  */
-void skh_attempt_release(skh_exchange_t *exchange, skh_outcome_t outcome, int64_t latency_us);
+void skh_attempt_release(skh_exchange_t *exchange, skh_target_outcome_t outcome,
+			 int64_t latency_us);
 
 /**
  * skh_attempt_retry_elsewhere() - cancel the current attempt and retry at another server
--- a/src/attempt_runner.c
+++ b/src/attempt_runner.c
@@ -121,7 +121,7 @@
 	attempt->claim.state = SKH_CLAIM_CLAIMED;
 	attempt->claim.owner = g_strdup_printf("%016" PRIx64 "-%016" PRIx64,
 					       runner->frame_sender.incarnation, attempt->id);
-	attempt->claim.request_hash = skh_wire_hash_request(start);
+	attempt->claim.content_hash = skh_wire_hash_request(start);
 	submit_claim(runner, attempt);
 }
 
@@ -298,7 +298,7 @@
 
 	switch (skh_gate_resolve(runner->gate, ask->attempt, ask->incarnation, ask->start_before_us,
 				 skh_clock_now_us())) {
-	case SKH_ATTEMPT_STATUS_WAITING:
+	case SKH_ATTEMPT_STATUS_QUEUED:
 		break;
 	case SKH_ATTEMPT_STATUS_RUNNING:
 		if (attempt->step == STEP_RUNNING || attempt->step == STEP_RECORDING)
@@ -499,7 +499,7 @@
 		end_attempt(runner, attempt, &err);
 		return;
 	}
-	switch (skh_claim_decide(&found, attempt->claim.owner, attempt->claim.request_hash)) {
+	switch (skh_claim_decide(&found, attempt->claim.owner, attempt->claim.content_hash)) {
 	case SKH_CLAIM_DECISION_REPLAY:
 		replay_response(runner, attempt, &found);
 		break;
@@ -565,8 +565,8 @@
 	skh_claim_backlog_write_t write;
 
 	while (skh_claim_backlog_next_due(runner->backlog, now_us, &write))
-		skh_claim_writer_submit(runner->claim_writer, write.id, write.path, write.value,
-					write.expected_revision);
+		skh_claim_writer_submit(runner->claim_writer, write.id, write.store_key,
+					write.value, write.expected_revision);
 }
 
 static void on_claim_written(skh_attempt_runner_t *runner, attempt_t *attempt,
--- a/src/backend.c
+++ b/src/backend.c
@@ -137,7 +137,8 @@
 }
 
 static void engine_send_map_order(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-				  const skh_order_t *order, const char *placement, int64_t now_us)
+				  const skh_mapswitch_order_t *order, const char *placement,
+				  int64_t now_us)
 {
 	static const char *const steps[] = { "prepare", "hold", "set", "go" };
 	g_autofree char *body = g_strdup_printf(
--- a/src/backend.h
+++ b/src/backend.h
@@ -72,7 +72,8 @@
 	 * JSON, or "" for none. NULL if the protocol has no orders.
 	 */
 	void (*send_map_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-			       const skh_order_t *order, const char *placement, int64_t now_us);
+			       const skh_mapswitch_order_t *order, const char *placement,
+			       int64_t now_us);
 	/* Load a model or adapter, or change role; NULL if the protocol has no orders. */
 	void (*send_backend_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 				   const skh_backend_order_t *order, int64_t now_us);
--- a/src/backends.c
+++ b/src/backends.c
@@ -235,10 +235,12 @@
 		const skh_service_info_t *service = skh_routing_get_service(routing, i);
 		skh_target_pool_t *pool = skh_backends_get_or_create_pool(backends, service->name);
 
-		pool->is_lock_step = service->has_engine && service->engine.expert_sets > 0;
+		pool->is_lock_step =
+			service->has_engine_spec && service->engine_spec.expert_sets > 0;
 		pool->max_connections = service->max_connections;
-		pool->typical_first_event_ms = service->has_engine ? TYPICAL_FIRST_EVENT_RANK_MS
-								   : TYPICAL_FIRST_EVENT_PLAIN_MS;
+		pool->typical_first_event_ms = service->has_engine_spec
+						       ? TYPICAL_FIRST_EVENT_RANK_MS
+						       : TYPICAL_FIRST_EVENT_PLAIN_MS;
 	}
 }
 
@@ -251,13 +253,13 @@
 				     int64_t now_us)
 {
 	g_autofree skh_candidate_t *candidates = g_new0(skh_candidate_t, pool->targets->len + 1);
-	skh_selection_view_t view = { .candidates = candidates,
-				      .n_candidates = pool->targets->len,
-				      .is_lock_step = pool->is_lock_step,
-				      .overcommit = pool->is_lock_step ? OVERCOMMIT_RANK_REQUESTS
-								       : OVERCOMMIT_PLAIN_REQUESTS,
-				      .random = skh_random_u64() >> 1,
-				      .now_us = now_us };
+	skh_selection_input_t view = { .candidates = candidates,
+				       .n_candidates = pool->targets->len,
+				       .is_lock_step = pool->is_lock_step,
+				       .overcommit = pool->is_lock_step ? OVERCOMMIT_RANK_REQUESTS
+									: OVERCOMMIT_PLAIN_REQUESTS,
+				       .random = skh_random_u64() >> 1,
+				       .now_us = now_us };
 	int32_t selected;
 
 	for (guint i = 0; i < pool->targets->len; i++) {
@@ -265,7 +267,7 @@
 
 		candidates[i] = (skh_candidate_t){
 			.slots = target->server->slots,
-			.running = target->own_running + target->peers_running,
+			.running = target->own_in_flight + target->peers_running,
 			.expected_tokens = target->expected_tokens,
 			.mean_latency_ms = target->mean_latency_ms,
 			.slowdown = target->slowdown,
@@ -322,11 +324,11 @@
 	       (double)(RATE_SLOT_US * (SKH_TARGET_POOL_RATE_SLOTS - 1));
 }
 
-bool skh_target_pool_is_rank_lost(const skh_target_pool_t *pool, const skh_target_t *target,
-				  int64_t now_us)
+bool skh_target_pool_is_rank_unreachable(const skh_target_pool_t *pool, const skh_target_t *target,
+					 int64_t now_us)
 {
-	skh_rank_liveness_view_t view = {
-		.running = target->own_running,
+	skh_rank_liveness_input_t view = {
+		.running = target->own_in_flight,
 		.streaming = target->own_streaming,
 		.last_received_us = target->last_received_us,
 		.busy_since_us = target->busy_since_us,
@@ -343,16 +345,16 @@
 	return pool->is_lock_step && skh_rank_liveness_is_unreachable(&view);
 }
 
-void skh_target_begin_request(skh_target_t *target, double expected_tokens, int64_t now_us)
+void skh_target_begin_attempt(skh_target_t *target, double expected_tokens, int64_t now_us)
 {
-	if (target->own_running == 0)
+	if (target->own_in_flight == 0)
 		target->busy_since_us = now_us;
 	target->references++;
-	target->own_running++;
+	target->own_in_flight++;
 	target->expected_tokens += expected_tokens;
 }
 
-static void record_failure(skh_target_t *target, skh_outcome_t outcome, int64_t now_us)
+static void record_failure(skh_target_t *target, skh_target_outcome_t outcome, int64_t now_us)
 {
 	uint32_t doublings = MIN(target->consecutive_failures, AVOID_MAX_DOUBLINGS);
 
@@ -362,13 +364,13 @@
 	 * A server that fails some requests is selected less often. One that is unreachable or
 	 * fails three requests in a row is avoided for a while.
 	 */
-	if (outcome == SKH_OUTCOME_UNREACHABLE || target->consecutive_failures > 2)
+	if (outcome == SKH_TARGET_OUTCOME_UNREACHABLE || target->consecutive_failures > 2)
 		target->avoid_until_us = now_us + (AVOID_BASE_US << doublings);
 }
 
 void skh_target_mark_unreachable(skh_target_t *target, int64_t now_us)
 {
-	record_failure(target, SKH_OUTCOME_UNREACHABLE, now_us);
+	record_failure(target, SKH_TARGET_OUTCOME_UNREACHABLE, now_us);
 }
 
 static void record_success(skh_target_t *target, int64_t latency_us, int64_t now_us)
@@ -389,19 +391,19 @@
 		->completed[target->target_pool->newest_slot % SKH_TARGET_POOL_RATE_SLOTS] += 1.0;
 }
 
-void skh_target_end_request(skh_target_t *target, const skh_target_result_t *result, int64_t now_us)
+void skh_target_end_attempt(skh_target_t *target, const skh_target_result_t *result, int64_t now_us)
 {
-	target->own_running--;
+	target->own_in_flight--;
 	target->own_streaming -= result->is_streaming;
 	target->expected_tokens -= result->expected_tokens;
-	if (result->outcome == SKH_OUTCOME_SUCCEEDED)
+	if (result->outcome == SKH_TARGET_OUTCOME_SUCCEEDED)
 		record_success(target, result->latency_us, now_us);
-	else if (result->outcome == SKH_OUTCOME_FULL)
+	else if (result->outcome == SKH_TARGET_OUTCOME_FULL)
 		target->full_until_us = now_us + FULL_PAUSE_US +
 					(int64_t)(skh_random_u64() % (uint64_t)FULL_PAUSE_US);
-	else if (result->outcome == SKH_OUTCOME_WRONG_INSTANCE)
+	else if (result->outcome == SKH_TARGET_OUTCOME_WRONG_INSTANCE)
 		target->wrong_instance_until_us = now_us + WRONG_INSTANCE_PAUSE_US;
-	else if (result->outcome != SKH_OUTCOME_CANCELED)
+	else if (result->outcome != SKH_TARGET_OUTCOME_CANCELLED)
 		record_failure(target, result->outcome, now_us);
 	skh_target_unref(target);
 }
--- a/src/backends.h
+++ b/src/backends.h
@@ -37,7 +37,7 @@
 	skh_upstream_pool_t *upstream_pool;
 	uint32_t references;
 	bool is_listed;		  /* the server is in the roster */
-	uint32_t own_running;	  /* requests of this gateway in flight at the server */
+	uint32_t own_in_flight;	  /* requests of this gateway in flight at the server */
 	uint32_t own_streaming;	  /* requests in flight whose response has begun */
 	int64_t busy_since_us;	  /* time since which requests have been in flight */
 	int64_t last_received_us; /* time of the last response bytes */
@@ -115,39 +115,39 @@
 /** skh_target_pool_completion_rate() - returns successful requests per second; 0 when unknown */
 double skh_target_pool_completion_rate(const skh_target_pool_t *pool, int64_t now_us);
 
-/** skh_target_pool_is_rank_lost() - true when a rank is silent while its group makes progress */
-bool skh_target_pool_is_rank_lost(const skh_target_pool_t *pool, const skh_target_t *target,
-				  int64_t now_us);
+/** skh_target_pool_is_rank_unreachable() - true when a rank is silent while its group makes progress */
+bool skh_target_pool_is_rank_unreachable(const skh_target_pool_t *pool, const skh_target_t *target,
+					 int64_t now_us);
 
 /**
- * skh_target_begin_request() - counts a request as in flight; takes a reference to @target
+ * skh_target_begin_attempt() - counts a request as in flight; takes a reference to @target
  * @expected_tokens: expected tokens of the request
  */
-void skh_target_begin_request(skh_target_t *target, double expected_tokens, int64_t now_us);
-
-/** enum skh_outcome - outcome of an attempt with regard to its server */
-typedef enum skh_outcome {
-	SKH_OUTCOME_SUCCEEDED,
-	SKH_OUTCOME_FAILED,
-	SKH_OUTCOME_UNREACHABLE,
-	SKH_OUTCOME_FULL,	    /* the server rejected the request: no free slot */
-	SKH_OUTCOME_WRONG_INSTANCE, /* another instance responded at the address */
-	SKH_OUTCOME_CANCELED /* the caller disconnected; the server's statistics stay as they are */
-} skh_outcome_t;
+void skh_target_begin_attempt(skh_target_t *target, double expected_tokens, int64_t now_us);
+
+/** enum skh_target_outcome - outcome of an attempt with regard to its server */
+typedef enum skh_target_outcome {
+	SKH_TARGET_OUTCOME_SUCCEEDED,
+	SKH_TARGET_OUTCOME_FAILED,
+	SKH_TARGET_OUTCOME_UNREACHABLE,
+	SKH_TARGET_OUTCOME_FULL,	   /* the server rejected the request: no free slot */
+	SKH_TARGET_OUTCOME_WRONG_INSTANCE, /* another instance responded at the address */
+	SKH_TARGET_OUTCOME_CANCELLED /* the caller disconnected; the server's statistics stay as they are */
+} skh_target_outcome_t;
 
 /** struct skh_target_result - result of one request at a server */
 typedef struct skh_target_result {
 	double expected_tokens;
 	bool is_streaming; /* the response had begun */
-	skh_outcome_t outcome;
+	skh_target_outcome_t outcome;
 	int64_t latency_us; /* up to the first event or the complete response; 0 when unknown */
 } skh_target_result_t;
 
 /**
- * skh_target_end_request() - ends a request in flight, updates the server's statistics and drops
+ * skh_target_end_attempt() - ends a request in flight, updates the server's statistics and drops
  * the request's reference to @target
  */
-void skh_target_end_request(skh_target_t *target, const skh_target_result_t *result,
+void skh_target_end_attempt(skh_target_t *target, const skh_target_result_t *result,
 			    int64_t now_us);
 
 /** skh_target_mark_unreachable() - counts a failure and avoids the server for a back-off time */
--- a/src/balancer.c
+++ b/src/balancer.c
@@ -171,7 +171,7 @@
 	if (!snapshot->has_report)
 		return;
 	fill_report(balancer, snapshot, false, &message);
-	skh_coordinator_handle_report(balancer->coordinator, &message, true, now_us);
+	skh_coordinator_record_report(balancer->coordinator, &message, true, now_us);
 }
 
 /* Sends the rank's report to the coordinator in another process if one is due. */
@@ -217,7 +217,7 @@
 	int64_t now_us = skh_clock_boot_us();
 
 	if (is_coordinating(balancer, now_us))
-		skh_coordinator_handle_sample(balancer->coordinator, sample, now_us);
+		skh_coordinator_record_sample(balancer->coordinator, sample, now_us);
 	/* Collected while coordinating too, for the next coordinator if the lease is lost. */
 	if (balancer->count_reporter)
 		(void)skh_count_reporter_add_sample(balancer->count_reporter, sample, now_us);
@@ -245,7 +245,7 @@
 		return;
 	}
 	if (strcmp(message->service, balancer->settings->backend_service) == 0)
-		skh_coordinator_handle_report(balancer->coordinator, message, false,
+		skh_coordinator_record_report(balancer->coordinator, message, false,
 					      skh_clock_boot_us());
 	skh__rank_report__free_unpacked(message, NULL);
 }
@@ -302,7 +302,7 @@
 {
 	g_autofree char *text = skh_coordinator_format_slow_ranks(balancer->coordinator);
 
-	skh_election_set_notice(balancer->election, text);
+	skh_election_set_slow_ranks(balancer->election, text);
 }
 
 static void run_coordinator(balancer_t *balancer, int64_t now_us)
@@ -421,7 +421,7 @@
 			skh_settings_store_endpoint(settings, 0), settings->store_timeout_ms),
 		.dialect = balancer->dialect,
 		.prefix = prefix,
-		.notice_key = balancer->notice_key,
+		.slow_ranks_key = balancer->notice_key,
 		.address = settings->gossip_listen,
 		.service = settings->backend_service,
 	};
@@ -434,7 +434,7 @@
 	const skh_settings_t *settings = balancer->settings;
 
 	balancer->sender_id = skh_random_u64();
-	balancer->notice_key = g_strconcat(SKH_RANK_NOTICE_PREFIX, settings->backend_service, NULL);
+	balancer->notice_key = g_strconcat(SKH_SLOW_RANKS_PREFIX, settings->backend_service, NULL);
 	balancer->pool_options = (skh_upstream_pool_options_t){
 		.attempt_id_header = "",
 		.connect_timeout_us = CONNECT_TIMEOUT_US,
--- a/src/claim.c
+++ b/src/claim.c
@@ -22,7 +22,7 @@
 
 char *skh_claim_encode(const skh_claim_t *claim)
 {
-	g_autofree char *hash = g_strdup_printf("%016" PRIx64, claim->request_hash);
+	g_autofree char *hash = g_strdup_printf("%016" PRIx64, claim->content_hash);
 	json_t *json = json_pack("{s:s, s:s, s:s}", "state", state_names[claim->state], "owner",
 				 claim->owner, "body", hash);
 	char *dump;
@@ -86,7 +86,7 @@
 				     "the claim record of the idempotency key is malformed");
 	}
 	claim->owner = g_strdup(owner);
-	claim->request_hash = g_ascii_strtoull(hash, NULL, HEX_RADIX);
+	claim->content_hash = g_ascii_strtoull(hash, NULL, HEX_RADIX);
 	claim->status = (int32_t)json_integer_value(json_object_get(json, "status"));
 	claim->content_type = g_strdup(type ? type : "");
 	decode_response(json, claim);
@@ -99,7 +99,7 @@
 {
 	if (strcmp(found->owner, owner) == 0)
 		return SKH_CLAIM_DECISION_OWN_CLAIM;
-	if (found->request_hash != request_hash)
+	if (found->content_hash != request_hash)
 		return SKH_CLAIM_DECISION_KEY_REUSED;
 	switch (found->state) {
 	case SKH_CLAIM_DONE:
--- a/src/claim.h
+++ b/src/claim.h
@@ -33,7 +33,7 @@
 typedef struct skh_claim {
 	skh_claim_state_t state;
 	char *owner;	       /* attempt that wrote the record */
-	uint64_t request_hash; /* skh_wire_hash_request() of the request */
+	uint64_t content_hash; /* skh_wire_hash_request() of the request */
 	int32_t status;	       /* HTTP status of the response */
 	char *content_type;
 	skh_buffer_t response;
--- a/src/claim_backlog.h
+++ b/src/claim_backlog.h
@@ -38,7 +38,7 @@
 /** struct skh_claim_backlog_write - a due write; strings are valid until its result is reported */
 typedef struct skh_claim_backlog_write {
 	uint64_t id; /* has SKH_WIRE_LOCAL_ID_BIT set */
-	const char *path;
+	const char *store_key;
 	const char *value;
 	int64_t expected_revision;
 } skh_claim_backlog_write_t;
--- a/src/config_admin.c
+++ b/src/config_admin.c
@@ -84,7 +84,7 @@
 {
 	return json_pack("{s:I, s:I, s:s, s:s, s:s}", "revision", (json_int_t)head->revision,
 			 "unix_ms", (json_int_t)head->accepted_unix_ms, "by", head->author,
-			 "reason", head->reason, "attempt", head->attempt_id);
+			 "reason", head->reason, "attempt", head->apply_id);
 }
 
 json_t *skh_config_admin_list_history(const skh_config_admin_t *admin, skh_error_t *err)
--- a/src/config_parts.c
+++ b/src/config_parts.c
@@ -139,7 +139,7 @@
 	head->accepted_unix_ms = unix_ms;
 	head->author = g_strdup(author);
 	head->reason = g_strdup(reason);
-	head->attempt_id = g_strdup(attempt);
+	head->apply_id = g_strdup(attempt);
 	head->part_hashes = g_hash_table_ref(parts);
 	return head;
 }
@@ -200,7 +200,7 @@
 	skh_doc_node_add(tree, "unix_ms", skh_doc_node_new_integer(head->accepted_unix_ms, 0));
 	skh_doc_node_add(tree, "by", skh_doc_node_new_text(head->author, 0));
 	skh_doc_node_add(tree, "reason", skh_doc_node_new_text(head->reason, 0));
-	skh_doc_node_add(tree, "attempt", skh_doc_node_new_text(head->attempt_id, 0));
+	skh_doc_node_add(tree, "attempt", skh_doc_node_new_text(head->apply_id, 0));
 	skh_doc_node_add(tree, "parts", parts);
 	text = skh_doc_node_to_json(tree);
 	skh_doc_node_free(tree);
@@ -214,7 +214,7 @@
 	g_hash_table_unref(head->part_hashes);
 	g_free(head->author);
 	g_free(head->reason);
-	g_free(head->attempt_id);
+	g_free(head->apply_id);
 	g_free(head);
 }
 
--- a/src/config_parts.h
+++ b/src/config_parts.h
@@ -25,7 +25,7 @@
 	int64_t accepted_unix_ms; /* Unix time of the apply */
 	char *author;
 	char *reason;
-	char *attempt_id; /* random id of the apply that wrote the head; identifies the writer */
+	char *apply_id; /* random id of the apply that wrote the head; identifies the writer */
 	GHashTable *part_hashes; /* part name -> hash; both texts owned */
 } skh_config_head_t;
 
--- a/src/coordinator.c
+++ b/src/coordinator.c
@@ -155,7 +155,7 @@
 
 static void maybe_change_map(skh_coordinator_t *coordinator, int64_t now_us);
 
-void skh_coordinator_handle_sample(skh_coordinator_t *coordinator,
+void skh_coordinator_record_sample(skh_coordinator_t *coordinator,
 				   const skh_demand_sample_t *sample, int64_t now_us)
 {
 	skh_demand_update_t update = skh_demand_add_sample(coordinator->demand, sample, now_us);
@@ -190,13 +190,13 @@
 	memset(coordinator->counts, 0, n_counts * sizeof(double));
 	skh_count_codec_decode_add(message->counts.data, n_counts, message->greatest_count,
 				   coordinator->counts);
-	skh_coordinator_handle_sample(coordinator, &sample, now_us);
+	skh_coordinator_record_sample(coordinator, &sample, now_us);
 }
 
-void skh_coordinator_handle_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
+void skh_coordinator_record_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
 				   bool is_own_rank, int64_t now_us)
 {
-	if (skh_groupview_handle_report(&coordinator->view, message, is_own_rank, now_us))
+	if (skh_groupview_record_report(&coordinator->view, message, is_own_rank, now_us))
 		decode_counts(coordinator, message, now_us);
 }
 
@@ -223,28 +223,28 @@
 	static const char *const names[] = {
 		[SKH_ENGINE_PREPARE] = "prepare", [SKH_ENGINE_ARM] = "arm",
 		[SKH_ENGINE_DISARM] = "disarm",	  [SKH_ENGINE_HOLD] = "hold",
-		[SKH_ENGINE_GO] = "go",
+		[SKH_ENGINE_RELEASE] = "go",
 	};
 
 	return names[op];
 }
 
-static skh_engine_order_result_t order_result_from_status(int32_t status)
+static skh_mapchange_order_result_t order_result_from_status(int32_t status)
 {
 	switch (status) {
 	case 200:
 	case 202:
-		return SKH_ENGINE_ORDER_ACCEPTED;
+		return SKH_MAPCHANGE_ORDER_ACCEPTED;
 	case 412:
-		return SKH_ENGINE_ORDER_FENCED;
+		return SKH_MAPCHANGE_ORDER_FENCED;
 	case 0:
 	case SKH_RANKRELAY_STATUS_NO_BASE:
 	case 502:
 	case 503:
 	case 504:
-		return SKH_ENGINE_ORDER_NO_RESPONSE;
+		return SKH_MAPCHANGE_ORDER_NO_RESPONSE;
 	default:
-		return SKH_ENGINE_ORDER_CONFLICT;
+		return SKH_MAPCHANGE_ORDER_CONFLICT;
 	}
 }
 
@@ -258,7 +258,7 @@
 static void update_route(skh_coordinator_t *coordinator, uint32_t rank, int32_t status)
 {
 	order_route_t *route = &coordinator->routes[rank];
-	bool has_no_response = order_result_from_status(status) == SKH_ENGINE_ORDER_NO_RESPONSE;
+	bool has_no_response = order_result_from_status(status) == SKH_MAPCHANGE_ORDER_NO_RESPONSE;
 
 	if (is_sent_by_proxy(coordinator, coordinator->change.ranks[rank].order_op)) {
 		coordinator->bypass_proxy = has_no_response;
@@ -285,14 +285,14 @@
 {
 	skh_coordinator_t *coordinator = context;
 	int64_t now_us = skh_clock_boot_us();
-	skh_engine_order_result_t result = order_result_from_status(status);
+	skh_mapchange_order_result_t result = order_result_from_status(status);
 	uint32_t rank = tag % SKH_MAPCHANGE_MAX_RANKS;
 
 	(void)body;
 	if (tag != order_tag(coordinator, rank))
 		return;
 	update_route(coordinator, rank, status);
-	if (result != SKH_ENGINE_ORDER_ACCEPTED)
+	if (result != SKH_MAPCHANGE_ORDER_ACCEPTED)
 		skh_log(SKH_LOG_INFO, PART, "Rank did not accept an order.",
 			"rank=%u op=%s status=%d version=%" PRId64 " direct=%d", rank,
 			op_name(coordinator->change.ranks[rank].order_op), status,
@@ -300,12 +300,12 @@
 	if (!coordinator->is_changing)
 		return;
 	skh_mapchange_record_result(&coordinator->change, rank, result, now_us);
-	coordinator->was_fenced = coordinator->was_fenced || result == SKH_ENGINE_ORDER_FENCED;
+	coordinator->was_fenced = coordinator->was_fenced || result == SKH_MAPCHANGE_ORDER_FENCED;
 	send_orders(coordinator, now_us);
 }
 
 static void send_direct(skh_coordinator_t *coordinator, uint32_t rank,
-			const skh_engine_order_t *order)
+			const skh_mapchange_order_t *order)
 {
 	char *body = coordinator->options.dialect->write_order(order);
 
@@ -322,7 +322,7 @@
  * order to the coordinator's engine over the network.
  */
 static void send_relayed(skh_coordinator_t *coordinator, uint32_t rank, uint32_t relay_rank,
-			 const skh_engine_order_t *order)
+			 const skh_mapchange_order_t *order)
 {
 	skh_buffer_t body = SKH_BUFFER_INIT;
 	const skh_groupview_t *view = &coordinator->view;
@@ -340,14 +340,14 @@
 	skh_buffer_free(&body);
 }
 
-static void send_order(skh_coordinator_t *coordinator, uint32_t rank, skh_engine_order_t *order)
+static void send_order(skh_coordinator_t *coordinator, uint32_t rank, skh_mapchange_order_t *order)
 {
 	const skh_groupview_t *view = &coordinator->view;
 
 	order->map = view->next_map;
 	order->n_sets = view->engine_spec.expert_sets;
 	order->n_ranks = view->n_ranks;
-	order->n_slots = view->engine_spec.expert_slots;
+	order->n_slots = view->engine_spec.slots_per_rank;
 	skh_log(SKH_LOG_DEBUG, PART, "Order sent to a rank.",
 		"rank=%u op=%s version=%" PRId64 " pass=%" PRId64, rank, op_name(order->op),
 		order->map_version, order->pass);
@@ -362,7 +362,7 @@
 
 static void send_orders(skh_coordinator_t *coordinator, int64_t now_us)
 {
-	skh_engine_order_t order;
+	skh_mapchange_order_t order;
 
 	for (uint32_t rank = 0; coordinator->is_changing && rank < coordinator->view.n_ranks;
 	     rank++) {
@@ -579,7 +579,7 @@
 		return;
 	if (coordinator->is_changing) {
 		if (!coordinator->has_demand_shifted || !is_plan_due(coordinator, now_us) ||
-		    !skh_mapchange_can_withdraw(&coordinator->change))
+		    !skh_mapchange_can_replace(&coordinator->change))
 			return;
 		withdraw_change(coordinator, now_us);
 	}
@@ -610,7 +610,7 @@
 		change->version, (now_us - coordinator->change_started_us) / SKH_US_PER_MS,
 		phase_ms(change, SKH_MAPCHANGE_PREPARE), phase_ms(change, SKH_MAPCHANGE_COPY),
 		phase_ms(change, SKH_MAPCHANGE_HOLD), phase_ms(change, SKH_MAPCHANGE_ARM),
-		phase_ms(change, SKH_MAPCHANGE_GO), phase_ms(change, SKH_MAPCHANGE_SETTLE),
+		phase_ms(change, SKH_MAPCHANGE_RELEASE), phase_ms(change, SKH_MAPCHANGE_SETTLE),
 		succeeded ? "-" : change->cause);
 	skh_metrics_add(succeeded ? SKH_COUNT_MAP_CHANGES : SKH_COUNT_MAP_FAILURES, 1);
 }
--- a/src/coordinator.h
+++ b/src/coordinator.h
@@ -43,20 +43,20 @@
 				 double cost_weight);
 
 /**
- * skh_coordinator_handle_report() - record a rank's state, map and token counts
+ * skh_coordinator_record_report() - record a rank's state, map and token counts
  * @message: borrowed; ignored if it is invalid or not newer than the last one from its sender
  * @is_own_rank: the report is from the rank beside this process
  */
-void skh_coordinator_handle_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
+void skh_coordinator_record_report(skh_coordinator_t *coordinator, const Skh__RankReport *message,
 				   bool is_own_rank, int64_t now_us);
 
 /**
- * skh_coordinator_handle_sample() - add token counts to the demand estimate
+ * skh_coordinator_record_sample() - add token counts to the demand estimate
  * @sample: counts of any rank; borrowed
  *
  * Plans and starts a map change if one is due and the lease is held.
  */
-void skh_coordinator_handle_sample(skh_coordinator_t *coordinator,
+void skh_coordinator_record_sample(skh_coordinator_t *coordinator,
 				   const skh_demand_sample_t *sample, int64_t now_us);
 
 /** skh_coordinator_is_changing_map() - whether a map change is in progress */
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -61,11 +61,11 @@
 	SKH_ENGINE_ARM,	    /* switch to @map_version at the beginning of @pass */
 	SKH_ENGINE_DISARM,  /* cancel the armed switch */
 	SKH_ENGINE_HOLD,    /* do not begin @pass before its release */
-	SKH_ENGINE_GO	    /* release the held pass */
+	SKH_ENGINE_RELEASE  /* release the held pass */
 } skh_engine_op_t;
 
-/** struct skh_engine_order - one order; fields that @op does not use are ignored */
-typedef struct skh_engine_order {
+/** struct skh_mapchange_order - one order; fields that @op does not use are ignored */
+typedef struct skh_mapchange_order {
 	skh_engine_op_t op;
 	int64_t map_version;
 	int64_t pass;
@@ -75,7 +75,7 @@
 	uint32_t n_sets;
 	uint32_t n_ranks;
 	uint32_t n_slots;
-} skh_engine_order_t;
+} skh_mapchange_order_t;
 
 /** struct skh_engine_counts - tokens routed to each expert since the engine's start */
 typedef struct skh_engine_counts {
@@ -111,7 +111,7 @@
 	bool (*read_map)(skh_chunk_t text, uint32_t sets, uint32_t slots, uint32_t *map,
 			 int64_t *version, skh_error_t *err);
 	/* Returns the order as JSON; free with free(). */
-	char *(*write_order)(const skh_engine_order_t *order);
+	char *(*write_order)(const skh_mapchange_order_t *order);
 } skh_dialect_t;
 
 /** skh_dialect_find() - returns the dialect called @name, or NULL with @err */
--- a/src/downstream.c
+++ b/src/downstream.c
@@ -163,10 +163,10 @@
 
 	conn->keep_alive = conn->keep_alive && !conn->listener->is_draining &&
 			   !conn->listener->close_after_response;
-	conn->chunked = head->chunked && !head->no_body;
+	conn->chunked = head->is_chunked && !head->no_body;
 	skh_buffer_printf(&out, "HTTP/1.1 %" PRId32 " %s\r\n%s", head->status, head->reason,
 			  head->headers);
-	if (head->chunked)
+	if (head->is_chunked)
 		skh_buffer_append_string(&out, "Transfer-Encoding: chunked\r\n");
 	else if (head->status != 204 && head->status != 304)
 		skh_buffer_printf(&out, "Content-Length: %zu\r\n", head->content_length);
--- a/src/downstream.h
+++ b/src/downstream.h
@@ -91,7 +91,7 @@
 	int32_t status;
 	const char *reason;
 	const char *headers;   /* complete lines, each with CRLF */
-	bool chunked;	       /* chunked transfer encoding; false for Content-Length */
+	bool is_chunked;       /* chunked transfer encoding; false for Content-Length */
 	size_t content_length; /* bytes of the body; unused if chunked */
 	bool no_body;	       /* response to HEAD, or a status without a body */
 } skh_response_head_t;
--- a/src/election.c
+++ b/src/election.c
@@ -116,7 +116,7 @@
 	if (index >= 0) {
 		g_mutex_lock(&election->lock);
 		election->view.engine_spec =
-			skh_routing_get_service(routing, (uint32_t)index)->engine;
+			skh_routing_get_service(routing, (uint32_t)index)->engine_spec;
 		election->view.has_engine_spec = true;
 		g_mutex_unlock(&election->lock);
 	}
@@ -294,7 +294,7 @@
 	g_autofree char *notice = copy_notice(election);
 	const skh_txn_compare_t holder_compare = { election->key, fence };
 	const skh_txn_op_t op = { *notice ? SKH_TXN_OP_PUT : SKH_TXN_OP_DELETE,
-				  (char *)election->options.notice_key, notice,
+				  (char *)election->options.slow_ranks_key, notice,
 				  election->lease_id };
 	const skh_txn_t txn = {
 		.compares = &holder_compare, .n_compares = 1, .ops = &op, .n_ops = 1
@@ -416,7 +416,7 @@
 	g_mutex_unlock(&election->lock);
 }
 
-void skh_election_set_notice(skh_election_t *election, const char *text)
+void skh_election_set_slow_ranks(skh_election_t *election, const char *text)
 {
 	g_mutex_lock(&election->lock);
 	if (strcmp(election->notice, text) != 0) {
--- a/src/election.h
+++ b/src/election.h
@@ -22,10 +22,10 @@
 	skh_store_t *store;	    /* used by the election's thread only */
 	skh_store_t *release_store; /* used on stop because a watch may occupy @store */
 	const skh_dialect_t *dialect;
-	const char *prefix;	/* prefix of the group's keys; ends with a slash */
-	const char *notice_key; /* key of the notice to gateways */
-	const char *address;	/* "host:port" where this process receives reports */
-	const char *service;	/* service whose engines are coordinated */
+	const char *prefix;	    /* prefix of the group's keys; ends with a slash */
+	const char *slow_ranks_key; /* key of the notice to gateways */
+	const char *address;	    /* "host:port" where this process receives reports */
+	const char *service;	    /* service whose engines are coordinated */
 } skh_election_options_t;
 
 /** struct skh_election_view - known state of the lease */
@@ -62,12 +62,12 @@
 GPtrArray *skh_election_get_servers(skh_election_t *election, bool wanted);
 
 /**
- * skh_election_set_notice() - set the notice about the group that gateways read from the store
+ * skh_election_set_slow_ranks() - set the notice about the group that gateways read from the store
  * @text: copied; "" deletes the notice
  *
  * The notice is written after the next renewal, under the lease, and expires with it.
  */
-void skh_election_set_notice(skh_election_t *election, const char *text);
+void skh_election_set_slow_ranks(skh_election_t *election, const char *text);
 
 /** skh_election_resign() - stop acting as the holder because a later holder exists */
 void skh_election_resign(skh_election_t *election);
--- a/src/engine.c
+++ b/src/engine.c
@@ -109,7 +109,7 @@
 {
 	engine->is_load_pending = false;
 	if (succeeded && skh_engine_read_load(skh_buffer_chunk(&engine->load_text), &engine->view))
-		engine->view.reported_at_us = skh_clock_now_us();
+		engine->view.reported_us = skh_clock_now_us();
 }
 
 static void finish_events(skh_engine_t *engine, bool succeeded)
--- a/src/engine.h
+++ b/src/engine.h
@@ -20,7 +20,7 @@
 
 /** struct skh_engine_view - state of the engine and counts of events and orders */
 typedef struct skh_engine_view {
-	int64_t reported_at_us; /* monotonic; 0 before the first report */
+	int64_t reported_us; /* monotonic; 0 before the first report */
 	uint32_t running;
 	uint32_t queued;
 	uint32_t cached_prefixes; /* prefixes in the cache, by the events received */
--- a/src/exchange.c
+++ b/src/exchange.c
@@ -100,10 +100,10 @@
 		" list=%" PRId64 " reason=%s",
 		exchange->attempt_id, exchange->route ? exchange->route->name : "-",
 		skh_exchange_customer(exchange), outcome, status,
-		exchange->target ? exchange->target->server->id : "-", exchange->send_count,
-		exchange->possible_runs, exchange->queued_us / SKH_US_PER_MS,
-		exchange->first_byte_us
-			? (exchange->first_byte_us - exchange->received_us) / SKH_US_PER_MS
+		exchange->target ? exchange->target->server->id : "-", exchange->n_attempts,
+		exchange->possible_runs, exchange->queue_duration_us / SKH_US_PER_MS,
+		exchange->first_event_us
+			? (exchange->first_event_us - exchange->received_us) / SKH_US_PER_MS
 			: -1,
 		(now_us - exchange->received_us) / SKH_US_PER_MS,
 		exchange->event_stream.last_event_id,
@@ -115,11 +115,11 @@
 
 void skh_exchange_end(skh_exchange_t *exchange)
 {
-	if (exchange->stage == SKH_EXCHANGE_ENDED)
+	if (exchange->state == SKH_EXCHANGE_ENDED)
 		return;
 	if (exchange->target_pool)
 		skh_request_queue_remove(exchange->target_pool->queue, &exchange->queued_request);
-	exchange->stage = SKH_EXCHANGE_ENDED;
+	exchange->state = SKH_EXCHANGE_ENDED;
 	g_queue_unlink(&exchange->gateway->exchanges, &exchange->link);
 	uv_close((uv_handle_t *)&exchange->timer, on_timer_closed);
 }
@@ -218,8 +218,8 @@
 void skh_exchange_enqueue(skh_exchange_t *exchange, int64_t now_us)
 {
 	init_queued_request(exchange, now_us);
-	if (exchange->stage != SKH_EXCHANGE_RESPONDING)
-		exchange->stage = SKH_EXCHANGE_QUEUED;
+	if (exchange->state != SKH_EXCHANGE_RESPONDING)
+		exchange->state = SKH_EXCHANGE_QUEUED;
 	skh_request_queue_enqueue(exchange->target_pool->queue, &exchange->queued_request);
 	skh_exchange_dispatch(exchange->gateway);
 }
@@ -275,7 +275,7 @@
 {
 	int64_t wait_us = expected_wait_us(exchange, now_us);
 
-	if (exchange->stage == SKH_EXCHANGE_RESPONDING) {
+	if (exchange->state == SKH_EXCHANGE_RESPONDING) {
 		skh_exchange_log_end(exchange, "cut", exchange->response_status,
 				     "no server was available to resume the stream");
 		skh_exchange_end(exchange);
@@ -303,7 +303,7 @@
 		skh_exchange_t *exchange = exchange_from_queued(queued_request);
 
 		skh_request_queue_remove(pool->queue, queued_request);
-		exchange->queued_us += now_us - queued_request->enqueued_us;
+		exchange->queue_duration_us += now_us - queued_request->enqueued_us;
 		end_expired(exchange, now_us);
 	}
 }
@@ -334,7 +334,7 @@
 	skh_log(SKH_LOG_WARNING, PART,
 		"Rank is silent while its group responds; its retryable requests are moved.",
 		"server=%s running=%u streaming=%u silent_ms=%" PRId64, target->server->id,
-		target->own_running, target->own_streaming,
+		target->own_in_flight, target->own_streaming,
 		(now_us - MAX(target->last_received_us, target->busy_since_us)) / SKH_US_PER_MS);
 	skh_upstream_pool_close_idle(target->upstream_pool);
 	retry_all_elsewhere(gateway, target);
@@ -345,12 +345,12 @@
 
 static void move_off_slow_rank(skh_target_t *target, void *context)
 {
-	if (target->slowdown < MOVE_SLOWDOWN_RATIO || target->own_running == 0)
+	if (target->slowdown < MOVE_SLOWDOWN_RATIO || target->own_in_flight == 0)
 		return;
 	skh_log(SKH_LOG_WARNING, PART,
 		"Slow rank makes its group wait; its retryable requests are moved.",
 		"server=%s pace=%.1f running=%u", target->server->id, target->slowdown,
-		target->own_running);
+		target->own_in_flight);
 	retry_all_elsewhere(context, target);
 }
 
@@ -367,7 +367,7 @@
 	for (guint i = 0; pool->is_lock_step && i < pool->targets->len; i++) {
 		skh_target_t *target = g_ptr_array_index(pool->targets, i);
 
-		if (skh_target_pool_is_rank_lost(pool, target, now_us))
+		if (skh_target_pool_is_rank_unreachable(pool, target, now_us))
 			abandon_rank(context, target, now_us);
 	}
 }
@@ -386,18 +386,18 @@
 	skh_exchange_t *exchange = timer->data;
 	skh_gateway_t *gateway = exchange->gateway;
 
-	if (exchange->stage == SKH_EXCHANGE_ENDED)
+	if (exchange->state == SKH_EXCHANGE_ENDED)
 		return;
-	if (exchange->stage == SKH_EXCHANGE_RESPONDING) {
+	if (exchange->state == SKH_EXCHANGE_RESPONDING) {
 		skh_exchange_log_end(exchange, "timed_out", exchange->response_status,
 				     "the request's deadline passed");
-		skh_attempt_release(exchange, SKH_OUTCOME_CANCELED, 0);
+		skh_attempt_release(exchange, SKH_TARGET_OUTCOME_CANCELLED, 0);
 		skh_exchange_end(exchange);
 		skh_caller_conn_abort(exchange->conn);
-	} else if (exchange->stage == SKH_EXCHANGE_QUEUED && exchange->possible_runs == 0) {
+	} else if (exchange->state == SKH_EXCHANGE_QUEUED && exchange->possible_runs == 0) {
 		skh_exchange_reject(exchange, SKH_OVERLOADED, 0, "no server had capacity in time");
 	} else {
-		skh_attempt_release(exchange, SKH_OUTCOME_FAILED, 0);
+		skh_attempt_release(exchange, SKH_TARGET_OUTCOME_FAILED, 0);
 		skh_exchange_reject(exchange, SKH_TIMED_OUT, 0,
 				    "the server did not respond before the deadline");
 	}
@@ -410,7 +410,7 @@
 
 	skh_metrics_add(SKH_COUNT_CANCELS, 1);
 	skh_exchange_log_end(exchange, "gone", 0, "the caller disconnected");
-	skh_attempt_release(exchange, SKH_OUTCOME_CANCELED, 0);
+	skh_attempt_release(exchange, SKH_TARGET_OUTCOME_CANCELLED, 0);
 	skh_exchange_end(exchange);
 	skh_exchange_dispatch(context);
 }
--- a/src/feed.c
+++ b/src/feed.c
@@ -163,8 +163,8 @@
 		apply_server(feed, key + strlen(servers_prefix), value);
 	else if (g_str_has_prefix(key, gateways_prefix))
 		apply_gateway(feed, key + strlen(gateways_prefix), value);
-	else if (g_str_has_prefix(key, SKH_RANK_NOTICE_PREFIX))
-		apply_rank_notice(feed, key + strlen(SKH_RANK_NOTICE_PREFIX), value);
+	else if (g_str_has_prefix(key, SKH_SLOW_RANKS_PREFIX))
+		apply_rank_notice(feed, key + strlen(SKH_SLOW_RANKS_PREFIX), value);
 }
 
 static bool read_config(skh_feed_t *feed, int64_t *revision, skh_error_t *err)
@@ -234,7 +234,7 @@
 		return false;
 	skh_kv_pairs_clear(&gateways);
 	clear_rank_notices(feed);
-	if (!read_prefix(feed, SKH_RANK_NOTICE_PREFIX, &notices, err))
+	if (!read_prefix(feed, SKH_SLOW_RANKS_PREFIX, &notices, err))
 		return false;
 	skh_kv_pairs_clear(&notices);
 	feed->read_revision = revision;
@@ -429,7 +429,7 @@
 	return list;
 }
 
-char *skh_feed_get_rank_notices(skh_feed_t *feed, uint64_t *last_change)
+char *skh_feed_get_slow_ranks(skh_feed_t *feed, uint64_t *last_change)
 {
 	GString *lines = NULL;
 	GHashTableIter iter;
--- a/src/feed.h
+++ b/src/feed.h
@@ -27,7 +27,7 @@
  * Prefix of the keys under which coordinators publish the slow ranks of a service:
  * one line "address slowdown" per rank.
  */
-#define SKH_RANK_NOTICE_PREFIX "skylarkhead/slow/"
+#define SKH_SLOW_RANKS_PREFIX "skylarkhead/slow/"
 
 /** struct skh_feed_options - all pointers are borrowed and must outlive the feed */
 typedef struct skh_feed_options {
@@ -66,11 +66,11 @@
 GPtrArray *skh_feed_get_gateways(skh_feed_t *feed, uint64_t *last_change);
 
 /**
- * skh_feed_get_rank_notices() - returns the slow ranks of all services after a change
+ * skh_feed_get_slow_ranks() - returns the slow ranks of all services after a change
  * @last_change: as in skh_feed_get_gateways()
  * Return: lines "address slowdown", to be freed with g_free(); NULL when unchanged.
  */
-char *skh_feed_get_rank_notices(skh_feed_t *feed, uint64_t *last_change);
+char *skh_feed_get_slow_ranks(skh_feed_t *feed, uint64_t *last_change);
 
 #ifdef __cplusplus
 }
--- a/src/gate.c
+++ b/src/gate.c
@@ -303,7 +303,7 @@
 				      int64_t start_before_us, int64_t now_us)
 {
 	static const skh_attempt_status_t statuses[] = {
-		[ATTEMPT_WAITING] = SKH_ATTEMPT_STATUS_WAITING,
+		[ATTEMPT_WAITING] = SKH_ATTEMPT_STATUS_QUEUED,
 		[ATTEMPT_RUNNING] = SKH_ATTEMPT_STATUS_RUNNING,
 		[ATTEMPT_ENDED] = SKH_ATTEMPT_STATUS_ENDED,
 		[ATTEMPT_REJECTED] = SKH_ATTEMPT_STATUS_REJECTED,
--- a/src/gate.h
+++ b/src/gate.h
@@ -41,7 +41,7 @@
 
 /** enum skh_attempt_status - state of an attempt as reported to an entry */
 typedef enum skh_attempt_status {
-	SKH_ATTEMPT_STATUS_WAITING,
+	SKH_ATTEMPT_STATUS_QUEUED,
 	SKH_ATTEMPT_STATUS_RUNNING,
 	SKH_ATTEMPT_STATUS_ENDED,
 	SKH_ATTEMPT_STATUS_REJECTED, /* did not start and never will */
--- a/src/gateway.c
+++ b/src/gateway.c
@@ -43,7 +43,7 @@
 	skh_store_t *store;
 	skh_settings_watcher_t *settings_watcher;
 	uint64_t last_peers_change;   /* newest change that skh_feed_get_gateways() returned */
-	uint64_t last_notices_change; /* newest change that skh_feed_get_rank_notices() returned */
+	uint64_t last_notices_change; /* newest change that skh_feed_get_slow_ranks() returned */
 	gint is_ready;		      /* atomic; read by the administration listener's threads */
 	int64_t stop_started_us;      /* time of SIGTERM or SIGINT; 0 before */
 	int64_t stop_deadline_us;
@@ -140,7 +140,7 @@
 static void update_slowdowns(gateway_process_t *process)
 {
 	g_autofree char *notices =
-		skh_feed_get_rank_notices(process->gateway.feed, &process->last_notices_change);
+		skh_feed_get_slow_ranks(process->gateway.feed, &process->last_notices_change);
 
 	if (!notices)
 		return;
@@ -217,7 +217,7 @@
 {
 	gateway->settings = settings;
 	gateway->retry_limits.retry_ratio = (double)settings->retry_percent / 100.0;
-	gateway->retry_limits.min_retries = (double)settings->retry_least;
+	gateway->retry_limits.min_retries = (double)settings->min_retries;
 	gateway->retry_limits.window_us = settings->retry_window_ms * SKH_US_PER_MS;
 }
 
@@ -278,9 +278,9 @@
 	skh_feed_options_t options = {
 		.dialect = process->gateway.dialect,
 		.board = process->gateway.board,
-		.poll_interval_us = settings->poll_pace_ms * SKH_US_PER_MS,
-		.poll_timeout_ms = settings->poll_wait_ms,
-		.gateways_prefix = settings->peers_prefix,
+		.poll_interval_us = settings->poll_interval_ms * SKH_US_PER_MS,
+		.poll_timeout_ms = settings->poll_timeout_ms,
+		.gateways_prefix = settings->gateways_prefix,
 		.own_id = settings->id,
 		.own_address = settings->gossip_listen,
 		.notify = notify_loop,
--- a/src/gossip.c
+++ b/src/gossip.c
@@ -232,10 +232,10 @@
 {
 	outgoing_report_t *outgoing = context;
 
-	if (target->own_running == 0 || outgoing->n_servers == MAX_SERVERS)
+	if (target->own_in_flight == 0 || outgoing->n_servers == MAX_SERVERS)
 		return;
 	outgoing->servers[outgoing->n_servers] = hash_server_id(target->server->id);
-	outgoing->running[outgoing->n_servers++] = (uint8_t)MIN(target->own_running, MAX_RUNNING);
+	outgoing->running[outgoing->n_servers++] = (uint8_t)MIN(target->own_in_flight, MAX_RUNNING);
 }
 
 static void add_crash_suspects(skh_gossip_t *gossip, outgoing_report_t *outgoing)
--- a/src/group_member.c
+++ b/src/group_member.c
@@ -62,12 +62,12 @@
 	skh_rank_complete_order(&member->rank, succeeded);
 }
 
-static skh_order_outcome_t handle_order(skh_group_member_t *member, const skh_order_t *order,
-					const char *placement)
+static skh_mapswitch_order_outcome_t
+handle_order(skh_group_member_t *member, const skh_mapswitch_order_t *order, const char *placement)
 {
-	skh_order_outcome_t outcome = skh_rank_handle_order(&member->rank, order);
+	skh_mapswitch_order_outcome_t outcome = skh_rank_handle_order(&member->rank, order);
 
-	if (outcome != SKH_ORDER_FORWARD)
+	if (outcome != SKH_MAPSWITCH_ORDER_FORWARD)
 		return outcome;
 	if (order->step == SKH_STEP_PREPARE) {
 		g_free(member->prepared_placement);
@@ -76,13 +76,14 @@
 	member->backend->ops->send_map_order(
 		member->backend, member->fetch, ++member->last_transfer_id, order,
 		member->prepared_placement ? member->prepared_placement : "", skh_clock_now_us());
-	/* The leader resends the order and receives SKH_ORDER_DONE once the engine has executed it. */
-	return SKH_ORDER_BUSY;
+	/* The leader resends the order and receives SKH_MAPSWITCH_ORDER_DONE once the engine has executed it. */
+	return SKH_MAPSWITCH_ORDER_BUSY;
 }
 
 static void on_order_frame(skh_group_member_t *member, const char *peer, const Skh__Order *body)
 {
-	const skh_order_t order = { body->fence, (skh_order_step_t)body->step, body->version };
+	const skh_mapswitch_order_t order = { body->fence, (skh_mapswitch_order_step_t)body->step,
+					      body->version };
 	Skh__Frame frame = SKH__FRAME__INIT;
 	Skh__OrderReply reply = SKH__ORDER_REPLY__INIT;
 
@@ -105,11 +106,13 @@
 
 static void on_order_reply(skh_group_member_t *member, const Skh__OrderReply *body)
 {
-	const skh_order_t order = { body->fence, (skh_order_step_t)body->step, body->version };
+	const skh_mapswitch_order_t order = { body->fence, (skh_mapswitch_order_step_t)body->step,
+					      body->version };
 
 	if (member->mapswitch && strcmp(body->group, member->settings->backend_group) == 0)
-		skh_mapswitch_record_reply(member->mapswitch, body->rank, &order,
-					   (skh_order_outcome_t)body->outcome, body->in_place);
+		skh_mapswitch_record_response(member->mapswitch, body->rank, &order,
+					      (skh_mapswitch_order_outcome_t)body->outcome,
+					      body->in_place);
 }
 
 void skh_group_member_on_frame(skh_group_member_t *member, const char *peer,
@@ -122,7 +125,7 @@
 }
 
 static void send_order(skh_group_member_t *member, const skh_leader_rank_t *rank,
-		       const skh_order_t *order)
+		       const skh_mapswitch_order_t *order)
 {
 	Skh__Frame frame = SKH__FRAME__INIT;
 	Skh__Order body = SKH__ORDER__INIT;
@@ -146,18 +149,20 @@
 }
 
 /* Handles an order to this sidecar's own rank without using the network. */
-static void send_order_to_self(skh_group_member_t *member, size_t rank, const skh_order_t *order)
+static void send_order_to_self(skh_group_member_t *member, size_t rank,
+			       const skh_mapswitch_order_t *order)
 {
-	skh_order_outcome_t outcome = handle_order(member, order, member->desired_placement);
+	skh_mapswitch_order_outcome_t outcome =
+		handle_order(member, order, member->desired_placement);
 
-	skh_mapswitch_record_reply(member->mapswitch, rank, order, outcome,
-				   skh_rank_is_running_version(&member->rank, order->version));
+	skh_mapswitch_record_response(member->mapswitch, rank, order, outcome,
+				      skh_rank_is_running_version(&member->rank, order->version));
 }
 
 static void send_orders(skh_group_member_t *member, const skh_leader_view_t *view)
 {
 	for (size_t i = 0; i < view->n_ranks; i++) {
-		skh_order_t order;
+		skh_mapswitch_order_t order;
 
 		if (!skh_mapswitch_next_order(member->mapswitch, i, &order))
 			continue;
--- a/src/groupview.c
+++ b/src/groupview.c
@@ -44,7 +44,7 @@
 size_t skh_groupview_map_size(const skh_groupview_t *view)
 {
 	return (size_t)view->engine_spec.expert_sets * view->n_ranks *
-	       view->engine_spec.expert_slots;
+	       view->engine_spec.slots_per_rank;
 }
 
 /* --- Reports of the ranks' processes --- */
@@ -75,7 +75,7 @@
 static void update_known_map(skh_groupview_t *view, uint32_t rank,
 			     const skh_engine_report_t *report)
 {
-	uint32_t n_slots = view->engine_spec.expert_slots;
+	uint32_t n_slots = view->engine_spec.slots_per_rank;
 
 	view->ranks[rank].has_map =
 		report->epoch == view->next_epoch && report->map_version == view->next_version;
@@ -137,7 +137,7 @@
 /* Stores one rank's part of the map; @rank_map is [sets][slots]. */
 static void store_rank_map(skh_groupview_t *view, uint32_t rank, const uint32_t *rank_map)
 {
-	uint32_t n_slots = view->engine_spec.expert_slots;
+	uint32_t n_slots = view->engine_spec.slots_per_rank;
 
 	for (uint32_t set = 0; set < view->engine_spec.expert_sets; set++)
 		memcpy(view->map + ((size_t)set * view->n_ranks + rank) * n_slots,
@@ -147,7 +147,7 @@
 
 static void store_reported_map(skh_groupview_t *view, uint32_t rank, const Skh__RankReport *message)
 {
-	size_t n_entries = (size_t)view->engine_spec.expert_sets * view->engine_spec.expert_slots;
+	size_t n_entries = (size_t)view->engine_spec.expert_sets * view->engine_spec.slots_per_rank;
 	const skh_engine_report_t *report = &view->ranks[rank].report;
 
 	/* A map of another epoch or version, such as from before a change, is ignored. */
@@ -168,7 +168,7 @@
 	view->last_pass_us = now_us;
 }
 
-bool skh_groupview_handle_report(skh_groupview_t *view, const Skh__RankReport *message,
+bool skh_groupview_record_report(skh_groupview_t *view, const Skh__RankReport *message,
 				 bool is_own_rank, int64_t now_us)
 {
 	const skh_engine_report_t report = {
@@ -214,7 +214,7 @@
 static void on_map_response(void *context, uint32_t tag, int32_t status, skh_chunk_t body)
 {
 	skh_groupview_t *view = context;
-	uint32_t n_slots = view->engine_spec.expert_slots;
+	uint32_t n_slots = view->engine_spec.slots_per_rank;
 	uint32_t n_sets = view->engine_spec.expert_sets;
 	uint32_t *map;
 	int64_t version;
--- a/src/groupview.h
+++ b/src/groupview.h
@@ -84,12 +84,12 @@
 void skh_groupview_clear(skh_groupview_t *view);
 
 /**
- * skh_groupview_handle_report() - record the state and map in a rank's report
+ * skh_groupview_record_report() - record the state and map in a rank's report
  * @message: borrowed
  * @is_own_rank: the report is from the rank beside this process
  * Return: false if the report is invalid or not newer than the last one of its sender.
  */
-bool skh_groupview_handle_report(skh_groupview_t *view, const Skh__RankReport *message,
+bool skh_groupview_record_report(skh_groupview_t *view, const Skh__RankReport *message,
 				 bool is_own_rank, int64_t now_us);
 
 /** skh_groupview_has_unknown_ranks() - whether the engine address of some rank is unknown */
--- a/src/mapchange.c
+++ b/src/mapchange.c
@@ -54,7 +54,7 @@
 	change->phase = phase;
 	change->phase_since_us = now_us;
 	for (uint32_t i = 0; i < change->n_ranks; i++)
-		change->ranks[i].not_before_us = 0;
+		change->ranks[i].next_order_us = 0;
 }
 
 static void fail(skh_mapchange_t *change, const char *cause, int64_t now_us)
@@ -150,7 +150,7 @@
 	change->proxy_probe_us = MAX(change->proxy_probe_us, sent_us);
 }
 
-bool skh_mapchange_can_withdraw(const skh_mapchange_t *change)
+bool skh_mapchange_can_replace(const skh_mapchange_t *change)
 {
 	return (change->phase == SKH_MAPCHANGE_PREPARE || change->phase == SKH_MAPCHANGE_COPY) &&
 	       change->held_since_us == 0;
@@ -172,7 +172,7 @@
 	if (change->phase == SKH_MAPCHANGE_COPY && all_ranks(change, has_copies))
 		begin_hold(change, now_us);
 	if (change->phase == SKH_MAPCHANGE_ARM && all_ranks(change, is_armed))
-		enter_phase(change, SKH_MAPCHANGE_GO, now_us);
+		enter_phase(change, SKH_MAPCHANGE_RELEASE, now_us);
 	if (change->phase == SKH_MAPCHANGE_DISARM && all_ranks(change, cannot_be_armed))
 		enter_phase(change, SKH_MAPCHANGE_UNDO_HOLD, now_us);
 	if (change->phase == SKH_MAPCHANGE_SETTLE && has_switched(change))
@@ -187,7 +187,7 @@
 		change->switch_pass = report->held_pass;
 		change->held_since_us = now_us;
 		enter_phase(change, SKH_MAPCHANGE_ARM, now_us);
-	} else if (change->phase == SKH_MAPCHANGE_GO && report->held_pass == 0 &&
+	} else if (change->phase == SKH_MAPCHANGE_RELEASE && report->held_pass == 0 &&
 		   now_us - change->phase_since_us > CONFLICT_DELAY_US) {
 		enter_phase(change, SKH_MAPCHANGE_SETTLE, now_us);
 	}
@@ -243,7 +243,7 @@
  * disarm once all ranks have responded, the rank that holds the group first.
  */
 static bool choose_prepare_order(const skh_mapchange_t *change, uint32_t rank,
-				 skh_engine_order_t *order)
+				 skh_mapchange_order_t *order)
 {
 	const skh_mapchange_rank_t *state = &change->ranks[rank];
 	uint32_t holder = find_holder(change);
@@ -262,7 +262,7 @@
 }
 
 static bool choose_order(const skh_mapchange_t *change, uint32_t rank, int64_t now_us,
-			 skh_engine_order_t *order)
+			 skh_mapchange_order_t *order)
 {
 	const skh_mapchange_rank_t *state = &change->ranks[rank];
 
@@ -270,7 +270,7 @@
 	case SKH_MAPCHANGE_PREPARE:
 		return choose_prepare_order(change, rank, order);
 	case SKH_MAPCHANGE_RELEASE_STALE_HOLD:
-		order->op = SKH_ENGINE_GO;
+		order->op = SKH_ENGINE_RELEASE;
 		order->pass = state->report.held_pass;
 		return state->report.held_pass != 0;
 	case SKH_MAPCHANGE_HOLD:
@@ -285,18 +285,18 @@
 		order->fence++;
 		return state->may_be_armed;
 	case SKH_MAPCHANGE_UNDO_HOLD:
-		order->op = SKH_ENGINE_GO;
+		order->op = SKH_ENGINE_RELEASE;
 		order->fence++;
 		return rank == change->own_rank;
-	case SKH_MAPCHANGE_GO:
-		order->op = SKH_ENGINE_GO;
+	case SKH_MAPCHANGE_RELEASE:
+		order->op = SKH_ENGINE_RELEASE;
 		return rank == change->own_rank;
 	case SKH_MAPCHANGE_SETTLE:
 		/*
 		 * A hold order without a response may be carried out late; all ranks are armed, so the
 		 * hold can be released.
 		 */
-		order->op = SKH_ENGINE_GO;
+		order->op = SKH_ENGINE_RELEASE;
 		order->pass = state->report.held_pass;
 		return rank == change->own_rank && state->report.held_pass != 0;
 	default:
@@ -305,17 +305,17 @@
 }
 
 bool skh_mapchange_next_order(skh_mapchange_t *change, uint32_t rank, int64_t now_us,
-			      skh_engine_order_t *order)
+			      skh_mapchange_order_t *order)
 {
 	skh_mapchange_rank_t *state = &change->ranks[rank];
 
-	*order = (skh_engine_order_t){
+	*order = (skh_mapchange_order_t){
 		.map_version = change->version,
 		.pass = change->switch_pass,
 		.epoch = change->epoch,
 		.fence = change->fence,
 	};
-	if (state->is_order_pending || now_us < state->not_before_us ||
+	if (state->is_order_pending || now_us < state->next_order_us ||
 	    !choose_order(change, rank, now_us, order))
 		return false;
 	state->is_order_pending = true;
@@ -348,9 +348,9 @@
 	case SKH_ENGINE_ARM:
 		state->is_armed = true;
 		break;
-	case SKH_ENGINE_GO:
+	case SKH_ENGINE_RELEASE:
 		state->report.held_pass = 0;
-		if (change->phase == SKH_MAPCHANGE_GO)
+		if (change->phase == SKH_MAPCHANGE_RELEASE)
 			enter_phase(change, SKH_MAPCHANGE_SETTLE, now_us);
 		if (change->phase == SKH_MAPCHANGE_UNDO_HOLD) {
 			change->held_since_us = 0;
@@ -362,16 +362,16 @@
 
 static void process_conflict(skh_mapchange_t *change, skh_mapchange_rank_t *state, int64_t now_us)
 {
-	state->not_before_us = now_us + CONFLICT_DELAY_US;
+	state->next_order_us = now_us + CONFLICT_DELAY_US;
 	if (change->phase == SKH_MAPCHANGE_HOLD) {
 		/* The pass has begun, or the rank already holds, which its report will show. */
 		change->switch_pass = MAX(change->switch_pass, state->report.pass) + LEAD_PASSES;
-		state->not_before_us = now_us;
+		state->next_order_us = now_us;
 	}
 }
 
 void skh_mapchange_record_result(skh_mapchange_t *change, uint32_t rank,
-				 skh_engine_order_result_t result, int64_t now_us)
+				 skh_mapchange_order_result_t result, int64_t now_us)
 {
 	skh_mapchange_rank_t *state = &change->ranks[rank];
 	skh_engine_op_t op = state->order_op;
@@ -379,19 +379,19 @@
 	state->is_order_pending = false;
 	if (has_ended(change))
 		return;
-	state->has_responded = state->has_responded || result != SKH_ENGINE_ORDER_NO_RESPONSE;
+	state->has_responded = state->has_responded || result != SKH_MAPCHANGE_ORDER_NO_RESPONSE;
 	switch (result) {
-	case SKH_ENGINE_ORDER_ACCEPTED:
+	case SKH_MAPCHANGE_ORDER_ACCEPTED:
 		process_accepted(change, state, op, now_us);
 		break;
-	case SKH_ENGINE_ORDER_CONFLICT:
+	case SKH_MAPCHANGE_ORDER_CONFLICT:
 		process_conflict(change, state, now_us);
 		break;
-	case SKH_ENGINE_ORDER_FENCED:
+	case SKH_MAPCHANGE_ORDER_FENCED:
 		fail(change, "a rank has seen a higher fence of another coordinator", now_us);
 		return;
-	case SKH_ENGINE_ORDER_NO_RESPONSE:
-		state->not_before_us = now_us + RETRY_DELAY_US;
+	case SKH_MAPCHANGE_ORDER_NO_RESPONSE:
+		state->next_order_us = now_us + RETRY_DELAY_US;
 		break;
 	}
 	advance(change, now_us);
--- a/src/mapchange.h
+++ b/src/mapchange.h
@@ -63,19 +63,19 @@
 	SKH_MAPCHANGE_ARM,
 	SKH_MAPCHANGE_DISARM,	 /* undo after a timeout of the proxy rank */
 	SKH_MAPCHANGE_UNDO_HOLD, /* undo: no rank is armed, release the hold */
-	SKH_MAPCHANGE_GO,	 /* all ranks are armed, release the hold */
+	SKH_MAPCHANGE_RELEASE,	 /* all ranks are armed, release the hold */
 	SKH_MAPCHANGE_SETTLE,	 /* wait for the switch */
 	SKH_MAPCHANGE_DONE,
 	SKH_MAPCHANGE_FAILED
 } skh_mapchange_phase_t;
 
-/** enum skh_engine_order_result - an engine's response to an order */
-typedef enum skh_engine_order_result {
-	SKH_ENGINE_ORDER_ACCEPTED,   /* started, done, or already in that state */
-	SKH_ENGINE_ORDER_CONFLICT,   /* not possible in the rank's state */
-	SKH_ENGINE_ORDER_FENCED,     /* the rank has seen a higher fence */
-	SKH_ENGINE_ORDER_NO_RESPONSE /* no response; the order may still be carried out */
-} skh_engine_order_result_t;
+/** enum skh_mapchange_order_result - an engine's response to an order */
+typedef enum skh_mapchange_order_result {
+	SKH_MAPCHANGE_ORDER_ACCEPTED,	/* started, done, or already in that state */
+	SKH_MAPCHANGE_ORDER_CONFLICT,	/* not possible in the rank's state */
+	SKH_MAPCHANGE_ORDER_FENCED,	/* the rank has seen a higher fence */
+	SKH_MAPCHANGE_ORDER_NO_RESPONSE /* no response; the order may still be carried out */
+} skh_mapchange_order_result_t;
 
 /** struct skh_mapchange_rank - known state of one rank */
 typedef struct skh_mapchange_rank {
@@ -89,7 +89,7 @@
 	bool is_order_pending;	  /* an order is in flight */
 	skh_engine_op_t order_op; /* kind of the last order */
 	int64_t order_sent_us;
-	int64_t not_before_us; /* earliest time of the next order, after a failed one */
+	int64_t next_order_us; /* earliest time of the next order, after a failed one */
 } skh_mapchange_rank_t;
 
 /** struct skh_mapchange - one change; initialised by skh_mapchange_init() */
@@ -145,11 +145,11 @@
  * flight until skh_mapchange_record_result().
  */
 bool skh_mapchange_next_order(skh_mapchange_t *change, uint32_t rank, int64_t now_us,
-			      skh_engine_order_t *order);
+			      skh_mapchange_order_t *order);
 
 /** skh_mapchange_record_result() - process the result of the order in flight to @rank */
 void skh_mapchange_record_result(skh_mapchange_t *change, uint32_t rank,
-				 skh_engine_order_result_t result, int64_t now_us);
+				 skh_mapchange_order_result_t result, int64_t now_us);
 
 /**
  * skh_mapchange_is_proxy_probe_due() - check whether to probe the proxy rank's engine
@@ -166,12 +166,12 @@
 void skh_mapchange_record_proxy_probe(skh_mapchange_t *change, int64_t sent_us);
 
 /**
- * skh_mapchange_can_withdraw() - check whether another change can replace this one
+ * skh_mapchange_can_replace() - check whether another change can replace this one
  *
  * Return: true when the ranks only prepare or copy experts and the group is not held
  * by this change.
  */
-bool skh_mapchange_can_withdraw(const skh_mapchange_t *change);
+bool skh_mapchange_can_replace(const skh_mapchange_t *change);
 
 /** skh_mapchange_tick() - apply timeouts; to be called periodically */
 void skh_mapchange_tick(skh_mapchange_t *change, int64_t now_us);
--- a/src/mapplan.c
+++ b/src/mapplan.c
@@ -24,7 +24,7 @@
 static void fill_set_input(set_input_t *set_input, const double *shares, const double *slowdowns,
 			   const uint32_t *map)
 {
-	uint32_t n_slots = set_input->engine_spec->expert_slots;
+	uint32_t n_slots = set_input->engine_spec->slots_per_rank;
 
 	for (uint32_t i = 0; i < set_input->engine_spec->experts_per_set; i++)
 		set_input->shares[i] = shares[i];
@@ -52,8 +52,8 @@
 	for (uint32_t rank = 0; rank < n_ranks; rank++) {
 		uint32_t empty = 0;
 
-		for (uint32_t i = 0; i < engine_spec->expert_slots; i++)
-			empty += map[rank * engine_spec->expert_slots + i] == 0;
+		for (uint32_t i = 0; i < engine_spec->slots_per_rank; i++)
+			empty += map[rank * engine_spec->slots_per_rank + i] == 0;
 		max_empty = MAX(max_empty, empty);
 	}
 	return max_empty;
@@ -66,7 +66,7 @@
 	set_input->engine_spec = engine_spec;
 	set_input->n_ranks = n_ranks;
 	set_input->n_filler_experts = find_max_empty_slots(engine_spec, n_ranks, map);
-	set_input->placement = g_new(uint32_t, n_ranks * engine_spec->expert_slots);
+	set_input->placement = g_new(uint32_t, n_ranks * engine_spec->slots_per_rank);
 	set_input->shares =
 		g_new(double, engine_spec->experts_per_set + set_input->n_filler_experts);
 	fill_set_input(set_input, shares, slowdowns, map);
@@ -84,7 +84,7 @@
 {
 	return (skh_rebalance_input_t){
 		.n_ranks = set_input->n_ranks,
-		.slots_per_rank = set_input->engine_spec->expert_slots,
+		.slots_per_rank = set_input->engine_spec->slots_per_rank,
 		.n_experts = set_input->engine_spec->experts_per_set + set_input->n_filler_experts,
 		.placement = set_input->placement,
 		.forecast_shares = set_input->shares,
@@ -125,7 +125,7 @@
 			   const skh_mapplan_options_t *options, const uint32_t *row_before,
 			   const uint32_t *row, uint32_t n_new_so_far)
 {
-	uint32_t in_set = count_new_experts(row_before, row, engine_spec->expert_slots);
+	uint32_t in_set = count_new_experts(row_before, row, engine_spec->slots_per_rank);
 
 	return in_set < engine_spec->max_new_experts &&
 	       n_new_so_far + in_set < options->max_copies_per_rank;
@@ -139,7 +139,7 @@
 			 const skh_mapplan_options_t *options, const skh_rebalance_plan_t *plan,
 			 const uint32_t *old_map, const uint32_t *n_new_so_far, uint32_t *map)
 {
-	uint32_t n_slots = engine_spec->expert_slots;
+	uint32_t n_slots = engine_spec->slots_per_rank;
 
 	(void)n_ranks;
 	for (uint32_t i = 0; i < plan->n_copies; i++) {
@@ -168,7 +168,7 @@
 {
 	return (skh_greedy_rebalance_input_t){
 		.n_ranks = n_ranks,
-		.slots_per_rank = engine_spec->expert_slots,
+		.slots_per_rank = engine_spec->slots_per_rank,
 		.n_experts = engine_spec->experts_per_set,
 		.shares = shares,
 		.slowdowns = slowdowns,
@@ -217,7 +217,7 @@
 			options->slowdowns);
 
 		rebalances[set] = skh_greedy_rebalance_new(
-			&input, map + (size_t)set * n_ranks * engine_spec->expert_slots,
+			&input, map + (size_t)set * n_ranks * engine_spec->slots_per_rank,
 			engine_spec->max_new_experts, copies_left);
 	}
 	while ((next = find_most_skewed(rebalances, is_exhausted, engine_spec->expert_sets,
@@ -233,7 +233,7 @@
 			  const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
 			  const uint32_t *n_new_so_far)
 {
-	size_t set_size = (size_t)n_ranks * engine_spec->expert_slots;
+	size_t set_size = (size_t)n_ranks * engine_spec->slots_per_rank;
 	g_autofree uint32_t *old_map = g_memdup2(map, set_size * sizeof(*map));
 	g_autofree skh_rebalance_plan_t *plan = g_new0(skh_rebalance_plan_t, 1);
 	set_input_t set_input;
@@ -254,7 +254,7 @@
 			   const skh_mapplan_options_t *options, const double *shares,
 			   uint32_t *map)
 {
-	size_t set_size = (size_t)n_ranks * engine_spec->expert_slots;
+	size_t set_size = (size_t)n_ranks * engine_spec->slots_per_rank;
 	uint32_t n_new_so_far[SKH_REBALANCE_MAX_RANKS] = { 0 };
 
 	for (uint32_t set = 0; set < engine_spec->expert_sets; set++) {
@@ -266,9 +266,9 @@
 			      n_new_so_far);
 		for (uint32_t rank = 0; rank < n_ranks; rank++)
 			n_new_so_far[rank] +=
-				count_new_experts(old_map + rank * engine_spec->expert_slots,
-						  set_map + rank * engine_spec->expert_slots,
-						  engine_spec->expert_slots);
+				count_new_experts(old_map + rank * engine_spec->slots_per_rank,
+						  set_map + rank * engine_spec->slots_per_rank,
+						  engine_spec->slots_per_rank);
 	}
 }
 
@@ -283,8 +283,9 @@
 			engine_spec, n_ranks, shares + (size_t)set * engine_spec->experts_per_set,
 			slowdowns);
 		skh_greedy_rebalance_t *rebalance = skh_greedy_rebalance_new(
-			&input, (uint32_t *)map + (size_t)set * n_ranks * engine_spec->expert_slots,
-			0, no_copies);
+			&input,
+			(uint32_t *)map + (size_t)set * n_ranks * engine_spec->slots_per_rank, 0,
+			no_copies);
 
 		sum += skh_greedy_rebalance_skew(rebalance);
 		skh_greedy_rebalance_free(rebalance);
@@ -295,7 +296,7 @@
 static void count_copies(const skh_engine_spec_t *engine_spec, uint32_t n_ranks,
 			 const uint32_t *old_map, const uint32_t *map, skh_mapplan_result_t *result)
 {
-	uint32_t n_slots = engine_spec->expert_slots;
+	uint32_t n_slots = engine_spec->slots_per_rank;
 
 	for (uint32_t rank = 0; rank < n_ranks; rank++) {
 		uint32_t n = 0;
@@ -317,14 +318,14 @@
 static void compact_rows(const skh_engine_spec_t *engine_spec, uint32_t n_ranks, uint32_t *map)
 {
 	for (size_t row = 0; row < (size_t)engine_spec->expert_sets * n_ranks; row++) {
-		uint32_t *slots = map + row * engine_spec->expert_slots;
+		uint32_t *slots = map + row * engine_spec->slots_per_rank;
 		uint32_t n = 0;
 
-		for (uint32_t i = 0; i < engine_spec->expert_slots; i++) {
+		for (uint32_t i = 0; i < engine_spec->slots_per_rank; i++) {
 			if (slots[i] > 0)
 				slots[n++] = slots[i];
 		}
-		memset(slots + n, 0, (engine_spec->expert_slots - n) * sizeof(*slots));
+		memset(slots + n, 0, (engine_spec->slots_per_rank - n) * sizeof(*slots));
 	}
 }
 
@@ -332,7 +333,7 @@
 			 const skh_mapplan_options_t *options, const double *shares, uint32_t *map,
 			 skh_mapplan_result_t *result)
 {
-	size_t size = (size_t)engine_spec->expert_sets * n_ranks * engine_spec->expert_slots;
+	size_t size = (size_t)engine_spec->expert_sets * n_ranks * engine_spec->slots_per_rank;
 	g_autofree uint32_t *old_map = g_memdup2(map, size * sizeof(*map));
 
 	*result = (skh_mapplan_result_t){
@@ -352,7 +353,7 @@
 static bool is_row_valid(const skh_engine_spec_t *engine_spec, const uint32_t *row,
 			 uint64_t *n_replicas)
 {
-	for (uint32_t i = 0; i < engine_spec->expert_slots; i++) {
+	for (uint32_t i = 0; i < engine_spec->slots_per_rank; i++) {
 		if (row[i] > engine_spec->experts_per_set)
 			return false;
 		for (uint32_t j = 0; row[i] > 0 && j < i; j++) {
@@ -376,7 +377,7 @@
 		for (uint32_t rank = 0; is_valid && rank < n_ranks; rank++)
 			is_valid = is_row_valid(engine_spec,
 						map + ((size_t)set * n_ranks + rank) *
-								engine_spec->expert_slots,
+								engine_spec->slots_per_rank,
 						n_replicas);
 		for (uint32_t i = 0; i < engine_spec->experts_per_set; i++)
 			is_valid = is_valid && n_replicas[i] > 0;
--- a/src/mapswitch.h
+++ b/src/mapswitch.h
@@ -41,10 +41,11 @@
  *
  * Return: false when there is no order to send.
  */
-bool skh_mapswitch_next_order(const skh_mapswitch_t *mapswitch, size_t rank, skh_order_t *order);
+bool skh_mapswitch_next_order(const skh_mapswitch_t *mapswitch, size_t rank,
+			      skh_mapswitch_order_t *order);
 
 /**
- * skh_mapswitch_record_reply() - process a rank's reply to an order
+ * skh_mapswitch_record_response() - process a rank's reply to an order
  * @mapswitch: switch in progress
  * @rank: rank that replied
  * @order: order that the reply is for; of the replies to earlier steps, only a fenced
@@ -53,8 +54,9 @@
  * @is_running_version: the rank's engine is not held and uses the new map. When this
  *	is so for all ranks in the first step, the switch is done and the group is not held.
  */
-void skh_mapswitch_record_reply(skh_mapswitch_t *mapswitch, size_t rank, const skh_order_t *order,
-				skh_order_outcome_t outcome, bool is_running_version);
+void skh_mapswitch_record_response(skh_mapswitch_t *mapswitch, size_t rank,
+				   const skh_mapswitch_order_t *order,
+				   skh_mapswitch_order_outcome_t outcome, bool is_running_version);
 
 /** skh_mapswitch_is_done() - true when all ranks use the new map and may run */
 bool skh_mapswitch_is_done(const skh_mapswitch_t *mapswitch);
--- a/src/rank.h
+++ b/src/rank.h
@@ -24,30 +24,30 @@
 extern "C" {
 #endif
 
-/** enum skh_order_step - the steps of a switch, in sequence */
-typedef enum skh_order_step {
+/** enum skh_mapswitch_order_step - the steps of a switch, in sequence */
+typedef enum skh_mapswitch_order_step {
 	SKH_STEP_PREPARE, /* copy the experts that the new map needs to the rank */
 	SKH_STEP_HOLD,	  /* start no further engine step */
 	SKH_STEP_SET,	  /* use the new map */
-	SKH_STEP_GO,	  /* release the engine */
+	SKH_STEP_RELEASE, /* release the engine */
 	SKH_STEP_COUNT
-} skh_order_step_t;
+} skh_mapswitch_order_step_t;
 
-/** struct skh_order - one order of the coordinator to one rank */
-typedef struct skh_order {
+/** struct skh_mapswitch_order - one order of the coordinator to one rank */
+typedef struct skh_mapswitch_order {
 	uint64_t fence; /* fencing token of the coordinator's lease */
-	skh_order_step_t step;
+	skh_mapswitch_order_step_t step;
 	uint64_t version; /* version of the map to switch to */
-} skh_order_t;
+} skh_mapswitch_order_t;
 
-/** enum skh_order_outcome - result of checking an order */
-typedef enum skh_order_outcome {
-	SKH_ORDER_DONE,		  /* the rank is already in the ordered state */
-	SKH_ORDER_FORWARD,	  /* send it to the engine, then call skh_rank_complete_order() */
-	SKH_ORDER_BUSY,		  /* another order is pending at the engine; retry */
-	SKH_ORDER_FENCED,	  /* rejected: an order with a higher fence was received */
-	SKH_ORDER_OUT_OF_SEQUENCE /* an earlier step is missing; restart from the first */
-} skh_order_outcome_t;
+/** enum skh_mapswitch_order_outcome - result of checking an order */
+typedef enum skh_mapswitch_order_outcome {
+	SKH_MAPSWITCH_ORDER_DONE,    /* the rank is already in the ordered state */
+	SKH_MAPSWITCH_ORDER_FORWARD, /* send it to the engine, then call skh_rank_complete_order() */
+	SKH_MAPSWITCH_ORDER_BUSY,    /* another order is pending at the engine; retry */
+	SKH_MAPSWITCH_ORDER_FENCED,  /* rejected: an order with a higher fence was received */
+	SKH_MAPSWITCH_ORDER_OUT_OF_SEQUENCE /* an earlier step is missing; restart from the first */
+} skh_mapswitch_order_outcome_t;
 
 /** struct skh_rank - state of one rank; initialised by skh_rank_init() */
 typedef struct skh_rank {
@@ -57,7 +57,7 @@
 	uint64_t hold_fence; /* fence under which the engine is held; 0 if not held or unknown */
 	bool may_be_held;    /* an earlier order may have left the engine held */
 	bool is_order_pending;
-	skh_order_t engine_order; /* order that was sent to the engine last */
+	skh_mapswitch_order_t engine_order; /* order that was sent to the engine last */
 } skh_rank_t;
 
 /**
@@ -68,9 +68,10 @@
 
 /**
  * skh_rank_handle_order() - check an order and decide what to do with it
- * Return: what the caller must do; after SKH_ORDER_FORWARD the order is pending.
+ * Return: what the caller must do; after SKH_MAPSWITCH_ORDER_FORWARD the order is pending.
  */
-skh_order_outcome_t skh_rank_handle_order(skh_rank_t *rank, const skh_order_t *order);
+skh_mapswitch_order_outcome_t skh_rank_handle_order(skh_rank_t *rank,
+						    const skh_mapswitch_order_t *order);
 
 /** skh_rank_is_running_version() - whether the engine is known to run with map @version */
 bool skh_rank_is_running_version(const skh_rank_t *rank, uint64_t version);
--- a/src/rank_liveness.c
+++ b/src/rank_liveness.c
@@ -7,7 +7,7 @@
 /* A request without any response data may still be queued at the rank, so it gets more time. */
 #define MAX_REQUEST_SILENCE_US ((int64_t)1400000)
 
-bool skh_rank_liveness_is_unreachable(const skh_rank_liveness_view_t *view)
+bool skh_rank_liveness_is_unreachable(const skh_rank_liveness_input_t *view)
 {
 	int64_t silent_since_us = view->last_received_us > view->busy_since_us
 					  ? view->last_received_us
--- a/src/rank_liveness.h
+++ b/src/rank_liveness.h
@@ -22,15 +22,15 @@
 extern "C" {
 #endif
 
-/** struct skh_rank_liveness_view - one rank as seen by a gateway; all times on one clock */
-typedef struct skh_rank_liveness_view {
+/** struct skh_rank_liveness_input - one rank as seen by a gateway; all times on one clock */
+typedef struct skh_rank_liveness_input {
 	uint32_t running;		/* requests of this gateway at the rank */
 	uint32_t streaming;		/* requests among @running whose response has begun */
 	int64_t last_received_us;	/* last bytes of any response from the rank */
 	int64_t busy_since_us;		/* since when the rank has had requests of this gateway */
 	int64_t group_last_received_us; /* last bytes of any response from any other rank */
 	int64_t now_us;
-} skh_rank_liveness_view_t;
+} skh_rank_liveness_input_t;
 
 /**
  * skh_rank_liveness_is_unreachable() - whether a rank with requests has been silent for too long
@@ -39,7 +39,7 @@
  * Return: true if the requests of the rank should be moved to other ranks; false if the rank
  * has no requests or if its whole group is silent.
  */
-bool skh_rank_liveness_is_unreachable(const skh_rank_liveness_view_t *view);
+bool skh_rank_liveness_is_unreachable(const skh_rank_liveness_input_t *view);
 
 #ifdef __cplusplus
 }
--- a/src/rank_poller.c
+++ b/src/rank_poller.c
@@ -73,7 +73,7 @@
 		return;
 	poller->has_engine_spec = true;
 	poller->engine_spec = *spec;
-	poller->snapshot.n_map = spec->expert_sets * spec->expert_slots;
+	poller->snapshot.n_map = spec->expert_sets * spec->slots_per_rank;
 	poller->snapshot.map = g_new0(uint32_t, poller->snapshot.n_map);
 	poller->n_counts = spec->expert_sets * spec->experts_per_set;
 	poller->last_counts = g_new0(double, poller->n_counts);
@@ -208,7 +208,7 @@
 	skh_error_t err;
 
 	if (!poller->dialect->read_map(body, poller->engine_spec.expert_sets,
-				       poller->engine_spec.expert_slots, poller->snapshot.map,
+				       poller->engine_spec.slots_per_rank, poller->snapshot.map,
 				       &version, &err)) {
 		skh_log(SKH_LOG_WARNING, PART, "Engine expert map could not be parsed.",
 			"reason=%s", err.text);
--- a/src/rankrelay.c
+++ b/src/rankrelay.c
@@ -46,7 +46,7 @@
 	return skh_chunk_hash(skh_chunk_make(map, n_slots * sizeof(*map)), 0);
 }
 
-static void pack_complete_map(const skh_engine_order_t *order, size_t n_slots,
+static void pack_complete_map(const skh_mapchange_order_t *order, size_t n_slots,
 			      Skh__RankOrder *message)
 {
 	message->map.len = n_slots * BYTES_PER_SLOT;
@@ -57,8 +57,8 @@
 	}
 }
 
-static void pack_map_differences(const skh_engine_order_t *order, const skh_versioned_map_t *base,
-				 Skh__RankOrder *message)
+static void pack_map_differences(const skh_mapchange_order_t *order,
+				 const skh_versioned_map_t *base, Skh__RankOrder *message)
 {
 	size_t last_slot = 0;
 
@@ -74,7 +74,7 @@
 	}
 }
 
-void skh_rankrelay_pack(const skh_engine_order_t *order, const skh_versioned_map_t *base,
+void skh_rankrelay_pack(const skh_mapchange_order_t *order, const skh_versioned_map_t *base,
 			const char *engine, skh_buffer_t *out)
 {
 	Skh__RankOrder message = SKH__RANK_ORDER__INIT;
@@ -181,8 +181,8 @@
 	return STATUS_OK;
 }
 
-int32_t skh_rankrelay_unpack(skh_chunk_t bytes, skh_map_cache_t *cache, skh_engine_order_t *order,
-			     char **engine)
+int32_t skh_rankrelay_unpack(skh_chunk_t bytes, skh_map_cache_t *cache,
+			     skh_mapchange_order_t *order, char **engine)
 {
 	Skh__RankOrder *message = skh__rank_order__unpack(NULL, bytes.len, bytes.data);
 	const skh_versioned_map_t *map;
@@ -193,12 +193,12 @@
 		return STATUS_BAD_REQUEST;
 	*engine = *message->engine ? g_strdup(message->engine) : NULL;
 	/* A retried order finds its map in the cache. */
-	if (message->op > SKH_ENGINE_GO)
+	if (message->op > SKH_ENGINE_RELEASE)
 		status = STATUS_BAD_REQUEST;
 	else if (message->op == SKH_ENGINE_PREPARE && !skh_map_cache_find(cache, message->version))
 		status = unpack_map(message, cache);
 	map = skh_map_cache_find(cache, message->version);
-	*order = (skh_engine_order_t){
+	*order = (skh_mapchange_order_t){
 		.op = (skh_engine_op_t)message->op,
 		.map_version = message->version,
 		.pass = message->pass,
@@ -281,7 +281,7 @@
 }
 
 static void start_order(skh_rankrelay_t *relay, skh_caller_conn_t *conn,
-			const skh_engine_order_t *order, skh_engine_client_t *engine)
+			const skh_mapchange_order_t *order, skh_engine_client_t *engine)
 {
 	pending_order_t *pending = g_new0(pending_order_t, 1);
 
@@ -304,7 +304,7 @@
 	skh_rankrelay_t *relay = context;
 	g_autofree char *address = NULL;
 	skh_engine_client_t *engine = NULL;
-	skh_engine_order_t order;
+	skh_mapchange_order_t order;
 	int32_t status = STATUS_BAD_REQUEST;
 
 	if (strcmp(request->request_target->str, SKH_RANKRELAY_PATH) == 0)
--- a/src/rankrelay.h
+++ b/src/rankrelay.h
@@ -73,7 +73,7 @@
  * @base: map that the relay has, so that only differences are sent; NULL for a complete map
  * @engine: "host:port" of the engine that gets the order; NULL for the one beside the relay
  */
-void skh_rankrelay_pack(const skh_engine_order_t *order, const skh_versioned_map_t *base,
+void skh_rankrelay_pack(const skh_mapchange_order_t *order, const skh_versioned_map_t *base,
 			const char *engine, skh_buffer_t *out);
 
 /**
@@ -82,8 +82,8 @@
  * @engine: as in skh_rankrelay_pack(); set to NULL or to a copy to free with g_free()
  * Return: 200, or the HTTP status with which to reject the order.
  */
-int32_t skh_rankrelay_unpack(skh_chunk_t bytes, skh_map_cache_t *cache, skh_engine_order_t *order,
-			     char **engine);
+int32_t skh_rankrelay_unpack(skh_chunk_t bytes, skh_map_cache_t *cache,
+			     skh_mapchange_order_t *order, char **engine);
 
 #ifdef __cplusplus
 }
--- a/src/retry_policy.c
+++ b/src/retry_policy.c
@@ -1,8 +1,8 @@
 #include "retry_policy.h"
 
-static bool can_retry(const skh_retry_policy_view_t *view)
+static bool can_retry(const skh_retry_policy_input_t *view)
 {
-	if (view->attempts >= SKH_RETRY_POLICY_MAX_ATTEMPTS ||
+	if (view->n_attempts >= SKH_RETRY_POLICY_MAX_ATTEMPTS ||
 	    view->now_us + SKH_RETRY_POLICY_MIN_TIME_LEFT_US >= view->deadline_us)
 		return false;
 	/* If an attempt may have run, a retry at another server may run the request once more. */
@@ -19,12 +19,12 @@
 	case SKH_END_LOST:
 	case SKH_END_STREAM_BROKEN:
 		return view->retry_mode != SKH_RETRY_MODE_NEVER && view->has_retry_budget &&
-		       !view->is_suspect;
+		       !view->is_retry_blocked;
 	}
 	return false;
 }
 
-skh_retry_decision_t skh_retry_policy_decide(const skh_retry_policy_view_t *view)
+skh_retry_decision_t skh_retry_policy_decide(const skh_retry_policy_input_t *view)
 {
 	if (can_retry(view))
 		return SKH_RETRY_DECISION_RETRY;
--- a/src/retry_policy.h
+++ b/src/retry_policy.h
@@ -27,18 +27,18 @@
 	SKH_END_STREAM_BROKEN /* a stream ended early after events had been delivered */
 } skh_attempt_end_t;
 
-/** struct skh_retry_policy_view - input of the decision */
-typedef struct skh_retry_policy_view {
+/** struct skh_retry_policy_input - input of the decision */
+typedef struct skh_retry_policy_input {
 	skh_attempt_end_t end;
 	skh_retry_mode_t retry_mode;
 	uint32_t possible_runs; /* attempts that may have run, the failed one included */
 	uint32_t max_runs;	/* the route's limit of @possible_runs */
-	uint32_t attempts;	/* attempts so far, whether run or not */
+	uint32_t n_attempts;	/* attempts so far, whether run or not */
 	bool has_retry_budget;	/* the retry budget has room */
-	bool is_suspect;	/* the request is a crash suspect */
+	bool is_retry_blocked;	/* the request is a crash suspect */
 	int64_t now_us;
 	int64_t deadline_us; /* the caller's deadline or the route's timeout */
-} skh_retry_policy_view_t;
+} skh_retry_policy_input_t;
 
 /** enum skh_retry_decision - what to do after a failed attempt */
 typedef enum skh_retry_decision {
@@ -55,7 +55,7 @@
 #define SKH_RETRY_POLICY_MIN_TIME_LEFT_US ((int64_t)60000)
 
 /** skh_retry_policy_decide() - decide what follows the failed attempt described by @view */
-skh_retry_decision_t skh_retry_policy_decide(const skh_retry_policy_view_t *view);
+skh_retry_decision_t skh_retry_policy_decide(const skh_retry_policy_input_t *view);
 
 #ifdef __cplusplus
 }
--- a/src/routing.h
+++ b/src/routing.h
@@ -49,7 +49,7 @@
 	int64_t timeout_us;	  /* from the receipt of a request to its deadline */
 	int64_t objective_us;	  /* latency objective; for a stream, until its first event */
 	int64_t gap_objective_us; /* objective for the time between two stream events */
-	uint32_t max_attempts;	  /* limit of the attempts that may have run the request */
+	uint32_t max_runs;	  /* limit of the attempts that may have run the request */
 	uint32_t priority;	  /* 0 is the highest */
 	uint32_t n_splits;
 	skh_traffic_split_t splits[SKH_ROUTING_MAX_SPLITS];
@@ -60,7 +60,7 @@
 	uint32_t request_slots;	    /* requests that a rank runs concurrently */
 	uint32_t expert_sets;	    /* sets of layers; each set has its own experts */
 	uint32_t experts_per_set;   /* number of experts in each set */
-	uint32_t expert_slots;	    /* slots for experts of one set at a rank */
+	uint32_t slots_per_rank;    /* slots for experts of one set at a rank */
 	uint32_t max_new_experts;   /* max new experts of one set copied to a rank per map switch */
 	double expert_time_ratio;   /* fraction of a step's duration spent in experts */
 	double expert_size_mb;	    /* size of one expert's weights, in megabytes */
@@ -75,8 +75,8 @@
 	char *name;
 	char *health_path;
 	uint32_t max_connections;
-	bool has_engine;
-	skh_engine_spec_t engine;
+	bool has_engine_spec;
+	skh_engine_spec_t engine_spec;
 } skh_service_info_t;
 
 /** struct skh_key_owner - the customer that an API key belongs to */
--- a/src/serve.c
+++ b/src/serve.c
@@ -202,7 +202,7 @@
 {
 	skh_metrics_observe(SKH_HIST_FIRST_BYTE, serving->request->customer,
 			    serving->request->priority_name,
-			    skh_clock_now_us() - serving->request->accepted_at_us);
+			    skh_clock_now_us() - serving->request->received_us);
 }
 
 static void save_response_head(serving_t *serving, const Skh__Data *data)
@@ -418,7 +418,7 @@
 	if (!is_complete && serving->fsm.error.run_state == SKH_RUN_UNKNOWN)
 		skh_metrics_add(SKH_COUNT_UNKNOWN, 1);
 	skh_metrics_observe(SKH_HIST_ANSWER, request->customer, request->priority_name,
-			    skh_clock_now_us() - request->accepted_at_us);
+			    skh_clock_now_us() - request->received_us);
 	skh_log(SKH_LOG_DEBUG, PART, is_complete ? "Request succeeded." : "Request failed.",
 		"request=%s customer=%s service=%s placements=%u kind=%s run=%s reason=%s",
 		request->request_id, request->customer, request->service, serving->fsm.dispatches,
--- a/src/serve.h
+++ b/src/serve.h
@@ -44,7 +44,7 @@
 	bool is_idempotent;
 	const char *idempotency_key;
 	uint64_t prefix_hash;
-	int64_t accepted_at_us;
+	int64_t received_us;
 	int64_t deadline_us;
 } skh_entry_request_t;
 
--- a/src/server_selection.c
+++ b/src/server_selection.c
@@ -17,18 +17,18 @@
  */
 #define DEFAULT_RESPONSE_MS 60.0
 
-static bool is_full(const skh_selection_view_t *view, const skh_candidate_t *candidate)
+static bool is_full(const skh_selection_input_t *view, const skh_candidate_t *candidate)
 {
 	return candidate->running >= candidate->slots + view->overcommit ||
 	       view->now_us < candidate->full_until_us;
 }
 
-static bool is_avoided(const skh_selection_view_t *view, const skh_candidate_t *candidate)
+static bool is_avoided(const skh_selection_input_t *view, const skh_candidate_t *candidate)
 {
 	return view->now_us < candidate->avoid_until_us;
 }
 
-static double estimate_cost(const skh_selection_view_t *view, const skh_candidate_t *candidate)
+static double estimate_cost(const skh_selection_input_t *view, const skh_candidate_t *candidate)
 {
 	double mean_ms =
 		candidate->mean_latency_ms > 0.0 ? candidate->mean_latency_ms : DEFAULT_RESPONSE_MS;
@@ -42,7 +42,7 @@
 	return (load + 1.0) / (double)candidate->slots * mean_ms;
 }
 
-static int32_t select_cheapest(const skh_selection_view_t *view, bool from_avoided)
+static int32_t select_cheapest(const skh_selection_input_t *view, bool from_avoided)
 {
 	int32_t best = SKH_SELECTION_NONE;
 	double best_cost = 0.0;
@@ -64,7 +64,7 @@
 	return best;
 }
 
-int32_t skh_select_server(const skh_selection_view_t *view)
+int32_t skh_select_server(const skh_selection_input_t *view)
 {
 	bool has_unavoided = false;
 
@@ -76,7 +76,7 @@
 	return select_cheapest(view, !has_unavoided);
 }
 
-bool skh_selection_has_candidate(const skh_selection_view_t *view)
+bool skh_selection_has_candidate(const skh_selection_input_t *view)
 {
 	for (uint32_t i = 0; i < view->n_candidates; i++) {
 		if (!view->candidates[i].is_excluded)
--- a/src/server_selection.h
+++ b/src/server_selection.h
@@ -38,15 +38,15 @@
 	bool is_excluded;	/* not eligible: leaving, or already tried by the request */
 } skh_candidate_t;
 
-/** struct skh_selection_view - all candidates of a service */
-typedef struct skh_selection_view {
+/** struct skh_selection_input - all candidates of a service */
+typedef struct skh_selection_input {
 	const skh_candidate_t *candidates;
 	uint32_t n_candidates;
 	bool is_lock_step;   /* the candidates are ranks of one lock-step group */
 	uint32_t overcommit; /* requests that a server may get in excess of its slots */
 	uint64_t random;     /* random number, breaks ties */
 	int64_t now_us;
-} skh_selection_view_t;
+} skh_selection_input_t;
 
 /**
  * skh_select_server() - select the server for one attempt
@@ -56,10 +56,10 @@
  * Return: index into the candidates, or SKH_SELECTION_NONE if every server that is considered
  * is full or none is eligible.
  */
-int32_t skh_select_server(const skh_selection_view_t *view);
+int32_t skh_select_server(const skh_selection_input_t *view);
 
 /** skh_selection_has_candidate() - whether any server is eligible, even if it is full now */
-bool skh_selection_has_candidate(const skh_selection_view_t *view);
+bool skh_selection_has_candidate(const skh_selection_input_t *view);
 
 #ifdef __cplusplus
 }
--- a/src/settings.c
+++ b/src/settings.c
@@ -64,12 +64,12 @@
 static const skh_field_t gateway_fields[] = {
 	TEXT("dialect", dialect, true),
 	TEXT("gossip_listen", gossip_listen, true),
-	TEXT("peers_prefix", peers_prefix, false),
-	INTEGER("poll_pace_ms", poll_pace_ms, 10, 60000),
-	INTEGER("poll_wait_ms", poll_wait_ms, 10, 30000),
+	TEXT("peers_prefix", gateways_prefix, false),
+	INTEGER("poll_pace_ms", poll_interval_ms, 10, 60000),
+	INTEGER("poll_wait_ms", poll_timeout_ms, 10, 30000),
 	INTEGER("key_trust_ms", key_trust_ms, 100, 86400000),
 	INTEGER("retry_percent", retry_percent, 0, 1000),
-	INTEGER("retry_least", retry_least, 0, 1000000),
+	INTEGER("retry_least", min_retries, 0, 1000000),
 	INTEGER("retry_window_ms", retry_window_ms, 1000, 600000),
 };
 static const skh_field_t balancer_fields[] = {
@@ -131,12 +131,12 @@
 	settings->backend_group = "";
 	settings->backend_capacity = 64;
 	settings->backend_queue = 64;
-	settings->peers_prefix = "skylarkhead/gateways/";
-	settings->poll_pace_ms = 400;
-	settings->poll_wait_ms = 1000;
+	settings->gateways_prefix = "skylarkhead/gateways/";
+	settings->poll_interval_ms = 400;
+	settings->poll_timeout_ms = 1000;
 	settings->key_trust_ms = 4000;
 	settings->retry_percent = 20;
-	settings->retry_least = 40;
+	settings->min_retries = 40;
 	settings->retry_window_ms = 10000;
 	settings->skew_weight = 1;
 	settings->cost_weight = 1;
--- a/src/settings.h
+++ b/src/settings.h
@@ -70,12 +70,12 @@
 	/* [gateway]: entry that sends requests to backend servers without sidecars */
 	const char *dialect;	   /* protocol variant for callers, servers and the store */
 	const char *gossip_listen; /* also "listen" of [balancer] */
-	const char *peers_prefix;
-	int64_t poll_pace_ms; /* interval between two polls of the store */
-	int64_t poll_wait_ms; /* timeout of a poll without changes */
+	const char *gateways_prefix;
+	int64_t poll_interval_ms; /* interval between two polls of the store */
+	int64_t poll_timeout_ms;  /* timeout of a poll without changes */
 	int64_t key_trust_ms; /* customers' keys stay valid this long after the last store response */
 	int64_t retry_percent; /* retries per 100 requests, for all gateways together */
-	int64_t retry_least;   /* retries always allowed in a window, for all gateways together */
+	int64_t min_retries;   /* retries always allowed in a window, for all gateways together */
 	int64_t retry_window_ms;
 	/*
 	 * [balancer]: runs beside a rank and takes part in placing its group's experts.
--- a/src/sidecar.c
+++ b/src/sidecar.c
@@ -156,10 +156,10 @@
 	if (!sidecar->engine)
 		return json_null();
 	skh_engine_get_view(sidecar->engine, &view);
-	return json_pack("{s:b, s:i, s:i, s:i, s:I, s:I, s:I}", "reported",
-			 view.reported_at_us != 0, "running", (int)view.running, "queued",
-			 (int)view.queued, "cached_prefixes", (int)view.cached_prefixes,
-			 "events_missed", (json_int_t)view.events_missed, "orders_done",
+	return json_pack("{s:b, s:i, s:i, s:i, s:I, s:I, s:I}", "reported", view.reported_us != 0,
+			 "running", (int)view.running, "queued", (int)view.queued,
+			 "cached_prefixes", (int)view.cached_prefixes, "events_missed",
+			 (json_int_t)view.events_missed, "orders_done",
 			 (json_int_t)view.orders_done, "orders_failed",
 			 (json_int_t)view.orders_failed);
 }
--- a/src/store.c
+++ b/src/store.c
@@ -61,7 +61,7 @@
 	return atomic_load(&call_count);
 }
 
-void skh_store_count_call(void)
+void skh_store_record_call(void)
 {
 	atomic_fetch_add(&call_count, 1);
 }
--- a/src/store.h
+++ b/src/store.h
@@ -195,8 +195,8 @@
 /** skh_store_call_count() - number of calls by all stores of this process */
 uint64_t skh_store_call_count(void);
 
-/** skh_store_count_call() - count one call; for implementations */
-void skh_store_count_call(void);
+/** skh_store_record_call() - count one call; for implementations */
+void skh_store_record_call(void);
 
 #ifdef __cplusplus
 }
--- a/src/store_etcd.c
+++ b/src/store_etcd.c
@@ -88,7 +88,7 @@
 	CURL *curl = new_curl_handle(store, endpoint, path, body, &headers);
 	CURLcode code;
 
-	skh_store_count_call();
+	skh_store_record_call();
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)store->timeout_ms);
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, skh_store_append_response);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, response);
@@ -383,7 +383,7 @@
 	CURL *curl = new_curl_handle(store, endpoint, "/v3/watch", body, &headers);
 	CURLcode code;
 
-	skh_store_count_call();
+	skh_store_record_call();
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_watch_bytes);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, &stream);
 	/* TCP keep-alive probes detect a service that no longer responds. */
--- a/test/backends_test.cc
+++ b/test/backends_test.cc
@@ -104,9 +104,9 @@
 	skh_target_result_t result = {};
 
 	result.expected_tokens = 1.0;
-	result.outcome = SKH_OUTCOME_WRONG_INSTANCE;
-	skh_target_begin_request(target, 1.0, skh_clock_boot_us());
-	skh_target_end_request(target, &result, skh_clock_boot_us());
+	result.outcome = SKH_TARGET_OUTCOME_WRONG_INSTANCE;
+	skh_target_begin_attempt(target, 1.0, skh_clock_boot_us());
+	skh_target_end_attempt(target, &result, skh_clock_boot_us());
 	for (int i = 0; i < 50; i++)
 		EXPECT_EQ(t.select(), "two");
 	EXPECT_TRUE(skh_target_pool_select(target->target_pool, nullptr,
--- a/test/claim_backlog_test.cc
+++ b/test/claim_backlog_test.cc
@@ -54,7 +54,7 @@
 	EXPECT_FALSE(skh_claim_backlog_next_due(backlog.get(), 1, &write));
 	ASSERT_TRUE(skh_claim_backlog_next_due(backlog.get(), kLater_us, &write));
 	EXPECT_EQ(7, write.expected_revision);
-	EXPECT_STREQ("/claims/k", write.path);
+	EXPECT_STREQ("/claims/k", write.store_key);
 	EXPECT_NE(0u, write.id & SKH_WIRE_LOCAL_ID_BIT);
 	EXPECT_FALSE(skh_claim_backlog_next_due(backlog.get(), 2 * kLater_us, &write));
 	skh_claim_backlog_mark_failed(backlog.get(), write.id, 2 * kLater_us);
--- a/test/claim_test.cc
+++ b/test/claim_test.cc
@@ -53,7 +53,7 @@
 
 	claim.state = SKH_CLAIM_DONE;
 	claim.owner = g_strdup("me");
-	claim.request_hash = 0xfedcba9876543210U;
+	claim.content_hash = 0xfedcba9876543210U;
 	claim.status = 201;
 	claim.content_type = g_strdup("application/json");
 	claim.has_response = true;
@@ -61,7 +61,7 @@
 	char *text = skh_claim_encode(&claim);
 	ASSERT_TRUE(skh_claim_decode(text, &decoded, &err));
 	EXPECT_EQ(decoded.state, SKH_CLAIM_DONE);
-	EXPECT_EQ(decoded.request_hash, claim.request_hash);
+	EXPECT_EQ(decoded.content_hash, claim.content_hash);
 	EXPECT_EQ(decoded.status, 201);
 	EXPECT_EQ(
 		std::string(reinterpret_cast<char *>(decoded.response.data), decoded.response.len),
@@ -86,7 +86,7 @@
 	skh_claim_t found = {};
 
 	found.owner = owner;
-	found.request_hash = 5;
+	found.content_hash = 5;
 	found.state = SKH_CLAIM_CLAIMED;
 	EXPECT_EQ(skh_claim_decide(&found, "me", 5), SKH_CLAIM_DECISION_OUTCOME_UNKNOWN);
 	EXPECT_EQ(skh_claim_decide(&found, "me", 6), SKH_CLAIM_DECISION_KEY_REUSED);
--- a/test/gateway_core_test.cc
+++ b/test/gateway_core_test.cc
@@ -35,14 +35,14 @@
 	return std::string(reinterpret_cast<const char *>(buffer.data), buffer.len);
 }
 
-skh_retry_policy_view_t make_lost_view(skh_retry_mode_t retry_mode)
+skh_retry_policy_input_t make_lost_view(skh_retry_mode_t retry_mode)
 {
-	skh_retry_policy_view_t view = {};
+	skh_retry_policy_input_t view = {};
 
 	view.end = SKH_END_LOST;
 	view.retry_mode = retry_mode;
 	view.possible_runs = 1;
-	view.attempts = 1;
+	view.n_attempts = 1;
 	view.max_runs = 2;
 	view.has_retry_budget = true;
 	view.deadline_us = kS;
@@ -77,7 +77,7 @@
 
 TEST(RetryPolicy, ARequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun)
 {
-	skh_retry_policy_view_t view = make_lost_view(SKH_RETRY_MODE_NEVER);
+	skh_retry_policy_input_t view = make_lost_view(SKH_RETRY_MODE_NEVER);
 
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	view.max_runs = 9;
@@ -85,7 +85,7 @@
 	// A later attempt that was not sent does not undo an earlier run.
 	view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 	view.end = SKH_END_UNREACHABLE;
-	view.attempts = SKH_RETRY_POLICY_MAX_ATTEMPTS;
+	view.n_attempts = SKH_RETRY_POLICY_MAX_ATTEMPTS;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	view.possible_runs = 0;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_REJECT);
@@ -93,7 +93,7 @@
 
 TEST(RetryPolicy, RetriesAreLimitedByAttemptsBudgetTimeAndSuspicion)
 {
-	skh_retry_policy_view_t view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
+	skh_retry_policy_input_t view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_RETRY);
 	view.possible_runs = 2;
@@ -102,7 +102,7 @@
 	view.has_retry_budget = false;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
-	view.is_suspect = true;
+	view.is_retry_blocked = true;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_OUTCOME_UNKNOWN);
 	view = make_lost_view(SKH_RETRY_MODE_ALLOWED);
 	view.now_us = view.deadline_us - kMs;
@@ -111,7 +111,7 @@
 
 TEST(RetryPolicy, ABrokenStreamIsResumedElsewhereOrClosedWithoutAnEndMark)
 {
-	skh_retry_policy_view_t view = make_lost_view(SKH_RETRY_MODE_RESUME_STREAM);
+	skh_retry_policy_input_t view = make_lost_view(SKH_RETRY_MODE_RESUME_STREAM);
 
 	view.end = SKH_END_STREAM_BROKEN;
 	EXPECT_EQ(skh_retry_policy_decide(&view), SKH_RETRY_DECISION_RETRY);
@@ -125,17 +125,17 @@
 	std::mt19937 random(7);
 
 	for (int i = 0; i < 20000; i++) {
-		skh_retry_policy_view_t view = {};
+		skh_retry_policy_input_t view = {};
 
 		view.end = static_cast<skh_attempt_end_t>(random() % 5);
 		view.retry_mode = static_cast<skh_retry_mode_t>(random() % 3);
 		view.possible_runs = random() % 3;
 		if (view.end >= SKH_END_ERROR)
 			view.possible_runs = std::max(view.possible_runs, 1U);
-		view.attempts = std::max(view.possible_runs, 1U) + random() % 4;
+		view.n_attempts = std::max(view.possible_runs, 1U) + random() % 4;
 		view.max_runs = 1 + random() % 3;
 		view.has_retry_budget = random() % 2;
-		view.is_suspect = random() % 2;
+		view.is_retry_blocked = random() % 2;
 		view.deadline_us = static_cast<int64_t>(random() % 2000) * kMs;
 		view.now_us = 500 * kMs;
 		skh_retry_decision_t decision = skh_retry_policy_decide(&view);
@@ -264,7 +264,7 @@
 	for (auto &candidate : candidates)
 		candidate.slots = 12;
 	for (int i = 0; i < 100; i++) {
-		skh_selection_view_t view = { candidates.data(), 12, true, 0, random(), kS };
+		skh_selection_input_t view = { candidates.data(), 12, true, 0, random(), kS };
 		int32_t selected = skh_select_server(&view);
 
 		ASSERT_GE(selected, 0);
@@ -290,7 +290,7 @@
 	candidates[3].slowdown = 5.0;
 	candidates[7].slowdown = 1.5;
 	for (int i = 0; i < 80; i++) {
-		skh_selection_view_t view = { candidates.data(), 12, true, 0, random(), kS };
+		skh_selection_input_t view = { candidates.data(), 12, true, 0, random(), kS };
 
 		candidates[skh_select_server(&view)].running++;
 	}
@@ -300,14 +300,14 @@
 	for (auto &candidate : candidates)
 		candidate.running = 12;
 	candidates[3].running = 0;
-	skh_selection_view_t view = { candidates.data(), 12, true, 0, 0, kS };
+	skh_selection_input_t view = { candidates.data(), 12, true, 0, 0, kS };
 	EXPECT_EQ(skh_select_server(&view), 3);
 }
 
 TEST(ServerSelection, FullAndExcludedServersAreNotSelected)
 {
 	std::vector<skh_candidate_t> candidates(3);
-	skh_selection_view_t view = { candidates.data(), 3, false, 0, 0, kS };
+	skh_selection_input_t view = { candidates.data(), 3, false, 0, 0, kS };
 
 	for (auto &candidate : candidates)
 		candidate.slots = 2;
@@ -329,7 +329,7 @@
 TEST(ServerSelection, AServerThatFailsHalfOfItsRequestsIsSelectedLast)
 {
 	std::vector<skh_candidate_t> candidates(3);
-	skh_selection_view_t view = { candidates.data(), 3, false, 0, 0, kS };
+	skh_selection_input_t view = { candidates.data(), 3, false, 0, 0, kS };
 
 	for (auto &candidate : candidates) {
 		candidate.slots = 6;
--- a/test/greedy_rebalance_test.cc
+++ b/test/greedy_rebalance_test.cc
@@ -41,7 +41,7 @@
 
 	engine_spec.expert_sets = sets;
 	engine_spec.experts_per_set = experts;
-	engine_spec.expert_slots = slots;
+	engine_spec.slots_per_rank = slots;
 	engine_spec.max_new_experts = max_new_experts;
 	return engine_spec;
 }
@@ -106,9 +106,9 @@
 
 	for (size_t group = 0; group < 2; group++) {
 		const skh_engine_spec_t &engine_spec = engine_specs[group];
-		std::vector<uint32_t> map =
-			make_round_robin_map(engine_spec.expert_sets, ranks[group],
-					     engine_spec.expert_slots, engine_spec.experts_per_set);
+		std::vector<uint32_t> map = make_round_robin_map(
+			engine_spec.expert_sets, ranks[group], engine_spec.slots_per_rank,
+			engine_spec.experts_per_set);
 		std::vector<double> slowdowns(ranks[group], 1.0);
 		std::vector<double> shares;
 		skh_mapplan_options_t options = {};
@@ -136,7 +136,7 @@
 		EXPECT_TRUE(skh_mapplan_is_valid(&engine_spec, ranks[group], map.data()));
 		// Engines report their experts without gaps.
 		for (size_t i = 0; i + 1 < map.size(); i++) {
-			if ((i + 1) % engine_spec.expert_slots != 0) {
+			if ((i + 1) % engine_spec.slots_per_rank != 0) {
 				ASSERT_TRUE(map[i] > 0 || map[i + 1] == 0);
 			}
 		}
@@ -268,8 +268,8 @@
 	std::vector<uint32_t> first = make_round_robin_map(2, 4, 3, 8);
 	std::vector<uint32_t> second = first;
 	skh_map_cache_t cache = {};
-	skh_engine_order_t order = {};
-	skh_engine_order_t unpacked = {};
+	skh_mapchange_order_t order = {};
+	skh_mapchange_order_t unpacked = {};
 	skh_buffer_t packed = SKH_BUFFER_INIT;
 	char *engine = nullptr;
 	const skh_versioned_map_t base = { 5, first.size(), first.data() };
--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -447,7 +447,7 @@
 
 		claim.state = state;
 		claim.owner = g_strdup(attempt.owner.c_str());
-		claim.request_hash = static_cast<uint64_t>(attempt.content);
+		claim.content_hash = static_cast<uint64_t>(attempt.content);
 		claim.content_type = g_strdup("");
 		claim.has_response = state == SKH_CLAIM_DONE;
 		skh_buffer_append_string(&claim.response, response.c_str());
--- a/test/map_test.cc
+++ b/test/map_test.cc
@@ -32,7 +32,7 @@
 	bool in_step = false;
 	uint64_t version = 1;
 	bool has_order = false;
-	skh_order_t order = {};
+	skh_mapswitch_order_t order = {};
 };
 
 // An order to a rank (@to_rank) or the reply of a rank to its coordinator.
@@ -40,8 +40,8 @@
 	bool to_rank = false;
 	size_t coordinator = 0;
 	size_t rank = 0;
-	skh_order_t order = {};
-	skh_order_outcome_t outcome = SKH_ORDER_DONE;
+	skh_mapswitch_order_t order = {};
+	skh_mapswitch_order_outcome_t outcome = SKH_MAPSWITCH_ORDER_DONE;
 	bool in_place = false;
 };
 
@@ -171,7 +171,7 @@
 			return;
 		if (planted_fault == PlantedFault::kEarlyGo && message.order.step == SKH_STEP_SET &&
 		    random_below(2) == 0)
-			message.order.step = SKH_STEP_GO;
+			message.order.step = SKH_STEP_RELEASE;
 		message.to_rank = true;
 		message.coordinator = c;
 		message.rank = rank;
@@ -201,29 +201,29 @@
 		if (message.to_rank)
 			handle_at_rank(message);
 		else
-			skh_mapswitch_record_reply(coordinators[message.coordinator].state.get(),
-						   message.rank, &message.order, message.outcome,
-						   message.in_place);
+			skh_mapswitch_record_response(coordinators[message.coordinator].state.get(),
+						      message.rank, &message.order, message.outcome,
+						      message.in_place);
 	}
 
 	void handle_at_rank(const Message &message)
 	{
 		skh_rank_t &rank = ranks[message.rank];
-		skh_order_t order = message.order;
+		skh_mapswitch_order_t order = message.order;
 		Message reply = message;
 
-		if (planted_fault == PlantedFault::kEarlyGo && order.step == SKH_STEP_GO)
+		if (planted_fault == PlantedFault::kEarlyGo && order.step == SKH_STEP_RELEASE)
 			rank.version = order.version;
 		reply.to_rank = false;
 		reply.outcome = planted_fault == PlantedFault::kNoFence
 					? handle_order_unfenced(message.rank, order)
 					: skh_rank_handle_order(&rank, &order);
-		if (planted_fault == PlantedFault::kNoHold && reply.outcome == SKH_ORDER_FORWARD &&
-		    order.step == SKH_STEP_HOLD) {
+		if (planted_fault == PlantedFault::kNoHold &&
+		    reply.outcome == SKH_MAPSWITCH_ORDER_FORWARD && order.step == SKH_STEP_HOLD) {
 			skh_rank_complete_order(&rank, true);
-			reply.outcome = SKH_ORDER_DONE;
+			reply.outcome = SKH_MAPSWITCH_ORDER_DONE;
 		}
-		if (reply.outcome == SKH_ORDER_FORWARD) {
+		if (reply.outcome == SKH_MAPSWITCH_ORDER_FORWARD) {
 			engines[message.rank].has_order = true;
 			engines[message.rank].order = order;
 			return;
@@ -233,20 +233,21 @@
 	}
 
 	// A rank that checks neither the fence nor the sequence of orders.
-	skh_order_outcome_t handle_order_unfenced(size_t index, const skh_order_t &order)
+	skh_mapswitch_order_outcome_t handle_order_unfenced(size_t index,
+							    const skh_mapswitch_order_t &order)
 	{
 		const Engine &engine = engines[index];
 
 		if (ranks[index].is_order_pending)
-			return SKH_ORDER_BUSY;
+			return SKH_MAPSWITCH_ORDER_BUSY;
 		if (order.step == SKH_STEP_PREPARE ||
 		    (order.step == SKH_STEP_HOLD && engine.held) ||
 		    (order.step == SKH_STEP_SET && engine.version == order.version) ||
-		    (order.step == SKH_STEP_GO && !engine.held))
-			return SKH_ORDER_DONE;
+		    (order.step == SKH_STEP_RELEASE && !engine.held))
+			return SKH_MAPSWITCH_ORDER_DONE;
 		ranks[index].is_order_pending = true;
 		ranks[index].engine_order = order;
-		return SKH_ORDER_FORWARD;
+		return SKH_MAPSWITCH_ORDER_FORWARD;
 	}
 
 	void run_engine(size_t index)
@@ -265,7 +266,7 @@
 			engine.held = true;
 		else if (engine.order.step == SKH_STEP_SET)
 			engine.version = engine.order.version;
-		else if (engine.order.step == SKH_STEP_GO)
+		else if (engine.order.step == SKH_STEP_RELEASE)
 			engine.held = false;
 		skh_rank_complete_order(&ranks[index], true);
 	}
@@ -342,7 +343,7 @@
 {
 	std::unique_ptr<skh_mapswitch_t, decltype(&skh_mapswitch_free)> mapswitch(
 		skh_mapswitch_new(2, 1, 7), skh_mapswitch_free);
-	skh_order_t order = {};
+	skh_mapswitch_order_t order = {};
 
 	EXPECT_TRUE(skh_mapswitch_next_order(mapswitch.get(), 1, &order));
 	EXPECT_FALSE(skh_mapswitch_next_order(mapswitch.get(), 2, &order));
--- a/test/mapchange_test.cc
+++ b/test/mapchange_test.cc
@@ -41,7 +41,7 @@
 struct Order {
 	size_t coordinator = 0;
 	uint32_t rank = 0;
-	skh_engine_order_t order = {};
+	skh_mapchange_order_t order = {};
 	bool has_response = true;
 	uint32_t sender_rank = 0; // rank whose process sends the order to the engine
 	uint64_t id = 0;
@@ -198,7 +198,7 @@
 		next_pass_us = now_us + 600 * kMs;
 	}
 
-	int prepare(Engine &engine, const skh_engine_order_t &order)
+	int prepare(Engine &engine, const skh_mapchange_order_t &order)
 	{
 		if (engine.armed_version != 0 || order.map_version <= engine.highest_version)
 			return 409;
@@ -208,7 +208,7 @@
 		return 202;
 	}
 
-	int arm(Engine &engine, const skh_engine_order_t &order)
+	int arm(Engine &engine, const skh_mapchange_order_t &order)
 	{
 		if (engine.armed_version == order.map_version && engine.armed_pass == order.pass)
 			return 200;
@@ -221,7 +221,7 @@
 		return 202;
 	}
 
-	int disarm(Engine &engine, const skh_engine_order_t &order)
+	int disarm(Engine &engine, const skh_mapchange_order_t &order)
 	{
 		if (engine.map_version == order.map_version)
 			return 409;
@@ -230,7 +230,7 @@
 		return 202;
 	}
 
-	int hold(Engine &engine, const skh_engine_order_t &order)
+	int hold(Engine &engine, const skh_mapchange_order_t &order)
 	{
 		if (engine.held_pass == order.pass)
 			return 200;
@@ -240,7 +240,7 @@
 		return 202;
 	}
 
-	int go(Engine &engine, const skh_engine_order_t &order)
+	int go(Engine &engine, const skh_mapchange_order_t &order)
 	{
 		if (engine.held_pass != order.pass)
 			return 200;
@@ -251,7 +251,7 @@
 	int execute_order(const Order &message)
 	{
 		Engine &engine = engines[message.rank];
-		const skh_engine_order_t &order = message.order;
+		const skh_mapchange_order_t &order = message.order;
 
 		if (order.epoch != epoch)
 			return 409;
@@ -265,7 +265,7 @@
 		return status;
 	}
 
-	int apply_order(Engine &engine, const skh_engine_order_t &order)
+	int apply_order(Engine &engine, const skh_mapchange_order_t &order)
 	{
 		switch (order.op) {
 		case SKH_ENGINE_PREPARE:
@@ -276,7 +276,7 @@
 			return disarm(engine, order);
 		case SKH_ENGINE_HOLD:
 			return hold(engine, order);
-		case SKH_ENGINE_GO:
+		case SKH_ENGINE_RELEASE:
 			return go(engine, order);
 		}
 		return 400;
@@ -323,7 +323,7 @@
 		}
 	}
 
-	void send_order(size_t coordinator_index, uint32_t rank, const skh_engine_order_t &order)
+	void send_order(size_t coordinator_index, uint32_t rank, const skh_mapchange_order_t &order)
 	{
 		Event event;
 
@@ -389,7 +389,7 @@
 	void receive_response(const Event &event)
 	{
 		Coordinator &coordinator = *coordinators[event.order.coordinator];
-		skh_engine_order_result_t result = SKH_ENGINE_ORDER_CONFLICT;
+		skh_mapchange_order_result_t result = SKH_MAPCHANGE_ORDER_CONFLICT;
 
 		if (!coordinator.is_alive || !coordinator.is_changing ||
 		    coordinator.pending_ids[event.order.rank] != event.order.id)
@@ -400,11 +400,11 @@
 		}
 		coordinator.pending_ids[event.order.rank] = 0;
 		if (event.status == 200 || event.status == 202)
-			result = SKH_ENGINE_ORDER_ACCEPTED;
+			result = SKH_MAPCHANGE_ORDER_ACCEPTED;
 		else if (event.status == 412)
-			result = SKH_ENGINE_ORDER_FENCED;
+			result = SKH_MAPCHANGE_ORDER_FENCED;
 		else if (event.status == 0)
-			result = SKH_ENGINE_ORDER_NO_RESPONSE;
+			result = SKH_MAPCHANGE_ORDER_NO_RESPONSE;
 		skh_mapchange_record_result(&coordinator.change, event.order.rank, result, now_us);
 		send_orders(event.order.coordinator);
 	}
@@ -483,7 +483,7 @@
 	void send_orders(size_t index)
 	{
 		Coordinator &coordinator = *coordinators[index];
-		skh_engine_order_t order;
+		skh_mapchange_order_t order;
 
 		for (uint32_t rank = 0; rank < engines.size(); rank++) {
 			if (skh_mapchange_next_order(&coordinator.change, rank, now_us, &order))
@@ -544,7 +544,7 @@
 
 		if (injected_fault == InjectedFault::kReleaseBeforeArmed &&
 		    change.phase == SKH_MAPCHANGE_ARM && change.ranks[0].is_armed)
-			change.phase = SKH_MAPCHANGE_GO;
+			change.phase = SKH_MAPCHANGE_RELEASE;
 		if (injected_fault == InjectedFault::kArmWithoutHold &&
 		    change.phase == SKH_MAPCHANGE_HOLD)
 			change.phase = SKH_MAPCHANGE_ARM;
--- a/test/rank_liveness_test.cc
+++ b/test/rank_liveness_test.cc
@@ -20,7 +20,7 @@
 	static constexpr size_t kRanks = 12;
 
 	std::mt19937 random;
-	std::array<skh_rank_liveness_view_t, kRanks> ranks = {};
+	std::array<skh_rank_liveness_input_t, kRanks> ranks = {};
 	int64_t now_us = 0;
 	int64_t next_pass_us = 0;
 	int64_t min_pass_ms = 50;
@@ -52,7 +52,7 @@
 			}
 		}
 		for (size_t i = 0; i < kRanks; i++) {
-			skh_rank_liveness_view_t view = ranks[i];
+			skh_rank_liveness_input_t view = ranks[i];
 
 			view.now_us = now_us;
 			view.group_last_received_us = 0;
