--- a/src/admission.h
+++ b/src/admission.h
@@ -8,7 +8,7 @@
  * exchange no counters, so each entry enforces an equal share of a limit: the
  * limit divided by the number of live entries.
  *
- * Owns the counters of all customers and does no I/O. The caller serialises
+ * Owns the counters of all customers and does no I/O. The owner serialises
  * calls. Times are in microseconds on the monotonic clock.
  */
 
--- a/src/backends.c
+++ b/src/backends.c
@@ -244,12 +244,12 @@
 	}
 }
 
-static bool was_tried(const GPtrArray *tried, const skh_target_t *target)
+static bool is_excluded(const GPtrArray *excluded_targets, const skh_target_t *target)
 {
-	return tried && g_ptr_array_find((GPtrArray *)tried, target, NULL);
+	return excluded_targets && g_ptr_array_find((GPtrArray *)excluded_targets, target, NULL);
 }
 
-skh_target_t *skh_target_pool_select(skh_target_pool_t *pool, const GPtrArray *tried,
+skh_target_t *skh_target_pool_select(skh_target_pool_t *pool, const GPtrArray *excluded_targets,
 				     int64_t now_us)
 {
 	g_autofree skh_candidate_t *candidates = g_new0(skh_candidate_t, pool->targets->len + 1);
@@ -276,7 +276,7 @@
 			.full_until_us = target->full_until_us,
 			.is_excluded = target->server->is_leaving || target->is_superseded ||
 				       now_us < target->wrong_instance_until_us ||
-				       was_tried(tried, target),
+				       is_excluded(excluded_targets, target),
 		};
 	}
 	selected = skh_select_server(&view);
--- a/src/backends.h
+++ b/src/backends.h
@@ -26,7 +26,7 @@
 typedef struct skh_target_pool skh_target_pool_t;
 
 /**
- * struct skh_target - one backend server; counted by reference
+ * struct skh_target - a gateway's state of one backend server; counted by reference
  *
  * The set of listed servers holds one reference and each request in flight another,
  * so a target stays valid after its server has left the roster.
@@ -97,10 +97,10 @@
 
 /**
  * skh_target_pool_select() - selects the server for a request
- * @tried: skh_target_t of servers that the request was sent to before, or NULL
+ * @excluded_targets: skh_target_t of servers that must not be selected, or NULL
  * Return: a borrowed target; NULL when all servers are full or excluded.
  */
-skh_target_t *skh_target_pool_select(skh_target_pool_t *pool, const GPtrArray *tried,
+skh_target_t *skh_target_pool_select(skh_target_pool_t *pool, const GPtrArray *excluded_targets,
 				     int64_t now_us);
 
 /**
--- a/src/claim_backlog.h
+++ b/src/claim_backlog.h
@@ -5,11 +5,12 @@
  * DOC: Claim backlog
  *
  * Holds claim records whose write failed because the key-value service was
- * unavailable: releases of claims and results of runs. Each is written later, but
- * never over a closed claim or a record of another owner. Without the write, requests
- * with the same idempotency key would get "outcome unknown" until that key expires.
+ * unavailable: records that state that nothing ran (SKH_CLAIM_NOT_RUN) and results of
+ * runs (SKH_CLAIM_DONE). Each is written later, but only over a claim in state
+ * SKH_CLAIM_CLAIMED of the same attempt, or where there is no record. Without the write,
+ * requests with the same idempotency key would get "outcome unknown" until that key expires.
  *
- * Owns copies of the records and does no I/O: the caller executes the writes,
+ * Owns copies of the records and does no I/O: the owner executes the writes,
  * reports their results and serialises calls. A write is given up after
  * SKH_CLAIM_MAX_KEY_AGE_MS, because its idempotency key has expired by then. Times are in
  * microseconds on the monotonic clock.
@@ -65,8 +66,8 @@
  * @found: value stored at the path, or NULL if there is none
  * @mod_revision: revision of @found
  *
- * If @found is an open claim of the same owner, or there is no record, the write is
- * due again at once with the new revision; otherwise it is removed.
+ * If @found is in state SKH_CLAIM_CLAIMED and of the same owner, or there is no record, the
+ * write is due again at once with the new revision; otherwise it is removed.
  */
 void skh_claim_backlog_resolve_conflict(skh_claim_backlog_t *backlog, uint64_t id,
 					const char *found, int64_t mod_revision, int64_t now_us);
--- a/src/coordinator.c
+++ b/src/coordinator.c
@@ -118,7 +118,7 @@
 }
 
 skh_coordinator_t *skh_coordinator_new(const skh_coordinator_options_t *options,
-				       const skh_engine_spec_t *spec)
+				       const skh_engine_spec_t *engine_spec)
 {
 	skh_coordinator_t *coordinator = g_new0(skh_coordinator_t, 1);
 	const skh_groupview_options_t view_options = {
@@ -132,9 +132,10 @@
 	coordinator->options = *options;
 	for (uint32_t rank = 0; rank < SKH_MAPCHANGE_MAX_RANKS; rank++)
 		coordinator->slowdowns[rank] = 1.0;
-	coordinator->demand = skh_demand_new(spec);
-	coordinator->counts = g_new0(double, (size_t)spec->expert_sets * spec->experts_per_set);
-	skh_groupview_init(&coordinator->view, &view_options, spec);
+	coordinator->demand = skh_demand_new(engine_spec);
+	coordinator->counts =
+		g_new0(double, (size_t)engine_spec->expert_sets * engine_spec->experts_per_set);
+	skh_groupview_init(&coordinator->view, &view_options, engine_spec);
 	return coordinator;
 }
 
--- a/src/coordinator.h
+++ b/src/coordinator.h
@@ -31,11 +31,11 @@
 
 /**
  * skh_coordinator_new() - create a coordinator that does not hold the lease
- * @spec: sets, experts and slots of the group's engines; copied
+ * @engine_spec: sets, experts and slots of the group's engines; copied
  * Return: owned by the caller; free with skh_coordinator_free().
  */
 skh_coordinator_t *skh_coordinator_new(const skh_coordinator_options_t *options,
-				       const skh_engine_spec_t *spec);
+				       const skh_engine_spec_t *engine_spec);
 void skh_coordinator_free(skh_coordinator_t *coordinator);
 
 /** skh_coordinator_set_weights() - replace the weights that later plans use */
@@ -64,7 +64,8 @@
 
 /**
  * skh_coordinator_format_slow_ranks() - list the ranks that take longer than usual for a pass
- * Return: one line "host:port slowdown" for each slow rank, "" if there is none; free with g_free().
+ * Return: one line "address:port slowdown" for each slow rank, "" if there is none; free with
+ *	g_free().
  */
 char *skh_coordinator_format_slow_ranks(const skh_coordinator_t *coordinator);
 
@@ -73,7 +74,7 @@
 
 /**
  * skh_coordinator_probe_engine() - ask an engine of the service for its rank
- * @address: "host:port"
+ * @address: "address:port"
  *
  * One probe runs at a time.
  *
--- a/src/count_codec.h
+++ b/src/count_codec.h
@@ -5,7 +5,7 @@
  * DOC: Count codec
  *
  * Encodes expert counts in four bits each, on a logarithmic scale relative to the
- * greatest count. The functions are pure and run on any thread.
+ * maximum count. The functions are pure and run on any thread.
  *
  * Ranks report hundreds of counts to their coordinator a few times a second
  * within a small byte rate. Only the proportions matter, mainly those of the large
@@ -30,9 +30,9 @@
  * @counts: counts to encode, [@n]; none is negative
  * @packed: receives skh_count_codec_encoded_size(@n) bytes
  *
- * Counts far below the greatest one are encoded as 0.
+ * Counts far below the maximum are encoded as 0.
  *
- * Return: the greatest count, rounded down; needed for decoding.
+ * Return: the maximum count, rounded down; needed for decoding.
  */
 uint32_t skh_count_codec_encode(const double *counts, size_t n, uint8_t *packed);
 
--- a/src/count_reporter.h
+++ b/src/count_reporter.h
@@ -5,7 +5,7 @@
  * DOC: Count reporter
  *
  * Accumulates the expert counts of one rank and decides when to report them to the
- * coordinator. It does no I/O and reads no clock; the caller serialises all calls
+ * coordinator. It does no I/O and reads no clock; the owner serialises all calls
  * on one object. Times are in microseconds of the caller's clock.
  *
  * A rank has a budget of about a kilobyte per second, and a complete report of a
--- a/src/crash_suspects.h
+++ b/src/crash_suspects.h
@@ -12,7 +12,7 @@
  * retried, then rejected. Requests are identified by a hash of their content, so that
  * one sent again under a new id is recognised.
  *
- * Owns its records and does no I/O. The caller serialises calls. Times are in
+ * Owns its records and does no I/O. The owner serialises calls. Times are in
  * microseconds on one monotonic clock.
  */
 
--- a/src/demand.h
+++ b/src/demand.h
@@ -10,7 +10,7 @@
  * tokens of all ranks change to other experts from one pass to the next. A sample that
  * differs from the earlier counts and begins after the first pass counted in them
  * indicates a shift; the counts from before the shift are then discarded. Owns its
- * arrays; does no I/O and takes no locks, so the caller serialises access. Times are
+ * arrays; does no I/O and takes no locks, so the owner serialises access. Times are
  * monotonic, in microseconds.
  */
 
--- a/src/dialect.h
+++ b/src/dialect.h
@@ -55,7 +55,7 @@
 	double slowdown;	  /* time that the rank takes; 1 is normal */
 } skh_engine_report_t;
 
-/** enum skh_engine_op - orders of a map switch */
+/** enum skh_engine_op - orders of a map change (mapchange.h) */
 typedef enum skh_engine_op {
 	SKH_ENGINE_PREPARE, /* copy the experts' weights that the map needs */
 	SKH_ENGINE_ARM,	    /* switch to @map_version at the beginning of @pass */
@@ -93,15 +93,15 @@
 typedef struct skh_dialect {
 	const char *name;
 	const char *headers[SKH_HEADER_COUNT];
-	const char *auth_scheme;    /* authorization scheme of callers' keys */
-	const char *config_key;	    /* store key of the configuration */
+	const char *auth_scheme;    /* authorization scheme of callers' API keys */
+	const char *config_key;	    /* store key of the gateways' routing configuration */
 	const char *servers_prefix; /* store prefix of the list of backend servers */
 	const char *order_path;
 	const char *report_path;
 	const char *counts_path;
 	const char *map_path;
 	skh_store_t *(*open_store)(const char *endpoint, int64_t timeout_ms);
-	/* Parses the operators' configuration; free with skh_routing_free(). */
+	/* Parses the gateways' routing configuration; free with skh_routing_free(). */
 	skh_routing_t *(*read_config)(skh_chunk_t text, skh_error_t *err);
 	/* Parses the list entry of server @id; free with skh_server_free(). */
 	skh_server_t *(*read_server)(const char *id, skh_chunk_t text, skh_error_t *err);
--- a/src/downstream.h
+++ b/src/downstream.h
@@ -32,7 +32,7 @@
 			   const skh_http_message_t *request);
 	/* Caller disconnected before the response ended. Last callback for @exchange. */
 	void (*on_disconnect)(void *context, void *exchange);
-	/* Write backlog reported by skh_caller_conn_has_write_backlog() has drained. */
+	/* Write backlog reported by skh_caller_conn_has_write_backlog() has been sent. */
 	void (*on_writable)(void *context, void *exchange);
 } skh_listener_ops_t;
 
@@ -89,7 +89,7 @@
 /** struct skh_response_head - status line and headers of a response */
 typedef struct skh_response_head {
 	int32_t status;
-	const char *reason;
+	const char *reason;    /* reason phrase */
 	const char *headers;   /* complete lines, each with CRLF */
 	bool is_chunked;       /* chunked transfer encoding; false for Content-Length */
 	size_t content_length; /* bytes of the body; unused if chunked */
--- a/src/election.c
+++ b/src/election.c
@@ -266,12 +266,12 @@
 	g_mutex_unlock(&election->lock);
 }
 
-GPtrArray *skh_election_get_servers(skh_election_t *election, bool wanted)
+GPtrArray *skh_election_get_servers(skh_election_t *election, bool keep_updated)
 {
 	GPtrArray *servers;
 
 	g_mutex_lock(&election->lock);
-	election->wants_servers = wanted;
+	election->wants_servers = keep_updated;
 	servers = g_ptr_array_ref(election->servers);
 	g_mutex_unlock(&election->lock);
 	return servers;
--- a/src/election.h
+++ b/src/election.h
@@ -24,7 +24,7 @@
 	const skh_dialect_t *dialect;
 	const char *prefix;	    /* prefix of the group's keys; ends with a slash */
 	const char *slow_ranks_key; /* key of the notice to gateways */
-	const char *address;	    /* "host:port" where this process receives reports */
+	const char *address;	    /* "address:port" where this process receives reports */
 	const char *service;	    /* service whose engines are coordinated */
 } skh_election_options_t;
 
@@ -33,7 +33,7 @@
 	bool is_holder;
 	int64_t fence;		      /* fencing token of this process's lease */
 	int64_t lease_deadline_us;    /* boot clock; the holder must not act later */
-	char coordinator_address[64]; /* "host:port" of the lease holder, "" if unknown */
+	char coordinator_address[64]; /* "address:port" of the lease holder, "" if unknown */
 	bool has_engine_spec;
 	skh_engine_spec_t engine_spec; /* from the configuration in the store */
 } skh_election_view_t;
@@ -56,10 +56,10 @@
 
 /**
  * skh_election_get_servers() - addresses of the service's backend servers as last read
- * @wanted: keep reading the list from the store while this process holds the lease
- * Return: strings "host:port"; release with g_ptr_array_unref().
+ * @keep_updated: keep reading the list from the store while this process holds the lease
+ * Return: strings "address:port"; release with g_ptr_array_unref().
  */
-GPtrArray *skh_election_get_servers(skh_election_t *election, bool wanted);
+GPtrArray *skh_election_get_servers(skh_election_t *election, bool keep_updated);
 
 /**
  * skh_election_set_slow_ranks() - set the notice about the group that gateways read from the store
--- a/src/engine_client.h
+++ b/src/engine_client.h
@@ -30,7 +30,7 @@
 
 /**
  * skh_engine_client_new() - create a client for one engine
- * @address: "host:port", copied; with an invalid address every call fails with status 0
+ * @address: "address:port", copied; with an invalid address every call fails with status 0
  * @options: must outlive the client
  * Return: the client; release with skh_engine_client_free().
  */
--- a/src/fair_queue.h
+++ b/src/fair_queue.h
@@ -10,7 +10,7 @@
  * that sends more than its share delays only its own requests.
  *
  * Owns the counters of the customers, but not the requests, and does no I/O. The
- * caller serialises calls.
+ * owner serialises calls.
  */
 
 #include <stdbool.h>
--- a/src/feed.h
+++ b/src/feed.h
@@ -4,7 +4,7 @@
 /**
  * DOC: Feed from the store
  *
- * A thread of a gateway that reads the operators' configuration, the list of
+ * A thread of a gateway that reads the gateways' routing configuration, the list of
  * backend servers, the other gateways and the slow ranks from the store. It
  * publishes configuration and servers on the blackboard and registers the
  * gateway under a lease. Owns its thread, which makes all store calls; the
--- a/src/forecast.h
+++ b/src/forecast.h
@@ -2,11 +2,11 @@
 #define SKH_FORECAST_H
 
 /**
- * DOC: Forecast of expert popularity
+ * DOC: Forecast of expert demand
  *
  * Smooths token counts per expert, which arrive late and with gaps, and predicts
  * each expert's share of the tokens of the next interval. Owns its arrays; does no
- * I/O and takes no locks, so the caller serialises access. A share is a fraction
+ * I/O and takes no locks, so the owner serialises access. A share is a fraction
  * of all tokens.
  */
 
@@ -58,9 +58,9 @@
  * @n: number of experts
  * @predicted: receives the expected shares after the shift, [@n]
  *
- * Requests that began before a shift still use the experts that were popular then,
+ * Requests that began before a shift still use the experts in demand before it,
  * so the counts are a mixture for a while. The progress of the shift is estimated
- * from the largest relative loss among the experts that were popular before it.
+ * from the largest relative loss among those experts.
  *
  * Return: progress of the shift, 0 to 1.
  */
--- a/src/gateway.h
+++ b/src/gateway.h
@@ -4,8 +4,8 @@
 /**
  * DOC: Gateway
  *
- * An entry that sends requests directly to backend servers, from one event loop.
- * Keeps no persistent state.
+ * The process that sends callers' requests directly to backend servers, without
+ * sidecars, from one event loop. Keeps no persistent state.
  */
 
 #include "backends.h"
--- a/src/gossip.h
+++ b/src/gossip.h
@@ -2,9 +2,9 @@
 #define SKH_GOSSIP_H
 
 /**
- * DOC: Load reports between gateways
+ * DOC: Gossip reports between gateways
  *
- * Gossip over UDP: each gateway reports to all others how many requests it has
+ * Over UDP, each gateway reports to all others how many requests it has
  * in flight at each backend server and which requests are suspected of crashing
  * servers. Owns the UDP socket, the addresses of the other gateways and the
  * newest report of each. Runs on the gateway's event loop thread.
--- a/src/group_member.h
+++ b/src/group_member.h
@@ -7,9 +7,9 @@
  * Connects the state machines of rank.h and mapswitch.h to the network, at the
  * sidecar of an engine that belongs to a group. It forwards map switch orders
  * to its own engine and, while its sidecar leads the group, switches all ranks
- * to the placement in the current configuration. It owns the HTTP transfers to
- * the engine and the thread of leader.h. All functions run on the sidecar's event
- * loop thread; times are in microseconds of skh_clock_now_us(). A failed order is
+ * to the expert map of the placement in the configuration in force. It owns the
+ * HTTP transfers to the engine and the thread of leader.h. All functions run on the
+ * sidecar's event loop thread; times are in microseconds of skh_clock_now_us(). A failed order is
  * logged here; the leader retries it.
  */
 
--- a/src/groupview.c
+++ b/src/groupview.c
@@ -22,9 +22,9 @@
 #define LOG_INTERVAL_US (500 * SKH_US_PER_MS)
 
 void skh_groupview_init(skh_groupview_t *view, const skh_groupview_options_t *options,
-			const skh_engine_spec_t *spec)
+			const skh_engine_spec_t *engine_spec)
 {
-	*view = (skh_groupview_t){ .options = *options, .engine_spec = *spec };
+	*view = (skh_groupview_t){ .options = *options, .engine_spec = *engine_spec };
 }
 
 void skh_groupview_clear(skh_groupview_t *view)
--- a/src/groupview.h
+++ b/src/groupview.h
@@ -77,10 +77,10 @@
 
 /**
  * skh_groupview_init() - start with an empty view
- * @spec: sets, experts and slots of the group's engines; copied
+ * @engine_spec: sets, experts and slots of the group's engines; copied
  */
 void skh_groupview_init(skh_groupview_t *view, const skh_groupview_options_t *options,
-			const skh_engine_spec_t *spec);
+			const skh_engine_spec_t *engine_spec);
 void skh_groupview_clear(skh_groupview_t *view);
 
 /**
--- a/src/instances.h
+++ b/src/instances.h
@@ -26,7 +26,7 @@
 	char *id;
 	char *role;	     /* "entry" or "sidecar" */
 	char *link_address;  /* ZeroMQ address of a sidecar, "" for an entry */
-	char *admin_address; /* host:port of the administration listener, "" if not listed */
+	char *admin_address; /* address:port of the administration listener, "" if not listed */
 	char *failure_domain;
 	bool is_leaving; /* the instance is about to stop */
 } skh_instance_t;
--- a/src/layout.h
+++ b/src/layout.h
@@ -7,7 +7,7 @@
  * Working copy of an expert placement that the rebalancer (rebalance.h) modifies:
  * the expert in each slot, the ranks that hold each expert, the load of each rank,
  * and trials that compute the effect of a change before it is made. Owns its arrays;
- * does no I/O and takes no locks, so the caller serialises access. A load is work
+ * does no I/O and takes no locks, so the owner serialises access. A load is work
  * divided by speed, in the unit of the forecast shares.
  */
 
--- a/src/mapchange.h
+++ b/src/mapchange.h
@@ -9,7 +9,7 @@
  * switch maps at a pass given in advance. All ranks must use the same map in every
  * pass, although an order without a response may be carried out seconds later, and
  * coordinators may crash, overlap or resume after a freeze. The module sends
- * nothing: the caller sends the orders, passes in reports and results, and
+ * nothing: the owner of the struct sends the orders, passes in reports and results, and
  * serialises all calls on a change. Times are monotonic, in microseconds.
  *
  * A prepare order lets a rank copy the experts of the new map; an arm order makes it
@@ -81,7 +81,7 @@
 typedef struct skh_mapchange_rank {
 	bool has_reported;	    /* @report is valid */
 	skh_engine_report_t report; /* newest report */
-	int64_t reported_us;
+	int64_t reported_us;	    /* when @report was received */
 	bool has_responded;	  /* has responded to an order of this change, so knows the fence */
 	bool has_prepared;	  /* has accepted the prepare order of this change */
 	bool is_armed;		  /* is armed for this change */
@@ -107,7 +107,7 @@
 	int64_t held_since_us;	/* time of the hold; 0 before it and after it was undone */
 	int64_t proxy_probe_us; /* send time of the newest probe that the proxy rank responded to */
 	int64_t others_armed_since_us; /* when all ranks but the proxy rank were armed; 0 if not */
-	const char *cause;	       /* reason of a failure; static text, NULL without one */
+	const char *cause;	       /* cause of a failure; static text, NULL without one */
 	skh_mapchange_rank_t ranks[SKH_MAPCHANGE_MAX_RANKS];
 } skh_mapchange_t;
 
--- a/src/mapplan.h
+++ b/src/mapplan.h
@@ -11,7 +11,8 @@
  * as long as nobody else uses the arguments. A skew is the maximum rank load, with
  * each load multiplied by the rank's slowdown, divided by the mean load at normal
  * speed; 1 is perfectly balanced when no rank is slow. A map holds expert + 1 in each
- * slot, or 0 for an empty slot, [sets][ranks][slots].
+ * slot, or 0 for an empty slot, [sets][ranks][slots]; a placement (rebalance.h) holds
+ * expert numbers from 0 instead and has no empty slots.
  */
 
 #include "dialect.h"
--- a/src/mapswitch.h
+++ b/src/mapswitch.h
@@ -4,9 +4,9 @@
 /**
  * DOC: Stepwise switch of an expert map
  *
- * Coordinator side of a switch in which every rank must confirm a step before any
+ * Leader side of a switch in which every rank must confirm a step before any
  * rank is sent the next one; rank.h implements the side of the ranks. For engines that
- * switch at a pass given in advance, see mapchange.h instead. A coordinator that crashes
+ * switch at a pass given in advance, see mapchange.h instead. A leader that crashes
  * leaves the group running or held; its successor starts again from the first step
  * under a higher fencing token (fence). Sends nothing itself and takes no locks: the
  * caller sends the orders and serialises access.
--- a/src/peer_selection.h
+++ b/src/peer_selection.h
@@ -19,7 +19,7 @@
 #endif
 
 #define SKH_PEER_QUERY_MAX_TRIED 16
-/** SKH_MAX_NO_QUEUE_ATTEMPTS - attempts of a request before one may be queued at a full server */
+/** SKH_MAX_NO_QUEUE_ATTEMPTS - attempts of a request before one may be queued at a full sidecar */
 #define SKH_MAX_NO_QUEUE_ATTEMPTS 7
 
 /** struct skh_peer_query - requirements of one attempt */
@@ -27,7 +27,7 @@
 	const char *service;
 	const char *failure_domain; /* failure domain of the entry */
 	uint64_t prefix_hash;	    /* hash of the prompt's prefix; 0 for no affinity */
-	double prefix_share;	    /* ratio of requests with the same prefix, see prefix_share.h */
+	double prefix_share;	    /* share of requests with the same prefix, see prefix_share.h */
 	const char *tried[SKH_PEER_QUERY_MAX_TRIED]; /* ids of peers that are not selected again */
 	size_t n_tried;
 } skh_peer_query_t;
--- a/src/prefix_share.h
+++ b/src/prefix_share.h
@@ -7,7 +7,7 @@
  * Estimates the share of an entry's recent requests that have the same prompt prefix,
  * counted over two windows in a table of fixed size.
  *
- * Owns the table and does no I/O. The caller serialises calls. Times are in
+ * Owns the table and does no I/O. The owner serialises calls. Times are in
  * microseconds on the monotonic clock.
  */
 
--- a/src/quarantine.h
+++ b/src/quarantine.h
@@ -30,7 +30,7 @@
  * skh_quarantine_start() - start to read and write the shared records
  * @store: key-value service; borrowed until skh_quarantine_stop()
  * @store_prefix: prefix of all keys, ending in a slash; copied, "suspects/" is appended
- * Return: new instance; stop and free it with skh_quarantine_stop().
+ * Return: the quarantine; stop and free it with skh_quarantine_stop().
  */
 skh_quarantine_t *skh_quarantine_start(skh_store_t *store, const char *store_prefix);
 
@@ -55,9 +55,10 @@
 				 uint64_t crash_id);
 
 /**
- * skh_quarantine_clear() - remove a request, after a complete response or by an operator
+ * skh_quarantine_clear() - remove the crashes recorded for a request
  *
- * Does not wait for the key-value service; the deletions are queued.
+ * Called after a complete response, or for an operator. Does not wait for the key-value
+ * service; the deletions are queued.
  * Return: true when crashes were recorded for @content_hash.
  */
 bool skh_quarantine_clear(skh_quarantine_t *quarantine, uint64_t content_hash);
--- a/src/rank.h
+++ b/src/rank.h
@@ -5,7 +5,7 @@
  * DOC: Rank side of an expert map switch
  *
  * State machine in a rank's sidecar that checks each order of a map switch before it is sent to
- * the engine. The orders come from the coordinator, the sidecar that leads the group (leader.h).
+ * the engine. The orders come from the leader, the sidecar that holds the group's lease (leader.h).
  * All orders pass through this state machine, so an engine that ignores fencing tokens is as safe
  * as one that checks them. Does no I/O and cannot fail; the owner of the struct serialises calls.
  *
@@ -33,9 +33,9 @@
 	SKH_STEP_COUNT
 } skh_mapswitch_order_step_t;
 
-/** struct skh_mapswitch_order - one order of the coordinator to one rank */
+/** struct skh_mapswitch_order - one order of the leader to one rank */
 typedef struct skh_mapswitch_order {
-	uint64_t fence; /* fencing token of the coordinator's lease */
+	uint64_t fence; /* fencing token of the leader's lease */
 	skh_mapswitch_order_step_t step;
 	uint64_t version; /* version of the map to switch to */
 } skh_mapswitch_order_t;
--- a/src/rank_poller.c
+++ b/src/rank_poller.c
@@ -67,15 +67,16 @@
 	g_free(poller);
 }
 
-void skh_rank_poller_set_engine_spec(skh_rank_poller_t *poller, const skh_engine_spec_t *spec)
+void skh_rank_poller_set_engine_spec(skh_rank_poller_t *poller,
+				     const skh_engine_spec_t *engine_spec)
 {
-	if (poller->has_engine_spec || spec->expert_sets == 0)
+	if (poller->has_engine_spec || engine_spec->expert_sets == 0)
 		return;
 	poller->has_engine_spec = true;
-	poller->engine_spec = *spec;
-	poller->snapshot.n_map = spec->expert_sets * spec->slots_per_rank;
+	poller->engine_spec = *engine_spec;
+	poller->snapshot.n_map = engine_spec->expert_sets * engine_spec->slots_per_rank;
 	poller->snapshot.map = g_new0(uint32_t, poller->snapshot.n_map);
-	poller->n_counts = spec->expert_sets * spec->experts_per_set;
+	poller->n_counts = engine_spec->expert_sets * engine_spec->experts_per_set;
 	poller->last_counts = g_new0(double, poller->n_counts);
 	poller->count_deltas = g_new0(double, poller->n_counts);
 }
--- a/src/rank_poller.h
+++ b/src/rank_poller.h
@@ -61,11 +61,12 @@
 
 /**
  * skh_rank_poller_set_engine_spec() - set the numbers of expert sets, experts and slots
- * @spec: copied; ignored if it has no expert sets or if a spec was set before
+ * @engine_spec: copied; ignored if it has no expert sets or if a spec was set before
  *
  * Counts and map are polled only after this call.
  */
-void skh_rank_poller_set_engine_spec(skh_rank_poller_t *poller, const skh_engine_spec_t *spec);
+void skh_rank_poller_set_engine_spec(skh_rank_poller_t *poller,
+				     const skh_engine_spec_t *engine_spec);
 
 /** skh_rank_poller_set_report_period() - poll the report every @period_us */
 void skh_rank_poller_set_report_period(skh_rank_poller_t *poller, int64_t period_us);
--- a/src/rankrelay.h
+++ b/src/rankrelay.h
@@ -71,7 +71,7 @@
 /**
  * skh_rankrelay_pack() - append @order to @out in the relay's wire format
  * @base: map that the relay has, so that only differences are sent; NULL for a complete map
- * @engine: "host:port" of the engine that gets the order; NULL for the one beside the relay
+ * @engine: "address:port" of the engine that gets the order; NULL for the one beside the relay
  */
 void skh_rankrelay_pack(const skh_mapchange_order_t *order, const skh_versioned_map_t *base,
 			const char *engine, skh_buffer_t *out);
--- a/src/rebalance.h
+++ b/src/rebalance.h
@@ -4,7 +4,7 @@
 /**
  * DOC: Expert rebalancing
  *
- * Plans which experts of a layer are copied to which ranks of a group, by a local
+ * Plans which experts of an expert set are copied to which ranks of a group, by a local
  * search over placements. The functions are pure and keep no state between calls,
  * so they run on any thread.
  *
@@ -34,16 +34,18 @@
  * struct skh_rebalance_input - input of one plan; all arrays are borrowed
  * @n_ranks: ranks of the group, at most SKH_REBALANCE_MAX_RANKS
  * @slots_per_rank: slots of each rank
- * @n_experts: experts of the layer
- * @placement: expert in each slot, [@n_ranks][@slots_per_rank]; a rank holds an expert at most
- *	once
+ * @n_experts: experts of the expert set
+ * @placement: expert number, from 0, in each slot, [@n_ranks][@slots_per_rank]; a rank holds an
+ *	expert at most once. There are no empty slots, unlike in the maps of mapplan.h, which hold
+ *	expert + 1, or 0 for an empty slot
  * @forecast_shares: expected share of tokens of each expert, [@n_experts], any unit
  * @speed: speed of each rank, [@n_ranks]; 1 is nominal, 0 marks a lost rank
  * @failure_domain: failure domain of each rank, [@n_ranks]
  * @skew_weight: weight of skew in the objective
  * @cost_weight: weight of copies in the objective
  * @copy_cost: time that one copy adds to a pass, as a fraction of the mean pass duration
- * @max_copies: maximum copies of the plan: what the weight store delivers in one interval
+ * @max_copies: maximum copies of the plan: what the source of the experts' weights delivers in one
+ *	interval
  * @max_copies_per_rank: maximum copies to each rank, [@n_ranks]; NULL for no limit
  */
 typedef struct skh_rebalance_input {
--- a/src/request_queue.h
+++ b/src/request_queue.h
@@ -13,7 +13,7 @@
  * any more.
  *
  * Does no I/O. The queue borrows the requests: the owner embeds each in a struct of its own
- * and removes it from the queue before freeing it. The caller serialises calls. Times are in
+ * and removes it from the queue before freeing it. The owner serialises calls. Times are in
  * microseconds on one monotonic clock.
  */
 
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -7,9 +7,10 @@
  * Limits the retries of one entry with token buckets, so that servers that fail
  * every request do not multiply the load. Each request adds a fraction of a token
  * to the bucket of its customer and to that of the entry; each retry takes one
- * token from both. Only entries retry requests; no other layer does.
+ * token from both. In a deployment with sidecars, only entries retry requests; no
+ * other layer does. For gateways, see retry_share.h.
  *
- * Owns the buckets and does no I/O. The caller serialises calls. Times are in
+ * Owns the buckets and does no I/O. The owner serialises calls. Times are in
  * microseconds on the monotonic clock.
  */
 
--- a/src/roster.h
+++ b/src/roster.h
@@ -23,7 +23,7 @@
 extern "C" {
 #endif
 
-/** struct skh_server - one backend server */
+/** struct skh_server - one backend server, as listed in the store */
 typedef struct skh_server {
 	char *id; /* changes with almost every start of the server */
 	char *service;
--- a/src/routing.c
+++ b/src/routing.c
@@ -111,7 +111,7 @@
 }
 
 const skh_route_t *skh_routing_find_route(const skh_routing_t *routing, const char *host,
-					  const char *target)
+					  const char *request_target)
 {
 	g_autofree char *host_name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
 	const GPtrArray *routes = g_hash_table_lookup(routing->routes_by_host, host_name);
@@ -119,7 +119,7 @@
 	for (guint i = 0; routes && i < routes->len; i++) {
 		const skh_route_t *route = g_ptr_array_index(routes, i);
 
-		if (has_path_prefix(target, route->path_prefix))
+		if (has_path_prefix(request_target, route->path_prefix))
 			return route;
 	}
 	return NULL;
--- a/src/routing.h
+++ b/src/routing.h
@@ -4,9 +4,9 @@
 /**
  * DOC: Routing table
  *
- * The part of the operators' configuration that a gateway needs to route
- * requests: routes, services with their engine parameters, retry rules,
- * timeouts, limits and API keys. A configuration parser fills a table once and
+ * The gateways' routing configuration: routes, services with their engine
+ * parameters, retry rules, timeouts, limits and API keys. Gateways read it in
+ * place of a manifest (manifest.h). A configuration parser fills a table once and
  * calls skh_routing_seal(); a sealed table is immutable and any thread may read
  * it. The suffix of a name gives its unit.
  */
@@ -29,7 +29,7 @@
 } skh_retry_mode_t;
 
 /**
- * struct skh_traffic_split - one weighted target of a route
+ * struct skh_traffic_split - one weighted service of a route
  * @service: index into skh_routing_t.services
  * @weight: share of the requests, relative to the sum of the route's weights
  */
@@ -61,7 +61,7 @@
 	uint32_t expert_sets;	    /* sets of layers; each set has its own experts */
 	uint32_t experts_per_set;   /* number of experts in each set */
 	uint32_t slots_per_rank;    /* slots for experts of one set at a rank */
-	uint32_t max_new_experts;   /* max new experts of one set copied to a rank per map switch */
+	uint32_t max_new_experts;   /* max new experts of one set copied to a rank per map change */
 	double expert_time_ratio;   /* fraction of a step's duration spent in experts */
 	double expert_size_mb;	    /* size of one expert's weights, in megabytes */
 	double link_mbps;	    /* bandwidth for copying experts to a rank, in Mbit/s */
@@ -135,11 +135,11 @@
 /**
  * skh_routing_find_route() - find the route with the longest matching path prefix
  * @host: Host header; the port and the letter case are ignored
- * @target: request target; only the path before '?' or '#' is matched
+ * @request_target: only the path before '?' or '#' is matched
  * Return: the route, owned by @routing, or NULL when none matches.
  */
 const skh_route_t *skh_routing_find_route(const skh_routing_t *routing, const char *host,
-					  const char *target);
+					  const char *request_target);
 
 /**
  * skh_routing_select_service() - select a service in proportion to the split weights
--- a/src/server_selection.h
+++ b/src/server_selection.h
@@ -25,7 +25,7 @@
 
 #define SKH_SELECTION_NONE (-1)
 
-/** struct skh_candidate - state of one server */
+/** struct skh_candidate - state of one server, as input of the selection */
 typedef struct skh_candidate {
 	uint32_t slots;
 	uint32_t running;	/* requests in flight at the server, from all gateways */
--- a/src/suspect.h
+++ b/src/suspect.h
@@ -61,8 +61,10 @@
 			       int64_t now_us);
 
 /**
- * skh_suspects_clear() - remove a request, after a complete response or by an operator
+ * skh_suspects_clear() - remove the crashes recorded for a request
  * @crash_ids: receives the crashes that were recorded against the request
+ *
+ * Called after a complete response, or for an operator.
  * Return: number of ids written to @crash_ids.
  */
 size_t skh_suspects_clear(skh_suspects_t *suspects, uint64_t content_hash,
