--- a/src/backend.c
+++ b/src/backend.c
@@ -13,7 +13,7 @@
 #define STREAM_CONTENT_TYPE   "text/event-stream"
 #define CANCEL_TIMEOUT_US     (2 * SKH_US_PER_S)
 #define ORDER_TIMEOUT_US      (60 * SKH_US_PER_S)
-#define REPORT_TIMEOUT_US     (3 * SKH_US_PER_S)
+#define GET_TIMEOUT_US	      (3 * SKH_US_PER_S)
 #define HTTP_OK		      200
 
 static void start_request(skh_backend_t *backend, skh_fetch_t *fetch, const Skh__Start *start,
@@ -137,13 +137,13 @@
 }
 
 static void engine_send_map_order(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-				  const skh_mapswitch_order_t *order, const char *placement,
+				  const skh_mapswitch_order_t *order, const char *map,
 				  int64_t now_us)
 {
 	static const char *const steps[] = { "prepare", "hold", "set", "go" };
 	g_autofree char *body = g_strdup_printf(
 		"{\"order\":\"%s\",\"fence\":%" PRIu64 ",\"version\":%" PRIu64 ",\"placement\":%s}",
-		steps[order->step], order->fence, order->version, *placement ? placement : "null");
+		steps[order->step], order->fence, order->version, *map ? map : "null");
 
 	post_order(backend, fetch, id, body, now_us);
 }
@@ -178,7 +178,7 @@
 		.id = id,
 		.method = "GET",
 		.url = url,
-		.deadline_us = now_us + REPORT_TIMEOUT_US,
+		.deadline_us = now_us + GET_TIMEOUT_US,
 	};
 
 	skh_fetch_start(fetch, &request, now_us);
--- a/src/backend.h
+++ b/src/backend.h
@@ -68,12 +68,11 @@
 	void (*cancel)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t attempt, uint64_t id,
 		       int64_t now_us);
 	/*
-	 * Send one step of a map switch to the engine; @placement is the new map as
-	 * JSON, or "" for none. NULL if the protocol has no orders.
+	 * Send one step of a map switch to the engine; @map is the new expert map as
+	 * JSON, or "" for none. The operation is NULL if the protocol has no orders.
 	 */
 	void (*send_map_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
-			       const skh_mapswitch_order_t *order, const char *placement,
-			       int64_t now_us);
+			       const skh_mapswitch_order_t *order, const char *map, int64_t now_us);
 	/* Load a model or adapter, or change role; NULL if the protocol has no orders. */
 	void (*send_backend_order)(skh_backend_t *backend, skh_fetch_t *fetch, uint64_t id,
 				   const skh_backend_order_t *order, int64_t now_us);
@@ -85,7 +84,11 @@
 				     uint64_t from, int64_t now_us);
 } skh_backend_ops_t;
 
-/** struct skh_backend - a backend server; first member of an implementation with more state */
+/**
+ * struct skh_backend - a backend server
+ *
+ * An implementation that needs more state embeds this struct as its first member.
+ */
 struct skh_backend {
 	const skh_backend_ops_t *ops;
 	char *url; /* base URL, owned */
--- a/src/batch.h
+++ b/src/batch.h
@@ -35,7 +35,7 @@
 	int64_t lease_id;
 	skh_write_state_t state;
 	int64_t mod_revision; /* of the stored value; 0 if the key is absent */
-	char *found_value;    /* value stored in a conflict, NULL if the key is absent; owned */
+	char *found_value;    /* after a conflict, value of the key, NULL if it is absent; owned */
 	skh_error_t err;
 } skh_write_t;
 
--- a/src/claim.h
+++ b/src/claim.h
@@ -86,7 +86,13 @@
  */
 bool skh_claim_check_key(const char *key, int64_t now_unix_ms, skh_error_t *err);
 
-/** skh_claim_store_key() - store key for the record of @customer's @key; free with g_free() */
+/**
+ * skh_claim_store_key() - key in the key-value service for a claim record
+ * @prefix: prepended to the result
+ * @key: idempotency key of @customer
+ *
+ * Return: the key, to be freed with g_free().
+ */
 char *skh_claim_store_key(const char *prefix, const char *customer, const char *key);
 
 #ifdef __cplusplus
--- a/src/claim_writer.h
+++ b/src/claim_writer.h
@@ -5,9 +5,9 @@
  * DOC: Claim writer
  *
  * A thread of a sidecar that writes claim records in batches. Writes queue up
- * while a transaction is in flight and during a fixed interval after it, so
- * that several hundred transactions a second, of all sidecars together, carry
- * thousands of claims. Records are attached to leases that are granted once per
+ * while a batch is being written and during a fixed interval after it. In this
+ * way, several hundred transactions per second, summed over all sidecars, write
+ * thousands of claims per second. Records are attached to leases that are granted once per
  * period and never renewed, so that they expire without a delete for each. The
  * functions below are called from the sidecar's event loop thread.
  */
@@ -26,14 +26,14 @@
 	uint64_t id;
 	skh_write_state_t state;
 	int64_t mod_revision; /* of the stored value; 0 if the key is absent */
-	char *found_value;    /* value stored in a conflict, or NULL; owned */
+	char *found_value;    /* after a conflict, value of the key, NULL if it is absent; owned */
 	skh_error_t err;      /* set if @state is SKH_WRITE_FAILED */
 } skh_claim_result_t;
 
 /**
  * skh_claim_writer_start() - start the thread
  * @store: borrowed until skh_claim_writer_stop()
- * @interval_us: pause between two transactions
+ * @interval_us: pause after each batch
  */
 skh_claim_writer_t *skh_claim_writer_start(skh_store_t *store, int64_t interval_us);
 
@@ -43,7 +43,7 @@
 /**
  * skh_claim_writer_submit() - queue one compare-and-swap write
  * @id: returned in the result
- * @key: store key; copied
+ * @key: key in the key-value service; copied
  * @value: stored by no other writer; copied
  * @expected_revision: required mod revision of @key; 0 if it must be absent
  */
--- a/src/frame_sender.h
+++ b/src/frame_sender.h
@@ -5,8 +5,8 @@
  * DOC: Frame sender
  *
  * Builds the frames that a sidecar sends to entries; each function sends one.
- * Every frame contains the revision of the active configuration, and every frame
- * except Data also contains the sidecar's status. All calls run on the sidecar's
+ * Every frame contains the revision of the configuration in force, and every
+ * frame except Data also contains the sidecar's status. All calls run on the sidecar's
  * event loop thread and do not block. A frame to an entry that is not connected
  * is dropped.
  */
@@ -37,7 +37,7 @@
 /**
  * skh_frame_sender_send_rejected() - report that an attempt did not start and never will
  * @entry: routing id of the entry
- * @err: reason; the entry may retry at @err->retry_at_us, or after 1 s if that is 0
+ * @err: cause; the entry may retry at @err->retry_at_us, or after 1 s if that is 0
  */
 void skh_frame_sender_send_rejected(const skh_frame_sender_t *sender, const char *entry,
 				    uint64_t attempt, const skh_error_t *err);
@@ -54,7 +54,7 @@
  * struct skh_attempt_result - result of an attempt that was not rejected
  * @n_data_frames: data frames sent for the attempt
  * @err: NULL when the response is complete
- * @replayed: the response was recorded by an earlier run
+ * @is_replay: the response was recorded by an earlier run
  * @crash_id: backend server crash that ended the attempt; 0 for none
  */
 typedef struct skh_attempt_result {
--- a/src/sidecar.c
+++ b/src/sidecar.c
@@ -116,10 +116,10 @@
 
 static void handle_frame(sidecar_t *sidecar, const char *peer, Skh__Frame *frame)
 {
-	bool is_order = frame->body_case == SKH__FRAME__BODY_ORDER ||
-			frame->body_case == SKH__FRAME__BODY_ORDER_REPLY;
+	bool is_order_or_reply = frame->body_case == SKH__FRAME__BODY_ORDER ||
+				 frame->body_case == SKH__FRAME__BODY_ORDER_REPLY;
 
-	if (!is_order) {
+	if (!is_order_or_reply) {
 		skh_attempt_runner_on_frame(sidecar->runner, peer, frame);
 		return;
 	}
@@ -183,7 +183,10 @@
 		"engine", engine_status(sidecar));
 }
 
-/* The fencing token is the active configuration revision, so an engine can reject older orders. */
+/*
+ * The fencing token is the revision of the configuration in force, so an engine
+ * can reject older orders.
+ */
 static bool enqueue_order(void *context, const json_t *body, skh_error_t *err)
 {
 	static const char *const kinds[] = { "load_model", "load_adapter", "set_role" };
--- a/src/wire.c
+++ b/src/wire.c
@@ -20,7 +20,10 @@
 	skh_wire_set_socket_option(socket, ZMQ_IMMEDIATE, 1);
 	skh_wire_set_socket_option(socket, ZMQ_ROUTER_MANDATORY, 1);
 	skh_wire_set_socket_option(socket, ZMQ_ROUTER_HANDOVER, 1);
-	/* ZeroMQ allocates a message's announced size before its first byte arrives. */
+	/*
+	 * ZeroMQ allocates the announced size of a message before its first byte
+	 * arrives, so without a limit a peer could exhaust the memory.
+	 */
 	(void)zmq_setsockopt(socket, ZMQ_MAXMSGSIZE, &max_frame_bytes, sizeof(max_frame_bytes));
 }
 
--- a/src/wire.h
+++ b/src/wire.h
@@ -22,7 +22,7 @@
 #define SKH_WIRE_VERSION	 1
 #define SKH_WIRE_MAX_FRAME_BYTES (80U << 20)
 #define SKH_WIRE_MAX_NAME_BYTES	 256
-/* Set in the ids that a sidecar makes for its own use, clear in attempt ids. */
+/* Set in the ids of a sidecar's own transfers and claim writes, clear in attempt ids. */
 #define SKH_WIRE_LOCAL_ID_BIT (1ULL << 63)
 
 /** enum skh_phase - phase that a sidecar reports in its status */
@@ -46,7 +46,12 @@
  */
 void skh_wire_setup_router(void *socket, int linger_ms);
 
-/** skh_wire_hash_request() - content hash of a request, equal for copies from different senders */
+/**
+ * skh_wire_hash_request() - content hash of a request
+ *
+ * Covers the service, method, path and body, so that it is equal for the same
+ * request from different senders.
+ */
 uint64_t skh_wire_hash_request(const Skh__Start *start);
 
 /** skh_wire_pack() - append the packed @frame to @out */
