--- a/src/wire.h
+++ b/src/wire.h
@@ -22,14 +22,17 @@
 #define SKH_WIRE_VERSION	 1
 #define SKH_WIRE_MAX_FRAME_BYTES (80U << 20)
 #define SKH_WIRE_MAX_NAME_BYTES	 256
-/* Set in the ids of a sidecar's own transfers and claim writes, clear in attempt ids. */
+/*
+ * Set in the ids of a sidecar's cancel requests and of its claim backlog's
+ * writes; clear in attempt ids.
+ */
 #define SKH_WIRE_LOCAL_ID_BIT (1ULL << 63)
 
 /** enum skh_phase - phase that a sidecar reports in its status */
 typedef enum skh_phase {
 	SKH_PHASE_STARTING,
 	SKH_PHASE_READY,
-	SKH_PHASE_LEAVING
+	SKH_PHASE_LEAVING /* running attempts continue, queued and new ones are rejected */
 } skh_phase_t;
 
 /** skh_wire_set_socket_option() - set an integer option of a ZeroMQ socket; errors are ignored */
