--- a/src/access.c
+++ b/src/access.c
@@ -23,12 +23,11 @@
 		return true;
 	if (!header || !g_str_has_prefix(header, BEARER_PREFIX))
 		return skh_error_set(err, SKH_UNAUTHORIZED,
-				     "the Authorization header holds no bearer key; an operator's "
+				     "the Authorization header holds no API key; an operator's "
 				     "key is required");
 	*principal = skh_manifest_operator_by_key(manifest, header + strlen(BEARER_PREFIX));
 	if (!*principal)
-		return skh_error_set(err, SKH_UNAUTHORIZED,
-				     "the bearer key belongs to no operator");
+		return skh_error_set(err, SKH_UNAUTHORIZED, "the API key belongs to no operator");
 	if (access_level_of_role[(*principal)->role] < required_level)
 		return skh_error_set(err, SKH_FORBIDDEN,
 				     "the role of operator \"%s\" does not allow the action",
@@ -38,29 +37,29 @@
 
 typedef struct change_check {
 	const skh_operator_t *principal;
-	bool allowed;
+	bool is_allowed;
 	skh_error_t *err;
 } change_check_t;
 
 static bool team_owns_item(const skh_operator_t *principal, const skh_manifest_diff_item_t *item)
 {
-	bool before = strcmp(item->owner_before, principal->team) == 0;
-	bool after = strcmp(item->owner_after, principal->team) == 0;
+	bool owned_before = strcmp(item->owner_before, principal->team) == 0;
+	bool owned_after = strcmp(item->owner_after, principal->team) == 0;
 
 	if (strcmp(item->change, "added") == 0)
-		return after;
+		return owned_after;
 	if (strcmp(item->change, "removed") == 0)
-		return before;
-	return before && after;
+		return owned_before;
+	return owned_before && owned_after;
 }
 
 static void check_item_owner(void *context, const skh_manifest_diff_item_t *item)
 {
 	change_check_t *check = context;
 
-	if (!check->allowed || team_owns_item(check->principal, item))
+	if (!check->is_allowed || team_owns_item(check->principal, item))
 		return;
-	check->allowed =
+	check->is_allowed =
 		skh_error_set(check->err, SKH_FORBIDDEN, "%s \"%s\" does not belong to team \"%s\"",
 			      item->kind, item->name, check->principal->team);
 }
@@ -80,5 +79,5 @@
 	if (principal->role == SKH_OPERATOR_TEAM)
 		skh_manifest_diff_for_each(before ? skh_manifest_tree(before) : NULL,
 					   skh_manifest_tree(after), check_item_owner, &check);
-	return check.allowed;
+	return check.is_allowed;
 }
--- a/src/access.h
+++ b/src/access.h
@@ -4,7 +4,7 @@
 /**
  * DOC: Access control for the administration API
  *
- * Authenticates bearer keys and authorizes actions by the operator's role.
+ * Authenticates API keys and authorizes actions by the operator's role.
  * Operators and their keys are part of the manifest, so a key is rotated by a
  * configuration change that adds the new key and a later one that removes the
  * old key. While the manifest lists no operator, every action is allowed;
@@ -51,7 +51,8 @@
  *
  * The author that @after names must be @principal. An operator with the team
  * role may change only services and customers that its team owns in both
- * manifests, add ones that its team owns and remove ones that it owned.
+ * manifests, add items that its team owns in @after and remove items that its
+ * team owns in @before.
  *
  * Return: true when the change is allowed; otherwise false with @err.
  */
--- a/src/admin.c
+++ b/src/admin.c
@@ -27,7 +27,7 @@
 	skh_admin_t *admin;
 	skh_http_request_t *request;
 	const skh_config_t *config;	 /* NULL before the first configuration */
-	const skh_operator_t *principal; /* NULL when the manifest lists no operator */
+	const skh_operator_t *principal; /* NULL when access needed no key */
 } admin_call_t;
 
 typedef bool (*admin_fn)(const admin_call_t *call, skh_error_t *err);
@@ -166,7 +166,7 @@
 			     "the process does not serve the configuration API; ask an entry");
 }
 
-static bool respond_json_or_fail(const admin_call_t *call, json_t *json)
+static bool respond_json_unless_null(const admin_call_t *call, json_t *json)
 {
 	return json && respond_json(call->request, json);
 }
@@ -215,7 +215,7 @@
 						  call->principal, skh_buffer_chunk(&body),
 						  base_revision, dry_run, err);
 	skh_buffer_free(&body);
-	return respond_json_or_fail(call, response);
+	return respond_json_unless_null(call, response);
 }
 
 static bool handle_put_config(const admin_call_t *call, skh_error_t *err)
@@ -231,15 +231,15 @@
 static bool handle_history(const admin_call_t *call, skh_error_t *err)
 {
 	return require_config_admin(call, err) &&
-	       respond_json_or_fail(call,
-				    skh_config_admin_list_history(call->admin->config_admin, err));
+	       respond_json_unless_null(
+		       call, skh_config_admin_list_history(call->admin->config_admin, err));
 }
 
 static bool handle_rollout(const admin_call_t *call, skh_error_t *err)
 {
 	return require_config_admin(call, err) &&
-	       respond_json_or_fail(call,
-				    skh_config_admin_get_rollout(call->admin->config_admin, err));
+	       respond_json_unless_null(
+		       call, skh_config_admin_get_rollout(call->admin->config_admin, err));
 }
 
 static bool handle_decision(const admin_call_t *call, skh_error_t *err)
--- a/src/admin.h
+++ b/src/admin.h
@@ -29,14 +29,14 @@
 	bool (*is_ready)(void *context);
 	/* Returns a new JSON object. */
 	json_t *(*get_status)(void *context);
-	/* Starts (@drain true) or ends draining; NULL when the process can't be drained. */
+	/* Starts (@drain true) or ends draining. Optional: NULL when the process can't be drained. */
 	void (*set_draining)(void *context, bool drain);
-	/* Queues the engine order in @body; NULL when the process has no engine. */
+	/* Queues the engine order in @body. Optional: NULL when the process has no engine. */
 	bool (*enqueue_order)(void *context, const json_t *body, skh_error_t *err);
-	/* Returns a new JSON array of crash suspects; NULL when the process tracks none. */
+	/* Returns a new JSON array of crash suspects. Optional: NULL when they are not tracked. */
 	json_t *(*list_suspects)(void *context);
-	/* Clears the crash suspect with hash @content; true when the hash was a suspect. */
-	bool (*clear_suspect)(void *context, const char *content);
+	/* Clears a crash suspect; true when @content_hash was one. Optional as list_suspects. */
+	bool (*clear_suspect)(void *context, const char *content_hash);
 } skh_admin_ops_t;
 
 /**
@@ -47,7 +47,7 @@
  * @board: blackboard whose configuration in force lists the operators; borrowed
  * @config_admin: configuration API of the whole system; borrowed, or NULL when the process
  *	does not serve the API
- * @err: receives the reason of a failure
+ * @err: receives the cause of a failure
  *
  * Return: a listener to be freed with skh_admin_stop(), or NULL with @err.
  */
--- a/src/apply.c
+++ b/src/apply.c
@@ -45,10 +45,10 @@
 		skh_config_parts_split(skh_manifest_tree(manifest), state->part_texts);
 	int64_t current = state->current ? state->current->revision : 0;
 	int64_t revision = MAX(current, min_revision) + 1;
-	g_autofree char *attempt = g_strdup_printf("%016" PRIx64, skh_random_u64());
+	g_autofree char *apply_id = g_strdup_printf("%016" PRIx64, skh_random_u64());
 
 	state->next = skh_config_head_new(revision, skh_manifest_author(manifest),
-					  skh_manifest_reason(manifest), attempt,
+					  skh_manifest_reason(manifest), apply_id,
 					  skh_clock_unix_ms(), parts);
 }
 
@@ -131,7 +131,7 @@
 
 /*
  * Determines whether the head was swapped when the response was lost or the compare failed. The
- * head holds the id of the attempt that wrote it, so reading the head back shows whose write won.
+ * head holds the id of the apply that wrote it, so reading the head back shows whose write won.
  */
 static bool check_swap_outcome(apply_state_t *state, skh_error_t *err)
 {
--- a/src/apply.h
+++ b/src/apply.h
@@ -6,8 +6,8 @@
  *
  * Writes a manifest to the key-value service as parts and a head. A manifest is
  * accepted once a compare-and-swap has replaced the head. When the response to
- * the swap is lost, the head is read back and compared with the caller's
- * attempt id. When two operators apply at the same time, one succeeds and the
+ * the swap is lost, the head is read back and its apply id compared with the
+ * caller's. When two operators apply at the same time, one succeeds and the
  * other gets SKH_CONFLICT with the names of the changed parts. Calls block
  * their thread; the functions keep no state of their own.
  */
--- a/src/cmd_apply.c
+++ b/src/cmd_apply.c
@@ -41,7 +41,7 @@
 	return manifest;
 }
 
-static size_t count_with_min_revision(const skh_instances_t *instances, int64_t min_revision)
+static size_t count_instances_with_revision(const skh_instances_t *instances, int64_t min_revision)
 {
 	json_t **statuses = skh_fleet_get_statuses(instances);
 	size_t count = 0;
@@ -83,7 +83,7 @@
 		skh_error_t err;
 		skh_instances_t *instances =
 			skh_fleet_read_instances(store, options->instances_prefix, &err);
-		size_t count = instances ? count_with_min_revision(instances, revision) : 0;
+		size_t count = instances ? count_instances_with_revision(instances, revision) : 0;
 		size_t total = instances ? instances->count : 0;
 
 		skh_instances_free(instances);
--- a/src/config_parts.c
+++ b/src/config_parts.c
@@ -68,7 +68,7 @@
 	for (size_t i = 0; i < skh_doc_node_count(tree); i++) {
 		const skh_doc_node_t *child = skh_doc_node_at(tree, i);
 
-		/* The head holds author and reason, so that equal content has an equal hash. */
+		/* Author and reason go into the head, so that they don't change a part's hash. */
 		if (strcmp(skh_doc_node_key(child), "change") == 0)
 			continue;
 		if (g_strv_contains(bucketed_collections, skh_doc_node_key(child)))
@@ -131,7 +131,7 @@
 }
 
 skh_config_head_t *skh_config_head_new(int64_t revision, const char *author, const char *reason,
-				       const char *attempt, int64_t unix_ms, GHashTable *parts)
+				       const char *apply_id, int64_t unix_ms, GHashTable *parts)
 {
 	skh_config_head_t *head = g_new0(skh_config_head_t, 1);
 
@@ -139,7 +139,7 @@
 	head->accepted_unix_ms = unix_ms;
 	head->author = g_strdup(author);
 	head->reason = g_strdup(reason);
-	head->apply_id = g_strdup(attempt);
+	head->apply_id = g_strdup(apply_id);
 	head->part_hashes = g_hash_table_ref(parts);
 	return head;
 }
--- a/src/config_parts.h
+++ b/src/config_parts.h
@@ -53,14 +53,14 @@
  * @revision: revision of the configuration
  * @author: author of the change; copied
  * @reason: reason of the change; copied
- * @attempt: id of the apply; copied
+ * @apply_id: random id of the apply; copied
  * @unix_ms: Unix time of the apply
  * @parts: part name -> hash; the head takes a reference
  *
  * Return: a head to be freed with skh_config_head_free().
  */
 skh_config_head_t *skh_config_head_new(int64_t revision, const char *author, const char *reason,
-				       const char *attempt, int64_t unix_ms, GHashTable *parts);
+				       const char *apply_id, int64_t unix_ms, GHashTable *parts);
 
 /** skh_config_head_parse() - create a head from its stored JSON; NULL with @err when invalid */
 skh_config_head_t *skh_config_head_parse(const char *text, skh_error_t *err);
--- a/src/config_watcher.c
+++ b/src/config_watcher.c
@@ -21,7 +21,7 @@
 	skh_board_t *board;
 	skh_mirror_t *config_mirror;
 	skh_mirror_t *instances_mirror;
-	int64_t next_hint_read_us; /* hints of peers cause no read before this time */
+	int64_t next_hint_read_us; /* a hint causes no read before this time */
 	/* hash -> text of the parts in force; used by @config_mirror's thread only */
 	GHashTable *texts;
 };
@@ -200,17 +200,17 @@
 	return succeeded;
 }
 
-static bool on_instances_changed(void *context, GHashTable *values)
+static bool on_instances_changed(void *context, GHashTable *value_by_key)
 {
 	skh_config_watcher_t *watcher = context;
-	skh_kv_pairs_t pairs = { .list = g_new0(skh_kv_pair_t, g_hash_table_size(values)) };
+	skh_kv_pairs_t pairs = { .list = g_new0(skh_kv_pair_t, g_hash_table_size(value_by_key)) };
 	GHashTableIter iter;
 	gpointer key;
 	gpointer value;
 	size_t n_invalid;
 	skh_instances_t *instances;
 
-	g_hash_table_iter_init(&iter, values);
+	g_hash_table_iter_init(&iter, value_by_key);
 	while (g_hash_table_iter_next(&iter, &key, &value)) {
 		pairs.list[pairs.count].key = key;
 		pairs.list[pairs.count].value = value;
--- a/src/config_watcher.h
+++ b/src/config_watcher.h
@@ -18,6 +18,7 @@
 extern "C" {
 #endif
 
+/* Key and key prefixes below the key prefix of the system in the key-value service. */
 #define SKH_CONFIG_HEAD_KEY	  "config/head"
 #define SKH_CONFIG_PARTS_PREFIX	  "parts/"
 #define SKH_CONFIG_HISTORY_PREFIX "history/"
@@ -39,11 +40,11 @@
 void skh_config_watcher_stop(skh_config_watcher_t *watcher);
 
 /**
- * skh_config_watcher_hint_revision() - read the configuration soon if a peer has a newer one
+ * skh_config_watcher_hint_revision() - read the configuration if another process has a newer one
  * @watcher: watcher
- * @revision: revision that a peer reported
+ * @revision: revision that another process reported
  *
- * Reads at most once a second. Must be called by one thread at a time.
+ * Starts a read at most once a second. Must be called by one thread at a time.
  */
 void skh_config_watcher_hint_revision(skh_config_watcher_t *watcher, int64_t revision);
 
--- a/src/manifest.c
+++ b/src/manifest.c
@@ -18,7 +18,7 @@
 	GArray *customers;
 	GArray *groups;
 	GArray *operators;
-	/* SHA-256 of a bearer key in hexadecimal -> index + 1 of the operator or customer */
+	/* SHA-256 of an API key in hexadecimal -> index + 1 of the operator or customer */
 	GHashTable *operator_index_by_hash;
 	GHashTable *customer_index_by_hash;
 };
@@ -513,17 +513,17 @@
 	return NULL;
 }
 
-static size_t find_index_plus_1(GHashTable *index_by_hash, const char *bearer_key)
+static size_t find_index_plus_1(GHashTable *index_by_hash, const char *api_key)
 {
-	g_autofree char *hash = g_compute_checksum_for_string(G_CHECKSUM_SHA256, bearer_key, -1);
+	g_autofree char *hash = g_compute_checksum_for_string(G_CHECKSUM_SHA256, api_key, -1);
 
 	return GPOINTER_TO_SIZE(g_hash_table_lookup(index_by_hash, hash));
 }
 
 const skh_customer_t *skh_manifest_customer_by_key(const skh_manifest_t *manifest,
-						   const char *bearer_key)
+						   const char *api_key)
 {
-	size_t index_plus_1 = find_index_plus_1(manifest->customer_index_by_hash, bearer_key);
+	size_t index_plus_1 = find_index_plus_1(manifest->customer_index_by_hash, api_key);
 
 	return index_plus_1 ? skh_manifest_customer_at(manifest, index_plus_1 - 1) : NULL;
 }
@@ -534,9 +534,9 @@
 }
 
 const skh_operator_t *skh_manifest_operator_by_key(const skh_manifest_t *manifest,
-						   const char *bearer_key)
+						   const char *api_key)
 {
-	size_t index_plus_1 = find_index_plus_1(manifest->operator_index_by_hash, bearer_key);
+	size_t index_plus_1 = find_index_plus_1(manifest->operator_index_by_hash, api_key);
 
 	return index_plus_1 ? &g_array_index(manifest->operators, skh_operator_t, index_plus_1 - 1)
 			    : NULL;
--- a/src/manifest.h
+++ b/src/manifest.h
@@ -5,7 +5,8 @@
  * DOC: Manifest
  *
  * The operators' configuration: models, priorities, services, customers, groups
- * and operators. A manifest exists only if all of it is valid. It is immutable
+ * and operators. Gateways have no manifest; they use the routing table of
+ * routing.h. A manifest exists only if all of it is valid. It is immutable
  * and reference-counted, so any thread may read it. All texts and structs that
  * the functions return are borrowed from the manifest.
  */
@@ -28,7 +29,7 @@
 typedef struct skh_model {
 	const char *name;
 	const char *version;
-	int64_t experts_per_layer; /* number of experts in each layer */
+	int64_t experts_per_layer;
 	int64_t layers;
 	uint32_t line;
 } skh_model_t;
@@ -51,10 +52,10 @@
 	uint32_t line;
 } skh_service_t;
 
-/** struct skh_customer - customer, its bearer keys and its limits */
+/** struct skh_customer - customer, its API keys and its limits */
 typedef struct skh_customer {
 	const char *name;
-	const skh_doc_node_t *key_sha256; /* array of hashes of bearer keys, hexadecimal */
+	const skh_doc_node_t *key_sha256; /* array of hashes of API keys, hexadecimal */
 	const skh_doc_node_t *services;	  /* array of names of the services that may be used */
 	const char *priority;		  /* name of the priority */
 	double weight;			  /* relative share in the fair queue */
@@ -65,13 +66,13 @@
 	uint32_t line;
 } skh_customer_t;
 
-/** struct skh_group - group of ranks that serve a model service and their expert placement */
+/** struct skh_group - group of ranks that serve a model service, with its expert placement */
 typedef struct skh_group {
 	const char *name;
 	const char *service;
 	int64_t ranks;
 	int64_t slots_per_rank;
-	const skh_doc_node_t *placement; /* [ranks][slots_per_rank] expert numbers */
+	const skh_doc_node_t *placement; /* per rank, up to slots_per_rank expert numbers */
 	uint32_t line;
 } skh_group_t;
 
@@ -85,7 +86,7 @@
 /** struct skh_operator - user of the administration API */
 typedef struct skh_operator {
 	const char *name;
-	const skh_doc_node_t *key_sha256; /* array of hashes of bearer keys, hexadecimal */
+	const skh_doc_node_t *key_sha256; /* array of hashes of API keys, hexadecimal */
 	int32_t role;			  /* skh_operator_role_t */
 	const char *team;		  /* team of an SKH_OPERATOR_TEAM; "" for other roles */
 	uint32_t line;
@@ -123,10 +124,10 @@
 /** skh_manifest_reason() - reason of the change, from the "change" table */
 const char *skh_manifest_reason(const skh_manifest_t *manifest);
 
-/** skh_manifest_skew_weight() - value of balance.skew_weight, the weight of step-time skew */
+/** skh_manifest_skew_weight() - value of balance.skew_weight, the weight of skew */
 double skh_manifest_skew_weight(const skh_manifest_t *manifest);
 
-/** skh_manifest_cost_weight() - value of balance.cost_weight, the weight of expert moves */
+/** skh_manifest_cost_weight() - value of balance.cost_weight, the weight of copies */
 double skh_manifest_cost_weight(const skh_manifest_t *manifest);
 
 /** skh_manifest_count_services() - number of services */
@@ -154,16 +155,16 @@
 const skh_service_t *skh_manifest_service_for_model(const skh_manifest_t *manifest,
 						    const char *model);
 
-/** skh_manifest_customer_by_key() - customer that owns @bearer_key, or NULL */
+/** skh_manifest_customer_by_key() - customer that owns @api_key, or NULL */
 const skh_customer_t *skh_manifest_customer_by_key(const skh_manifest_t *manifest,
-						   const char *bearer_key);
+						   const char *api_key);
 
 /** skh_manifest_count_operators() - number of operators; with 0, every action is allowed */
 size_t skh_manifest_count_operators(const skh_manifest_t *manifest);
 
-/** skh_manifest_operator_by_key() - operator that owns @bearer_key, or NULL */
+/** skh_manifest_operator_by_key() - operator that owns @api_key, or NULL */
 const skh_operator_t *skh_manifest_operator_by_key(const skh_manifest_t *manifest,
-						   const char *bearer_key);
+						   const char *api_key);
 
 /** skh_customer_can_use() - whether @customer may send requests to @service */
 bool skh_customer_can_use(const skh_customer_t *customer, const char *service);
--- a/test/access_test.cc
+++ b/test/access_test.cc
@@ -1,5 +1,6 @@
 // Tests of access control for the administration API. They guard against a role or a team that
-// gets more rights than it has, and against routes that docs/openapi.json doesn't describe.
+// is allowed more than the manifest grants, and against routes that docs/openapi.json doesn't
+// describe.
 #include "access.h"
 #include "admin.h"
 #include "manifest_diff.h"
--- a/test/config_test.cc
+++ b/test/config_test.cc
@@ -185,7 +185,7 @@
 TEST_F(Apply, LostWriteIsNotReportedAsAccepted)
 {
 	ASSERT_TRUE(apply(valid_manifest_text()));
-	store.drop_txn = store.n_txns + 2;
+	store.drop_txn = store.n_txns + 2; /* the transaction that swaps the head */
 	EXPECT_FALSE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_STORE_UNAVAILABLE);
 	EXPECT_EQ(err.run_state, SKH_RUN_NOT_RUN);
@@ -194,7 +194,7 @@
 TEST_F(Apply, LostResponseDuringAnOutageIsUnknown)
 {
 	ASSERT_TRUE(apply(valid_manifest_text()));
-	store.lose_response_of_txn = store.n_txns + 2;
+	store.lose_response_of_txn = store.n_txns + 2; /* the transaction that swaps the head */
 	store.is_down_after_loss = true;
 	EXPECT_FALSE(apply(manifest_text_with_rate(60)));
 	EXPECT_EQ(err.kind, SKH_OUTCOME_UNKNOWN);
@@ -204,7 +204,7 @@
 TEST_F(Apply, ConcurrentApplyFailsWithTheChangedParts)
 {
 	ASSERT_TRUE(apply(valid_manifest_text()));
-	store.hooked_txn = store.n_txns + 2;
+	store.hooked_txn = store.n_txns + 2; /* the transaction that swaps the head */
 	store.before_txn_hook = [this] {
 		skh_manifest_t *concurrent_manifest = parse_manifest(manifest_text_with_rate(70));
 		skh_apply_result_t concurrent_result = {};
