--- a/src/admin.h
+++ b/src/admin.h
@@ -29,7 +29,7 @@
 	bool (*is_ready)(void *context);
 	/* Returns a new JSON object. */
 	json_t *(*get_status)(void *context);
-	/* Starts (@drain true) or ends draining. Optional: NULL when the process can't be drained. */
+	/* Starts (@drain true) or ends draining. Optional: NULL when it isn't supported. */
 	void (*set_draining)(void *context, bool drain);
 	/* Queues the engine order in @body. Optional: NULL when the process has no engine. */
 	bool (*enqueue_order)(void *context, const json_t *body, skh_error_t *err);
