--- a/src/address.h
+++ b/src/address.h
@@ -18,12 +18,12 @@
 #endif
 
 /**
- * skh_address_split() - split "host:port" at the last colon
+ * skh_address_split() - split an "address:port" text at the last colon
  * @text: the address; may be NULL
- * @host: set to an owned text, to be freed with g_free(); NULL on failure
+ * @host: set to the part before the colon, to be freed with g_free(); NULL on failure
  * @port: set to a port from 0 to 65535; unchanged on failure
  *
- * The host part is not checked.
+ * The part before the colon is not checked.
  *
  * Return: true when @text has a valid port.
  */
--- a/src/board.h
+++ b/src/board.h
@@ -40,7 +40,7 @@
 typedef enum skh_lifecycle_state {
 	SKH_LIFECYCLE_STARTING,
 	SKH_LIFECYCLE_SERVING,
-	SKH_LIFECYCLE_LEAVING, /* still serves requests, but readiness checks fail */
+	SKH_LIFECYCLE_LEAVING, /* readiness checks fail; requests are accepted for a grace period */
 	SKH_LIFECYCLE_STOPPING
 } skh_lifecycle_state_t;
 
@@ -82,7 +82,7 @@
 void skh_board_publish_routing(skh_board_t *board, skh_routing_t *routing);
 
 /**
- * skh_board_publish_roster() - replace the list of known backend servers
+ * skh_board_publish_roster() - replace the roster: the listed backend servers
  * @board: the board
  * @roster: allocated with g_new(); the board takes ownership of it and its contents
  */
@@ -110,7 +110,7 @@
 const skh_routing_t *skh_board_acquire_routing(skh_board_t *board);
 
 /**
- * skh_board_acquire_roster() - get the list of known backend servers
+ * skh_board_acquire_roster() - get the roster: the listed backend servers
  * Return: a reference to be released with skh_board_release(); NULL before the first publication.
  */
 const skh_roster_t *skh_board_acquire_roster(skh_board_t *board);
--- a/src/clock.h
+++ b/src/clock.h
@@ -21,7 +21,7 @@
 #define SKH_US_PER_S  ((int64_t)1000000)
 #define SKH_MS_PER_S  ((int64_t)1000)
 
-/** skh_clock_now_us() - monotonic clock of this instance, in microseconds */
+/** skh_clock_now_us() - monotonic clock of this host, in microseconds */
 int64_t skh_clock_now_us(void);
 
 /**
--- a/src/error.h
+++ b/src/error.h
@@ -34,8 +34,8 @@
 	SKH_LIMITED,	     /* a rate, concurrency or crash limit of the customer or the request */
 	SKH_OVERLOADED,	     /* no backend server has capacity now or in time */
 	SKH_NO_BACKEND,	     /* no backend server is available, or it could not be reached */
-	SKH_LEAVING,	     /* this instance or the backend server is leaving */
-	SKH_STALE, /* attempt too late or for another process; or the configuration may be outdated */
+	SKH_LEAVING, /* this instance or the backend server is leaving and takes no new work */
+	SKH_STALE, /* attempt too late or unknown to this sidecar process; or configuration outdated */
 	SKH_NOT_READY,	       /* the process is starting or stopping, or has no configuration */
 	SKH_DEADLINE_PASSED,   /* at an entry: the response was not complete at the deadline */
 	SKH_TIMED_OUT,	       /* at a gateway: no response from a server before the deadline */
@@ -65,9 +65,9 @@
 
 /**
  * struct skh_error - one failure, filled in by the function that detects it
- * @kind: reason of the failure; SKH_OK for none
+ * @kind: cause of the failure; SKH_OK for none
  * @run_state: whether the request ran; skh_error_set() sets the default of @kind
- * @retry_at_us: earliest useful retry on the monotonic clock, in microseconds; 0 for none
+ * @retry_at_us: earliest useful retry, as a time of skh_clock_now_us(); 0 for none
  * @text: one sentence for people, NUL-terminated
  */
 typedef struct skh_error {
@@ -80,7 +80,7 @@
 /**
  * skh_error_set() - fill in an error with the defaults of its kind
  * @err: the error to fill in
- * @kind: reason of the failure
+ * @kind: cause of the failure
  * @format: printf format of the text, which is truncated to SKH_ERROR_TEXT_BYTES
  *
  * Return: always false, so that callers can return the result directly.
--- a/src/fetch.c
+++ b/src/fetch.c
@@ -61,6 +61,7 @@
 		event.events |= EPOLLIN;
 	if (poll_flags & CURL_POLL_OUT)
 		event.events |= EPOLLOUT;
+	/* Tries the other operation when @registered does not match the state of the epoll set. */
 	if (epoll_ctl(fetch->epoll_fd, registered ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, fd, &event) != 0)
 		(void)epoll_ctl(fetch->epoll_fd, registered ? EPOLL_CTL_ADD : EPOLL_CTL_MOD, fd,
 				&event);
@@ -219,7 +220,10 @@
 	curl_easy_setopt(transfer->curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(transfer->curl, CURLOPT_CONNECTTIMEOUT_MS, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(transfer->curl, CURLOPT_TIMEOUT_MS, (long)(timeout_us / SKH_US_PER_MS));
-	/* libcurl resends a request when a reused connection closes without a response. */
+	/*
+	 * libcurl resends a request when a reused connection closes without a response. A
+	 * request that must not be resent therefore gets a new connection.
+	 */
 	curl_easy_setopt(transfer->curl, CURLOPT_FRESH_CONNECT, request->at_most_once ? 1L : 0L);
 	set_method_and_body(transfer->curl, request);
 	g_hash_table_insert(fetch->transfers, &transfer->id, transfer);
--- a/src/fetch.h
+++ b/src/fetch.h
@@ -27,7 +27,7 @@
 	const char *url;
 	const char *const *headers; /* "Name: value", NULL-terminated; NULL for none */
 	skh_chunk_t body;
-	int64_t deadline_us; /* end of the whole transfer, on the monotonic clock */
+	int64_t deadline_us; /* end of the whole transfer, as a time of skh_clock_now_us() */
 	bool at_most_once;   /* never resend the request, even when its connection closes */
 } skh_fetch_request_t;
 
@@ -57,7 +57,7 @@
  * skh_fetch_start() - start a transfer
  * @fetch: the set
  * @request: the request; copied
- * @now_us: current time on the monotonic clock
+ * @now_us: current time of skh_clock_now_us()
  *
  * A request whose deadline has passed is still started, with a timeout of 1 ms.
  */
@@ -75,7 +75,7 @@
 /**
  * skh_fetch_poll() - wait for events, process them and run the callbacks
  * @fetch: the set
- * @deadline_us: time of the monotonic clock until which to wait for an event
+ * @deadline_us: time of skh_clock_now_us() until which to wait for an event
  *
  * Waits for at most 1 s, also when @deadline_us is later.
  */
--- a/src/log.c
+++ b/src/log.c
@@ -34,7 +34,7 @@
 /* Rate limiter, updated without a lock: races between threads miscount a few lines. */
 static int64_t window_start_s;
 static uint32_t lines_in_window;
-static uint64_t n_dropped; /* since the start; also lines that could not be written */
+static uint64_t n_dropped; /* since the start; also lines that were not written completely */
 
 static bool admit_line(void)
 {
--- a/src/log.h
+++ b/src/log.h
@@ -35,9 +35,9 @@
 /**
  * skh_log_to_stdout() - log to standard output instead of standard error
  *
- * Makes standard output non-blocking. Lines that cannot be written at once and
- * lines above the rate limit are dropped and counted; JSON lines report the count
- * since the start as "lines_dropped".
+ * Makes standard output non-blocking. A line that cannot be written at once is
+ * dropped or truncated, and lines above a rate limit are dropped. Both are counted;
+ * JSON lines report the count since the start as "lines_dropped".
  */
 void skh_log_to_stdout(void);
 
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -22,13 +22,13 @@
 /** enum skh_counter - counters; metrics.c has the exported names and help texts */
 typedef enum skh_counter {
 	SKH_COUNT_REQUESTS,
-	SKH_COUNT_ANSWERS_WHOLE,
-	SKH_COUNT_ANSWERS_FAILED,
-	SKH_COUNT_REFUSED,
+	SKH_COUNT_ANSWERS_WHOLE,  /* complete responses */
+	SKH_COUNT_ANSWERS_FAILED, /* requests of an entry that ended with an error */
+	SKH_COUNT_REFUSED,	  /* rejected requests */
 	SKH_COUNT_ATTEMPTS,
 	SKH_COUNT_RETRIES,
-	SKH_COUNT_PROBES,
-	SKH_COUNT_RETRIES_HELD,
+	SKH_COUNT_PROBES,	/* attempts after a rejected one */
+	SKH_COUNT_RETRIES_HELD, /* waits for the retry budget after a lost attempt */
 	SKH_COUNT_RESUMES,
 	SKH_COUNT_UNKNOWN,
 	SKH_COUNT_LATE_FRAMES,
@@ -40,7 +40,7 @@
 	SKH_COUNT_CONTROL_BYTES_IN,
 	SKH_COUNT_CONTROL_BYTES_OUT,
 	SKH_COUNT_STARTED,
-	SKH_COUNT_HANDED_BACK,
+	SKH_COUNT_HANDED_BACK, /* attempts that a sidecar rejected */
 	SKH_COUNT_CONFIG_ADOPTED,
 	SKH_COUNT_CONFIG_FAILED,
 	SKH_COUNT_STORE_FAILED,
--- a/src/settings.c
+++ b/src/settings.c
@@ -144,11 +144,11 @@
 	settings->log_level = 1;
 }
 
-static void reject_unknown_sections(const skh_doc_node_t *tree, skh_role_t role,
+static void reject_unknown_sections(const skh_doc_node_t *document, skh_role_t role,
 				    skh_validation_errors_t *errors)
 {
-	for (size_t i = 0; i < skh_doc_node_count(tree); i++) {
-		const skh_doc_node_t *child = skh_doc_node_at(tree, i);
+	for (size_t i = 0; i < skh_doc_node_count(document); i++) {
+		const skh_doc_node_t *child = skh_doc_node_at(document, i);
 		bool known = false;
 
 		for (size_t s = 0; s < G_N_ELEMENTS(sections); s++) {
--- a/src/settings.h
+++ b/src/settings.h
@@ -34,7 +34,7 @@
 /**
  * struct skh_settings - all settings of a process, grouped by section of the file
  *
- * Texts point into @tree, except for defaults, which are constants. Settings of
+ * Texts point into @document, except for defaults, which are constants. Settings of
  * sections that the role does not have keep their defaults.
  */
 typedef struct skh_settings {
@@ -67,22 +67,22 @@
 	int64_t backend_rank;
 	int64_t backend_capacity; /* maximum number of concurrent attempts */
 	int64_t backend_queue;	  /* maximum number of queued attempts */
-	/* [gateway]: entry that sends requests to backend servers without sidecars */
+	/* [gateway]: process that sends requests directly to backend servers, without sidecars */
 	const char *dialect;	   /* protocol variant for callers, servers and the store */
 	const char *gossip_listen; /* also "listen" of [balancer] */
 	const char *gateways_prefix;
 	int64_t poll_interval_ms; /* interval between two polls of the store */
-	int64_t poll_timeout_ms;  /* timeout of a poll without changes */
+	int64_t poll_timeout_ms;  /* time after which a poll without changes returns */
 	int64_t key_trust_ms; /* customers' keys stay valid this long after the last store response */
 	int64_t retry_percent; /* retries per 100 requests, for all gateways together */
 	int64_t min_retries;   /* retries always allowed in a window, for all gateways together */
 	int64_t retry_window_ms;
 	/*
 	 * [balancer]: runs beside a rank and takes part in placing its group's experts.
-	 * The objective of the weights is that of rebalance.h.
+	 * The weights are those of the objective that rebalance.h minimizes.
 	 */
 	const char *engine_address;
-	int64_t skew_weight; /* weight of step-time skew in the objective */
+	int64_t skew_weight; /* weight of skew in the objective */
 	int64_t cost_weight; /* weight of copies in the objective */
 	/* [stop] */
 	int64_t drain_ms; /* time that requests in flight get after a stop signal */
@@ -122,9 +122,9 @@
 void skh_settings_free(skh_settings_t *settings);
 
 /**
- * skh_settings_store_endpoint() - address of the key-value service
+ * skh_settings_store_endpoint() - address of an endpoint of the store
  * @settings: valid settings
- * @index: number of the endpoint, modulo the number of endpoints
+ * @index: index of the endpoint, taken modulo the number of endpoints
  *
  * Return: an address that is valid as long as @settings.
  */
--- a/src/skylarkhead.h
+++ b/src/skylarkhead.h
@@ -41,7 +41,7 @@
 int skh_cmd_entry(int argc, char **argv);
 /** skh_cmd_sidecar() - run the sidecar of a backend server */
 int skh_cmd_sidecar(int argc, char **argv);
-/** skh_cmd_gateway() - run an entry that sends requests to backend servers without sidecars */
+/** skh_cmd_gateway() - run a gateway, which sends requests to backend servers without sidecars */
 int skh_cmd_gateway(int argc, char **argv);
 /** skh_cmd_balancer() - run the expert balancer of a rank */
 int skh_cmd_balancer(int argc, char **argv);
--- a/src/store.h
+++ b/src/store.h
@@ -2,9 +2,9 @@
 #define SKH_STORE_H
 
 /**
- * DOC: Key-value service
+ * DOC: Store
  *
- * Interface to the platform's key-value service. Each protocol implements the
+ * Interface to the store: the platform's key-value service. Each protocol implements the
  * same table of operations, in a file of its own such as store_etcd.c. All
  * operations block the calling thread and can be called from several threads. An
  * operation fails with SKH_STORE_UNAVAILABLE when it certainly had no effect and
@@ -110,7 +110,7 @@
 	int64_t mod_revision;
 } skh_kv_change_t;
 
-/** struct skh_kv_changes - changes by revision; to be freed with skh_kv_changes_clear() */
+/** struct skh_kv_changes - changes in order of revision; to be freed with skh_kv_changes_clear() */
 typedef struct skh_kv_changes {
 	skh_kv_change_t *list;
 	size_t count;
@@ -139,8 +139,8 @@
 	bool (*lease_renew)(skh_store_t *store, int64_t lease, int64_t *ttl_s, skh_error_t *err);
 	/*
 	 * Passes each change of keys that start with @prefix to @fn, starting with
-	 * @from_revision. Blocks until @fn returns false, the service cancels the
-	 * watch, the connection closes or another thread sets *@stop.
+	 * @from_revision. Blocks until @fn returns false or the store cancels the watch
+	 * (success), or until the connection closes or another thread sets *@stop (failure).
 	 */
 	bool (*watch)(skh_store_t *store, const char *prefix, int64_t from_revision,
 		      skh_watch_fn fn, void *context, const bool *stop, skh_error_t *err);
@@ -148,7 +148,7 @@
 	/*
 	 * Reads the changes of keys that start with @prefix after @after_revision and
 	 * waits up to @wait_ms for the first one. Fails with SKH_STORE_COMPACTED when
-	 * the service no longer has these revisions. NULL for protocols that only
+	 * the store no longer has these revisions. NULL for protocols that only
 	 * have watches.
 	 */
 	bool (*poll_changes)(skh_store_t *store, const char *prefix, int64_t after_revision,
--- a/src/store_etcd.c
+++ b/src/store_etcd.c
@@ -1,4 +1,4 @@
-/* Key-value service over the JSON gateway of etcd v3: POST /v3/..., keys and values in base64. */
+/* Store that uses the JSON gateway of etcd v3: POST /v3/..., keys and values in base64. */
 #include "store.h"
 
 #include <curl/curl.h>
@@ -38,7 +38,7 @@
 	return json_integer_value(value);
 }
 
-/* Exclusive end of the range of keys that start with @prefix: its last byte plus one. */
+/* Exclusive end of the range of keys that start with @prefix: @prefix with its last byte plus one. */
 static char *range_end(const char *prefix)
 {
 	char *end = g_strdup(prefix);
@@ -56,7 +56,7 @@
 	json_object_set_new(object, key, json_string(encoded));
 }
 
-/* Only a failure to connect proves that the service did not receive the call. */
+/* Only a failure to connect proves that the store did not receive the call. */
 static skh_error_kind_t error_kind_from_curl(CURLcode code)
 {
 	if (code == CURLE_COULDNT_CONNECT || code == CURLE_COULDNT_RESOLVE_HOST ||
@@ -386,7 +386,7 @@
 	skh_store_record_call();
 	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_watch_bytes);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, &stream);
-	/* TCP keep-alive probes detect a service that no longer responds. */
+	/* TCP keep-alive probes detect a store that no longer responds. */
 	curl_easy_setopt(curl, CURLOPT_TCP_KEEPALIVE, 1L);
 	curl_easy_setopt(curl, CURLOPT_TCP_KEEPIDLE, KEEPALIVE_S);
 	curl_easy_setopt(curl, CURLOPT_TCP_KEEPINTVL, KEEPALIVE_S);
