--- a/src/error.h
+++ b/src/error.h
@@ -35,7 +35,7 @@
 	SKH_OVERLOADED,	     /* no backend server has capacity now or in time */
 	SKH_NO_BACKEND,	     /* no backend server is available, or it could not be reached */
 	SKH_LEAVING, /* this instance or the backend server is leaving and takes no new work */
-	SKH_STALE, /* attempt too late or unknown to this sidecar process; or configuration outdated */
+	SKH_STALE, /* attempt too late or unknown to this sidecar process; or configuration may be outdated */
 	SKH_NOT_READY,	       /* the process is starting or stopping, or has no configuration */
 	SKH_DEADLINE_PASSED,   /* at an entry: the response was not complete at the deadline */
 	SKH_TIMED_OUT,	       /* at a gateway: no response from a server before the deadline */
