--- a/src/attempt_runner.c
+++ b/src/attempt_runner.c
@@ -21,7 +21,7 @@
 
 /* Progress of an attempt. */
 typedef enum attempt_step {
-	STEP_WAITING,	/* in the gate's queue */
+	STEP_QUEUED,	/* in the gate's queue */
 	STEP_CLAIMING,	/* the claim is being written; nothing has run */
 	STEP_RUNNING,	/* at the backend server */
 	STEP_RECORDING, /* ran; the response is being recorded */
@@ -44,8 +44,8 @@
 	/* Only of attempts that need a claim: */
 	char *claim_path;
 	skh_claim_t claim;
-	int64_t claim_revision;	 /* mod revision of the stored record; 0 for none */
-	int64_t end_deadline_us; /* the End frame is sent by then, recorded or not */
+	int64_t claim_revision; /* mod revision of the stored record; 0 for none */
+	int64_t end_deadline_us; /* then the End frame is sent even if the response is not recorded */
 	bool is_end_sent;
 	skh_error_t rejection; /* sent once the claim is released */
 } attempt_t;
@@ -214,7 +214,7 @@
 	remove_attempt(runner, attempt->id, true);
 }
 
-/* Closes the transfer of a running attempt and requests the engine to cancel it. */
+/* Closes the transfer of a running attempt and asks the backend server to cancel it. */
 static void cancel_attempt(skh_attempt_runner_t *runner, uint64_t id)
 {
 	uint64_t transfer_id = SKH_WIRE_LOCAL_ID_BIT | ++runner->n_cancels;
@@ -456,7 +456,7 @@
 	}
 	if (!err && !runner->backend->ops->is_complete(&attempt->parser, status)) {
 		(void)skh_error_set(&incomplete, SKH_BACKEND_FAILED,
-				    "the backend server's response has no end mark");
+				    "the backend server's response has no end marker");
 		err = &incomplete;
 	}
 	if (err)
--- a/src/attempt_runner.h
+++ b/src/attempt_runner.h
@@ -45,7 +45,7 @@
 
 /**
  * skh_attempt_runner_tick() - do the periodic work: expiry, backlog, status changes
- * @ready: the active configuration contains this sidecar's service
+ * @ready: the configuration in force contains this sidecar's service
  * @leaving: reject new and queued attempts
  */
 void skh_attempt_runner_tick(skh_attempt_runner_t *runner, bool ready, bool leaving,
--- a/src/entry.h
+++ b/src/entry.h
@@ -24,7 +24,7 @@
 /**
  * struct skh_entry - state shared by the request handlers of one entry
  * @settings: borrowed
- * @follower: adopts new configuration revisions from @store
+ * @config_watcher: adopts new configuration revisions from @store
  * @admission_lock: guards @admission
  * @in_flight: callers' requests in progress; accessed atomically
  */
--- a/src/gate.c
+++ b/src/gate.c
@@ -19,10 +19,10 @@
 #define INTERVAL_EWMA_RATIO 0.1
 
 typedef enum attempt_state {
-	ATTEMPT_WAITING,
+	ATTEMPT_QUEUED,
 	ATTEMPT_RUNNING,
 	ATTEMPT_ENDED,
-	ATTEMPT_REJECTED /* or fenced; never starts */
+	ATTEMPT_REJECTED /* rejected, or resolved before it arrived; never starts */
 } attempt_state_t;
 
 typedef struct attempt_record {
@@ -46,12 +46,12 @@
 	uint32_t running;
 	uint64_t running_suspect; /* attempt of the crash suspect that runs; 0 for none */
 	GHashTable *attempts;	  /* attempt id -> attempt_record_t, owned */
-	GPtrArray *waiting;	  /* attempt_record_t, borrowed; unordered; the queue is short */
+	GPtrArray *queued;	  /* attempt_record_t, borrowed; unordered; the queue is short */
 	GQueue ended; /* attempt_record_t, borrowed; in order of their end or rejection */
 	skh_fair_queue_t *fair_queue;
 	GQueue evicted; /* attempt_record_t, borrowed; evicted from the queue and not popped yet */
-	/* Start rate while attempts are queued: */
-	int64_t last_start_us;	  /* 0 when the queue was empty since */
+	/* Measured while attempts are queued: */
+	int64_t last_start_us;	  /* 0 when the queue has been empty since */
 	double start_interval_us; /* moving average; 0 for unknown */
 };
 
@@ -64,7 +64,7 @@
 	gate->queue_limit = queue_limit;
 	gate->incarnation = incarnation;
 	gate->attempts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	gate->waiting = g_ptr_array_new();
+	gate->queued = g_ptr_array_new();
 	g_queue_init(&gate->ended);
 	g_queue_init(&gate->evicted);
 	gate->fair_queue = skh_fair_queue_new();
@@ -76,7 +76,7 @@
 	g_queue_clear(&gate->ended);
 	g_queue_clear(&gate->evicted);
 	skh_fair_queue_free(gate->fair_queue);
-	g_ptr_array_unref(gate->waiting);
+	g_ptr_array_unref(gate->queued);
 	g_hash_table_unref(gate->attempts);
 	g_free(gate);
 }
@@ -179,10 +179,10 @@
 
 static void reject_queued(skh_gate_t *gate, attempt_record_t *record)
 {
-	g_ptr_array_remove_fast(gate->waiting, record);
+	g_ptr_array_remove_fast(gate->queued, record);
 	mark_ended(gate, record, ATTEMPT_REJECTED);
 	skh_fair_queue_cancel(gate->fair_queue, record->customer_hash);
-	if (gate->waiting->len == 0)
+	if (gate->queued->len == 0)
 		gate->last_start_us = 0;
 }
 
@@ -192,8 +192,8 @@
 {
 	uint32_t ahead = 0;
 
-	for (size_t i = 0; i < gate->waiting->len; i++)
-		ahead += precedes(gate->waiting->pdata[i], record);
+	for (size_t i = 0; i < gate->queued->len; i++)
+		ahead += precedes(gate->queued->pdata[i], record);
 	return now_us + (int64_t)((double)(ahead + 1) * gate->start_interval_us);
 }
 
@@ -201,8 +201,8 @@
 {
 	attempt_record_t *last = NULL;
 
-	for (size_t i = 0; i < gate->waiting->len; i++) {
-		attempt_record_t *record = gate->waiting->pdata[i];
+	for (size_t i = 0; i < gate->queued->len; i++) {
+		attempt_record_t *record = gate->queued->pdata[i];
 
 		if (!last || precedes(last, record))
 			last = record;
@@ -219,7 +219,7 @@
 {
 	attempt_record_t *last = last_queued(gate);
 
-	if (gate->waiting->len < gate->queue_limit)
+	if (gate->queued->len < gate->queue_limit)
 		return true;
 	if (!last || !precedes(record, last))
 		return false;
@@ -236,7 +236,7 @@
 	bool can_start_in_time = (double)(start_us - now_us) < remaining_us * MAX_QUEUE_TIME_RATIO;
 
 	if (can_start_in_time && make_queue_room(gate, record)) {
-		g_ptr_array_add(gate->waiting, record);
+		g_ptr_array_add(gate->queued, record);
 		return SKH_GATE_DECISION_QUEUE;
 	}
 	(void)skh_error_set(err, SKH_OVERLOADED, "%s",
@@ -248,7 +248,7 @@
 	return SKH_GATE_DECISION_REJECT;
 }
 
-/* A copy of the attempt may have run, and its record may have been evicted. */
+/* A copy of the attempt may have run, and its record may have been removed. */
 static bool is_past_retention(const skh_gate_t *gate, const Skh__Start *start, int64_t now_us)
 {
 	return start->incarnation == gate->incarnation &&
@@ -267,7 +267,7 @@
 			add_rejected(gate, start->attempt, start->start_before_us);
 		return SKH_GATE_DECISION_REJECT;
 	}
-	record = add_record(gate, start->attempt, ATTEMPT_WAITING, start->start_before_us);
+	record = add_record(gate, start->attempt, ATTEMPT_QUEUED, start->start_before_us);
 	record->priority = start->priority;
 	record->suspect = start->suspect;
 	record->arrived_us = now_us;
@@ -303,7 +303,7 @@
 				      int64_t start_before_us, int64_t now_us)
 {
 	static const skh_attempt_status_t statuses[] = {
-		[ATTEMPT_WAITING] = SKH_ATTEMPT_STATUS_QUEUED,
+		[ATTEMPT_QUEUED] = SKH_ATTEMPT_STATUS_QUEUED,
 		[ATTEMPT_RUNNING] = SKH_ATTEMPT_STATUS_RUNNING,
 		[ATTEMPT_ENDED] = SKH_ATTEMPT_STATUS_ENDED,
 		[ATTEMPT_REJECTED] = SKH_ATTEMPT_STATUS_REJECTED,
@@ -312,7 +312,7 @@
 
 	if (record)
 		return statuses[record->state];
-	/* The record of an attempt past its latest start may have been evicted. */
+	/* The record of an attempt past its latest start may have been removed. */
 	if (start_before_us <= now_us || incarnation != gate->incarnation)
 		return SKH_ATTEMPT_STATUS_UNKNOWN;
 	add_rejected(gate, attempt, start_before_us);
@@ -349,7 +349,7 @@
 		else
 			gate->start_interval_us = interval_us;
 	}
-	gate->last_start_us = gate->waiting->len > 0 ? now_us : 0;
+	gate->last_start_us = gate->queued->len > 0 ? now_us : 0;
 }
 
 /* Selects the first attempt of each priority, then the one with the best aged priority. */
@@ -358,8 +358,8 @@
 	attempt_record_t *first_of_priority[MAX_PRIORITIES] = { NULL };
 	attempt_record_t *best = NULL;
 
-	for (size_t i = 0; i < gate->waiting->len; i++) {
-		attempt_record_t *record = gate->waiting->pdata[i];
+	for (size_t i = 0; i < gate->queued->len; i++) {
+		attempt_record_t *record = gate->queued->pdata[i];
 		attempt_record_t **head =
 			&first_of_priority[MIN(record->priority, MAX_PRIORITIES - 1)];
 
@@ -382,7 +382,7 @@
 
 	if (!next)
 		return 0;
-	g_ptr_array_remove_fast(gate->waiting, next);
+	g_ptr_array_remove_fast(gate->queued, next);
 	update_start_interval(gate, now_us);
 	begin_running(gate, next);
 	return next->attempt;
@@ -402,7 +402,7 @@
 	return last->attempt;
 }
 
-static void evict_expired(skh_gate_t *gate, int64_t now_us)
+static void remove_expired_records(skh_gate_t *gate, int64_t now_us)
 {
 	while (!g_queue_is_empty(&gate->ended)) {
 		attempt_record_t *oldest = g_queue_peek_head(&gate->ended);
@@ -416,15 +416,15 @@
 
 uint64_t skh_gate_expire_next(skh_gate_t *gate, int64_t now_us)
 {
-	for (size_t i = 0; i < gate->waiting->len; i++) {
-		attempt_record_t *record = gate->waiting->pdata[i];
+	for (size_t i = 0; i < gate->queued->len; i++) {
+		attempt_record_t *record = gate->queued->pdata[i];
 
 		if (record->start_before_us <= now_us) {
 			reject_queued(gate, record);
 			return record->attempt;
 		}
 	}
-	evict_expired(gate, now_us);
+	remove_expired_records(gate, now_us);
 	skh_fair_queue_evict_idle(gate->fair_queue);
 	return reject_overdue(gate, now_us);
 }
@@ -441,9 +441,9 @@
 {
 	attempt_record_t *record;
 
-	if (gate->phase != SKH_PHASE_LEAVING || gate->waiting->len == 0)
+	if (gate->phase != SKH_PHASE_LEAVING || gate->queued->len == 0)
 		return 0;
-	record = gate->waiting->pdata[0];
+	record = gate->queued->pdata[0];
 	reject_queued(gate, record);
 	return record->attempt;
 }
@@ -466,7 +466,7 @@
 
 uint32_t skh_gate_queued(const skh_gate_t *gate)
 {
-	return gate->waiting->len;
+	return gate->queued->len;
 }
 
 size_t skh_gate_retained(const skh_gate_t *gate)
--- a/src/gate.h
+++ b/src/gate.h
@@ -5,7 +5,7 @@
  * DOC: Gate
  *
  * Admission control and queue of a sidecar: decides which attempts start at
- * its backend server, wait or are rejected. Pure state; the owner serialises
+ * its backend server, are queued or are rejected. Pure state; the owner serialises
  * calls and passes the time in microseconds on the sidecar's clock.
  *
  * Guarantees: an attempt starts at most once, and a rejected attempt never
@@ -15,7 +15,7 @@
  * start on this sidecar's clock, and its outcome is retained for
  * SKH_GATE_RETENTION_US after that time. Within that period an attempt without
  * a record never ran, and a copy of it is rejected. Later the record may have
- * been evicted although the attempt ran, so a copy is ignored.
+ * been removed although the attempt ran, so a copy is ignored.
  */
 
 #include "error.h"
@@ -63,7 +63,7 @@
  * skh_gate_admit() - decide about an attempt that has arrived
  *
  * An attempt with no_queue set is rejected unless it can start at once, so that
- * its entry can try a server with free capacity.
+ * its entry can try a sidecar with free capacity.
  * Return: the decision; @err is set for SKH_GATE_DECISION_REJECT.
  */
 skh_gate_decision_t skh_gate_admit(skh_gate_t *gate, const Skh__Start *start, int64_t now_us,
@@ -90,8 +90,8 @@
  * @incarnation: sidecar process that the attempt was addressed to
  * @start_before_us: latest start of the attempt
  *
- * An attempt without a record is fenced when it may still arrive: its state
- * becomes SKH_ATTEMPT_STATUS_REJECTED and it never starts. Attempts of an
+ * An attempt without a record is recorded as rejected when it may still arrive:
+ * its state becomes SKH_ATTEMPT_STATUS_REJECTED and it never starts. Attempts of an
  * earlier process are unknown.
  * Return: the state to report.
  */
@@ -115,7 +115,7 @@
 /**
  * skh_gate_expire_next() - remove one queued attempt that can't start in time; 0 for none
  *
- * The owner rejects the returned attempt and calls again. Also evicts records
+ * The owner rejects the returned attempt and calls again. Also removes records
  * past their retention.
  */
 uint64_t skh_gate_expire_next(skh_gate_t *gate, int64_t now_us);
--- a/src/link.c
+++ b/src/link.c
@@ -37,7 +37,7 @@
 	skh_peer_t *peer; /* borrowed; the table keeps a peer that has requests in flight */
 	uint64_t incarnation;
 	int64_t start_before_us; /* on the sidecar's clock */
-	int64_t next_ask_us;	 /* without a frame until then, an Ask is sent */
+	int64_t next_ask_us;	 /* an Ask is sent then, unless a frame arrives earlier */
 } pending_attempt_t;
 
 struct skh_link {
@@ -361,7 +361,7 @@
 static void *run_link_thread(void *argument)
 {
 	skh_link_t *link = argument;
-	int64_t tick_at_us = 0;
+	int64_t next_tick_us = 0;
 
 	while (!__atomic_load_n(&link->stop_requested, __ATOMIC_ACQUIRE)) {
 		zmq_pollitem_t items[] = {
@@ -374,9 +374,9 @@
 			send_queued(link);
 		for (int32_t i = 0; i < MAX_FRAMES_PER_POLL && receive_frame(link); i++)
 			continue;
-		if (skh_clock_now_us() >= tick_at_us) {
+		if (skh_clock_now_us() >= next_tick_us) {
 			tick(link);
-			tick_at_us = skh_clock_now_us() + TICK_INTERVAL_MS * SKH_US_PER_MS;
+			next_tick_us = skh_clock_now_us() + TICK_INTERVAL_MS * SKH_US_PER_MS;
 		}
 	}
 	return NULL;
@@ -425,7 +425,7 @@
 {
 	skh_link_t *link = g_new0(skh_link_t, 1);
 
-	/* The suffix tells a restarted entry's connections from those of the earlier process. */
+	/* The suffix distinguishes a restarted entry's connections from the earlier process's. */
 	link->entry_id = g_strdup_printf("%s-%08x", settings->id, (uint32_t)skh_random_u64());
 	link->board = board;
 	link->settings = settings;
--- a/src/link.h
+++ b/src/link.h
@@ -61,7 +61,7 @@
 
 /**
  * skh_link_record_request() - count a new request of @customer
- * @prefix_hash: hash of the prompt's start; 0 for none
+ * @prefix_hash: hash of the prompt's prefix; 0 for none
  * Return: the fraction of recent requests that have the same prefix; 0 without a prefix.
  */
 double skh_link_record_request(skh_link_t *link, const char *customer, uint64_t prefix_hash);
--- a/src/request_fsm.c
+++ b/src/request_fsm.c
@@ -21,7 +21,7 @@
 static skh_request_action_t fail(skh_request_fsm_t *fsm, const skh_error_t *cause)
 {
 	fsm->error = *cause;
-	/* The caller has received part of the response: any cause but the deadline is a cut-off. */
+	/* A failure in the middle of a stream is reported as cut off, unless the deadline passed. */
 	if (fsm->is_streaming && fsm->forwarded_events > 0 && cause->kind != SKH_DEADLINE_PASSED)
 		fsm->error.kind = SKH_CUT_OFF;
 	fsm->error.run_state = skh_request_fsm_run_state(fsm);
@@ -169,7 +169,7 @@
 		fsm->may_have_run = true;
 		return SKH_REQUEST_ACTION_WAIT;
 	}
-	/* Counted apart, because a stall does not suggest that the request crashes servers. */
+	/* Silence has its own limit: a stall does not suggest that the request crashes servers. */
 	if (loss == SKH_SIDECAR_LOSS_SILENT)
 		fsm->silent_losses++;
 	else
--- a/src/request_fsm.h
+++ b/src/request_fsm.h
@@ -7,8 +7,8 @@
  * The state of one request at an entry: which attempt is current, which frames
  * belong to earlier attempts, when a request is retried or a stream resumed, and
  * what is known about whether the request ran. Pure state without I/O; the
- * caller reports events and carries out the returned action. The owner
- * serialises calls. Times are in microseconds on the entry's monotonic clock.
+ * owner reports events, carries out the returned action and serialises calls.
+ * Times are in microseconds on the entry's monotonic clock.
  *
  * Only an attempt that was never sent, or a rejection by the sidecar, proves
  * that the request did not run; a missing response never does. A non-idempotent
@@ -50,7 +50,7 @@
 
 /**
  * struct skh_request_fsm - state of one request
- * @idempotent: the request may be retried when its outcome is unknown
+ * @is_idempotent: the request may be retried when its outcome is unknown
  * @is_streaming: data is forwarded to the caller as it arrives; otherwise it is buffered
  * @deadline_us: time by which the response must be complete
  * @state: state of the current attempt
@@ -59,7 +59,7 @@
  * @forwarded_events: complete stream events forwarded to the caller; the owner resets the count
  *                    when it discards a response that the caller has not seen
  * @dispatches: attempts sent so far
- * @may_queue: set by the owner when it found no server with free capacity: attempts may be queued
+ * @may_queue: set by the owner when it found no sidecar with free capacity: attempts may be queued
  * @overload_rejections: rejections as overloaded since @may_queue was set
  * @losses: attempts that were sent and then lost or failed, other than by silence
  * @silent_losses: attempts abandoned because their sidecar was silent past its timeout
@@ -85,7 +85,7 @@
 	skh_error_t error;
 } skh_request_fsm_t;
 
-/* Limits per request: no attempt is dispatched once a count above has reached its limit. */
+/* No attempt is dispatched once a counter of struct skh_request_fsm has reached its limit. */
 #define SKH_REQUEST_FSM_MAX_DISPATCHES		16
 #define SKH_REQUEST_FSM_MAX_LOSSES		2
 #define SKH_REQUEST_FSM_MAX_SILENT_LOSSES	3
--- a/src/serve.c
+++ b/src/serve.c
@@ -66,7 +66,7 @@
 	serving->query.n_tried++;
 }
 
-/* Makes the servers that rejected the request as overloaded eligible again, now to queue it. */
+/* Makes the sidecars that rejected the request as overloaded eligible again, now to queue it. */
 static void allow_queueing(serving_t *serving)
 {
 	size_t n_kept = 0;
@@ -165,7 +165,7 @@
 
 	if (now_us >= request->deadline_us)
 		return skh_request_fsm_on_deadline(&serving->fsm);
-	/* The caller has seen nothing of an earlier attempt's response, so it is discarded. */
+	/* Discards an earlier attempt's response if the caller has received none of it. */
 	if (!serving->has_begun) {
 		skh_buffer_clear(&serving->body);
 		serving->fsm.forwarded_events = 0;
@@ -284,6 +284,7 @@
 	}
 }
 
+/* Return: true when @event proves that the attempt did not run: rejected or not sent. */
 static bool is_rejection(const skh_attempt_event_t *event)
 {
 	if (event->type == SKH_ATTEMPT_EVENT_FRAME)
@@ -360,7 +361,7 @@
 					serving->is_replayed);
 }
 
-/* Sets the error for an end outside the state machine: caller gone or response too long. */
+/* Sets the error for an end outside the state machine: caller disconnected or response too long. */
 static void set_abort_error(serving_t *serving)
 {
 	skh_error_t *err = &serving->fsm.error;
--- a/src/serve.h
+++ b/src/serve.h
@@ -24,8 +24,8 @@
  * @weight: relative share of the customer
  * @failure_domain: failure domain of this entry
  * @idempotency_key: "" for none
- * @prefix_hash: hash of the prompt's start; 0 for no affinity
- * @accepted_at_us: arrival, on the monotonic clock
+ * @prefix_hash: hash of the prompt's prefix; 0 for no affinity
+ * @received_us: arrival, on the monotonic clock
  * @deadline_us: time by which the response must be complete, on the monotonic clock
  */
 typedef struct skh_entry_request {
@@ -63,7 +63,7 @@
 	bool (*end)(skh_response_sink_t *sink);
 	bool (*send_complete)(skh_response_sink_t *sink, int32_t status, const char *content_type,
 			      skh_chunk_t body, bool replayed);
-	/* Before begin() an error response; afterwards an error event without an end mark. */
+	/* Before begin() an error response; afterwards an error event without an end marker. */
 	void (*fail)(skh_response_sink_t *sink, const skh_error_t *err);
 } skh_response_sink_ops_t;
 
