--- a/src/gate.h
+++ b/src/gate.h
@@ -90,8 +90,8 @@
  * @incarnation: sidecar process that the attempt was addressed to
  * @start_before_us: latest start of the attempt
  *
- * An attempt without a record is recorded as rejected when it may still arrive:
- * its state becomes SKH_ATTEMPT_STATUS_REJECTED and it never starts. Attempts of an
+ * An attempt without a record that may still arrive is recorded as rejected, so
+ * that it never starts. Attempts of an
  * earlier process are unknown.
  * Return: the state to report.
  */
--- a/src/link.c
+++ b/src/link.c
@@ -51,7 +51,7 @@
 	bool stop_requested;
 	struct cds_wfcq_head queue_head;
 	struct cds_wfcq_tail queue_tail;
-	GMutex lock; /* guards the fields below */
+	GMutex lock; /* guards the fields below, except as noted */
 	skh_peers_t *peers;
 	skh_prefix_share_t *prefix_share;
 	skh_retry_budget_t *retry_budget;
--- a/src/serve.c
+++ b/src/serve.c
@@ -36,7 +36,7 @@
 	int32_t status;
 	char content_type[SKH_WIRE_MAX_NAME_BYTES + 1];
 	bool has_begun; /* the caller has received the start of the stream */
-	bool is_caller_gone;
+	bool is_caller_disconnected;
 	bool is_too_long;	   /* the response exceeds MAX_BUFFERED_BYTES */
 	bool is_replayed;	   /* the response was recorded by an earlier run */
 	skh_buffer_t body;	   /* response that is not streamed */
@@ -222,11 +222,12 @@
 		if (!serving->has_begun) {
 			observe_first_byte(serving);
 			serving->has_begun = true;
-			serving->is_caller_gone = !serving->sink->ops->begin(
+			serving->is_caller_disconnected = !serving->sink->ops->begin(
 				serving->sink, serving->status, serving->content_type);
 		}
-		if (!serving->is_caller_gone)
-			serving->is_caller_gone = !serving->sink->ops->write(serving->sink, bytes);
+		if (!serving->is_caller_disconnected)
+			serving->is_caller_disconnected =
+				!serving->sink->ops->write(serving->sink, bytes);
 		skh_metrics_add(SKH_COUNT_STREAM_EVENTS, data->events);
 	} else {
 		skh_buffer_append(&serving->body, bytes);
@@ -394,7 +395,7 @@
 {
 	skh_request_action_t action = SKH_REQUEST_ACTION_DISPATCH;
 
-	while (!serving->is_caller_gone && !serving->is_too_long) {
+	while (!serving->is_caller_disconnected && !serving->is_too_long) {
 		if (action == SKH_REQUEST_ACTION_DISPATCH) {
 			if (serving->is_attempt_lost)
 				wait_for_retry_budget(serving);
--- a/test/gate_test.cc
+++ b/test/gate_test.cc
@@ -79,7 +79,7 @@
 		  SKH_ATTEMPT_STATUS_REJECTED);
 }
 
-TEST(Gate, AFencedAttemptThatArrivesLaterIsNotStarted)
+TEST(Gate, AnAttemptResolvedBeforeItArrivesIsNotStarted)
 {
 	GatePtr gate = open_gate(1, 1);
 
@@ -96,7 +96,7 @@
 		  SKH_ATTEMPT_STATUS_UNKNOWN);
 }
 
-TEST(Gate, AnEvictedAttemptIsUnknownNotRejected)
+TEST(Gate, AnAttemptPastRetentionIsUnknownNotRejected)
 {
 	GatePtr gate = open_gate(1, 1);
 
@@ -111,7 +111,7 @@
 		  SKH_ATTEMPT_STATUS_UNKNOWN);
 }
 
-// A copy of a Start frame that arrived after the attempt had ended and its record had been evicted
+// A copy of a Start frame that arrived after the attempt had ended and its record had been removed
 // was rejected, which reports "not run" although the attempt ran. Found by make soak, seed 1925.
 TEST(Gate, ALateCopyOfAnEndedAttemptIsNeverRejected)
 {
@@ -124,7 +124,7 @@
 		EXPECT_EQ(skh_gate_expire_next(gate.get(), now_us), 0U);
 		EXPECT_EQ(admit(gate.get(), make_start(1, 100), now_us), SKH_GATE_DECISION_IGNORE);
 	}
-	/* Within the retention, an attempt without a record did not run. */
+	/* Within its retention period, an attempt without a record is known not to have run. */
 	EXPECT_EQ(admit(gate.get(), make_start(2, 100), 200), SKH_GATE_DECISION_REJECT);
 }
 
@@ -170,7 +170,7 @@
 	EXPECT_EQ(skh_gate_expire_next(gate.get(), 50), 2U);
 }
 
-// Reference model, with which the gate must agree: keeps all outcomes without eviction.
+// Reference model, with which the gate must agree: keeps all outcomes and removes none.
 struct ReferenceModel {
 	std::set<uint64_t> started;
 	std::set<uint64_t> rejected;
--- a/test/history_test.cc
+++ b/test/history_test.cc
@@ -1,8 +1,8 @@
 // Simulates callers, entries, sidecars, a network and a key-value service in virtual time, with
 // random faults that may coincide. Entries and sidecars use the product's state machine, gate,
 // claim and batch code. Guards against a request that runs twice, a wrong report of whether it ran,
-// and a response that is incomplete or belongs to another request. The check must detect each
-// injected fault.
+// and a response that is incomplete or belongs to another request. check_history() must detect
+// each injected fault.
 #include "batch.h"
 #include "claim.h"
 #include "clock.h"
@@ -731,7 +731,7 @@
 		remove_attempt(index, id, true);
 	}
 
-	// The check.
+	// Check of the history, after the simulation.
 
 	std::string check_history()
 	{
@@ -807,7 +807,7 @@
 		n_not_run += simulation.n_not_run;
 		n_unknown += simulation.n_unknown;
 	}
-	/* Without enough of each outcome the check proves nothing. */
+	/* Without enough requests of each outcome, runs without a finding prove little. */
 	EXPECT_GT(n_complete, 1000);
 	EXPECT_GT(n_not_run, 50);
 	EXPECT_GT(n_unknown, 50);
