--- a/src/link.c
+++ b/src/link.c
@@ -93,7 +93,7 @@
 	enqueue_outgoing(link, new_outgoing(link, peer_id, frame));
 }
 
-/* Return: false when the peer is not connected, which ZMQ_ROUTER_MANDATORY reports. */
+/* Return: false when the peer is not connected or its send queue is full (ZMQ_ROUTER_MANDATORY). */
 static bool transmit_frame(skh_link_t *link, const outgoing_t *item)
 {
 	size_t peer_id_len = strlen(item->peer_id);
