--- a/src/serve.c
+++ b/src/serve.c
@@ -36,7 +36,7 @@
 	int32_t status;
 	char content_type[SKH_WIRE_MAX_NAME_BYTES + 1];
 	bool has_begun; /* the caller has received the start of the stream */
-	bool is_caller_gone;
+	bool is_caller_disconnected;
 	bool is_too_long;	   /* the response exceeds MAX_BUFFERED_BYTES */
 	bool is_replayed;	   /* the response was recorded by an earlier run */
 	skh_buffer_t body;	   /* response that is not streamed */
@@ -66,7 +66,7 @@
 	serving->query.n_tried++;
 }
 
-/* Makes the servers that rejected the request as overloaded eligible again, now to queue it. */
+/* Makes the sidecars that rejected the request as overloaded eligible again, now to queue it. */
 static void allow_queueing(serving_t *serving)
 {
 	size_t n_kept = 0;
@@ -165,7 +165,7 @@
 
 	if (now_us >= request->deadline_us)
 		return skh_request_fsm_on_deadline(&serving->fsm);
-	/* The caller has seen nothing of an earlier attempt's response, so it is discarded. */
+	/* Discards an earlier attempt's response if the caller has received none of it. */
 	if (!serving->has_begun) {
 		skh_buffer_clear(&serving->body);
 		serving->fsm.forwarded_events = 0;
@@ -222,11 +222,12 @@
 		if (!serving->has_begun) {
 			observe_first_byte(serving);
 			serving->has_begun = true;
-			serving->is_caller_gone = !serving->sink->ops->begin(
+			serving->is_caller_disconnected = !serving->sink->ops->begin(
 				serving->sink, serving->status, serving->content_type);
 		}
-		if (!serving->is_caller_gone)
-			serving->is_caller_gone = !serving->sink->ops->write(serving->sink, bytes);
+		if (!serving->is_caller_disconnected)
+			serving->is_caller_disconnected =
+				!serving->sink->ops->write(serving->sink, bytes);
 		skh_metrics_add(SKH_COUNT_STREAM_EVENTS, data->events);
 	} else {
 		skh_buffer_append(&serving->body, bytes);
@@ -284,6 +285,7 @@
 	}
 }
 
+/* Return: true when @event proves that the attempt did not run: rejected or not sent. */
 static bool is_rejection(const skh_attempt_event_t *event)
 {
 	if (event->type == SKH_ATTEMPT_EVENT_FRAME)
@@ -360,7 +362,7 @@
 					serving->is_replayed);
 }
 
-/* Sets the error for an end outside the state machine: caller gone or response too long. */
+/* Sets the error for an end outside the state machine: caller disconnected or response too long. */
 static void set_abort_error(serving_t *serving)
 {
 	skh_error_t *err = &serving->fsm.error;
@@ -393,7 +395,7 @@
 {
 	skh_request_action_t action = SKH_REQUEST_ACTION_DISPATCH;
 
-	while (!serving->is_caller_gone && !serving->is_too_long) {
+	while (!serving->is_caller_disconnected && !serving->is_too_long) {
 		if (action == SKH_REQUEST_ACTION_DISPATCH) {
 			if (serving->is_attempt_lost)
 				wait_for_retry_budget(serving);
