--- a/src/http.c
+++ b/src/http.c
@@ -69,7 +69,7 @@
 	if (kind == SKH_BAD_REQUEST)
 		message = "the request is malformed, or its headers are over " MAX_HEADERS_BYTES
 			  " bytes";
-	(void)skh_error_set(&err, kind, "%s", message && *message ? message : "rejected");
+	(void)skh_error_set(&err, kind, "%s", message && *message ? message : "refused");
 	err.run_state = SKH_RUN_NOT_RUN;
 	skh_http_disable_keep_alive(&request);
 	skh_http_respond_problem(&request, &err);
--- a/test/standin/engine.c
+++ b/test/standin/engine.c
@@ -6,7 +6,7 @@
  *   GET /runs                                   list all runs
  *   GET /orders                                 list the orders received
  *   POST /fault {"cut_after":N}                 close the next response after N tokens
- *                                               without its end mark
+ *                                               without its end marker
  *   POST /fault {"exit_after":N}                exit after N tokens
  *   POST /fault {"stall_after":N,"ms":M}        pause the next response after N tokens for M ms
  *   POST /fault {"order_ms":N}                  delay each order by N ms
