--- a/bench/replay_admit.c
+++ b/bench/replay_admit.c
@@ -7,9 +7,9 @@
  */
 #include "clock.h"
 #include "gate.h"
-#include "request_fsm.h"
-#include "replay.h"
 #include "peer_selection.h"
+#include "replay.h"
+#include "request_fsm.h"
 
 #include <glib.h>
 #include <math.h>
--- a/bench/replay_balance.c
+++ b/bench/replay_balance.c
@@ -6,9 +6,9 @@
  *
  * Usage: replay-balance [COPY_COST]
  */
-#include "rebalance.h"
 #include "forecast.h"
 #include "naive_balance.h"
+#include "rebalance.h"
 #include "replay.h"
 
 #include <glib.h>
--- a/bench/replay_route.c
+++ b/bench/replay_route.c
@@ -7,9 +7,9 @@
  * Usage: replay-route [LOAD_PERCENT]
  */
 #include "clock.h"
+#include "peer_selection.h"
 #include "prefix_share.h"
 #include "replay.h"
-#include "peer_selection.h"
 
 #include <glib.h>
 #include <math.h>
--- a/fuzz/fuzz_json.c
+++ b/fuzz/fuzz_json.c
@@ -1,7 +1,7 @@
 /* JSON from the store: configuration heads, claims and instances. */
 #include "claim.h"
-#include "instances.h"
 #include "config_parts.h"
+#include "instances.h"
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
--- a/fuzz/fuzz_manifest.c
+++ b/fuzz/fuzz_manifest.c
@@ -1,7 +1,7 @@
 /* Manifests: an accepted manifest must not change when split into parts and merged. */
-#include "manifest_diff.h"
-#include "manifest.h"
 #include "config_parts.h"
+#include "manifest.h"
+#include "manifest_diff.h"
 
 #include <stdlib.h>
 
--- a/src/apply.h
+++ b/src/apply.h
@@ -12,8 +12,8 @@
  * their thread; the functions keep no state of their own.
  */
 
-#include "manifest.h"
 #include "config_parts.h"
+#include "manifest.h"
 #include "store.h"
 
 #ifdef __cplusplus
--- a/src/attempt_runner.c
+++ b/src/attempt_runner.c
@@ -4,8 +4,8 @@
 #include "claim_writer.h"
 #include "clock.h"
 #include "fetch.h"
-#include "metrics.h"
 #include "frame_sender.h"
+#include "metrics.h"
 
 #include <glib.h>
 #include <inttypes.h>
--- a/src/attempt_runner.h
+++ b/src/attempt_runner.h
@@ -15,8 +15,8 @@
 #include "board.h"
 #include "engine.h"
 #include "gate.h"
-#include "sidecar_link.h"
 #include "settings.h"
+#include "sidecar_link.h"
 #include "store.h"
 
 #ifdef __cplusplus
--- a/src/backends.h
+++ b/src/backends.h
@@ -11,12 +11,12 @@
  */
 
 #include "group_breaker.h"
-#include "server_selection.h"
+#include "request_queue.h"
 #include "retry_share.h"
 #include "roster.h"
 #include "routing.h"
+#include "server_selection.h"
 #include "upstream.h"
-#include "request_queue.h"
 
 #ifdef __cplusplus
 extern "C" {
--- a/src/balancer.c
+++ b/src/balancer.c
@@ -4,15 +4,15 @@
 #include "admin.h"
 #include "clock.h"
 #include "coordinator.h"
-#include "count_reporter.h"
 #include "count_codec.h"
+#include "count_reporter.h"
 #include "election.h"
 #include "feed.h"
 #include "log.h"
 #include "metrics.h"
 #include "process.h"
-#include "rankrelay.h"
 #include "rank_poller.h"
+#include "rankrelay.h"
 #include "settings_watcher.h"
 
 #include <inttypes.h>
--- a/src/board.h
+++ b/src/board.h
@@ -10,8 +10,8 @@
  * length of time, and writers never wait for readers.
  */
 
-#include "manifest.h"
 #include "instances.h"
+#include "manifest.h"
 #include "roster.h"
 #include "routing.h"
 
--- a/src/cmd.c
+++ b/src/cmd.c
@@ -1,7 +1,7 @@
 #include "cmd.h"
 
-#include "entry.h"
 #include "balancer.h"
+#include "entry.h"
 #include "gateway.h"
 #include "sidecar.h"
 
--- a/src/config_admin.c
+++ b/src/config_admin.c
@@ -2,8 +2,8 @@
 
 #include "apply.h"
 #include "config_watcher.h"
-#include "manifest_diff.h"
 #include "fleet.h"
+#include "manifest_diff.h"
 
 #include <glib.h>
 
--- a/src/config_watcher.c
+++ b/src/config_watcher.c
@@ -1,10 +1,10 @@
 #include "config_watcher.h"
 
 #include "clock.h"
+#include "config_parts.h"
 #include "log.h"
 #include "metrics.h"
 #include "mirror.h"
-#include "config_parts.h"
 
 #include <inttypes.h>
 #include <string.h>
--- a/src/frame_sender.h
+++ b/src/frame_sender.h
@@ -14,8 +14,8 @@
 #include "board.h"
 #include "engine.h"
 #include "gate.h"
-#include "sidecar_link.h"
 #include "settings.h"
+#include "sidecar_link.h"
 
 #ifdef __cplusplus
 extern "C" {
--- a/src/group_member.h
+++ b/src/group_member.h
@@ -15,8 +15,8 @@
 
 #include "backend.h"
 #include "board.h"
-#include "sidecar_link.h"
 #include "settings.h"
+#include "sidecar_link.h"
 #include "store.h"
 
 #ifdef __cplusplus
--- a/src/leader.c
+++ b/src/leader.c
@@ -1,9 +1,9 @@
 #include "leader.h"
 
 #include "clock.h"
+#include "doc_node.h"
 #include "log.h"
 #include "metrics.h"
-#include "doc_node.h"
 
 #include <inttypes.h>
 #include <pthread.h>
--- a/src/link.c
+++ b/src/link.c
@@ -1,11 +1,11 @@
 #include "link.h"
 
-#include "retry_budget.h"
 #include "clock.h"
-#include "prefix_share.h"
 #include "curve_auth.h"
 #include "log.h"
 #include "metrics.h"
+#include "prefix_share.h"
+#include "retry_budget.h"
 
 #include <urcu/wfcqueue.h>
 
--- a/src/log.c
+++ b/src/log.c
@@ -1,6 +1,6 @@
 #define G_LOG_USE_STRUCTURED
-#include "log.h"
 #include "clock.h"
+#include "log.h"
 
 #include <glib.h>
 #include <jansson.h>
--- a/src/mapplan.c
+++ b/src/mapplan.c
@@ -1,7 +1,7 @@
 #include "mapplan.h"
 
-#include "rebalance.h"
 #include "greedy_rebalance.h"
+#include "rebalance.h"
 
 #include <glib.h>
 #include <string.h>
--- a/src/sidecar.c
+++ b/src/sidecar.c
@@ -1,14 +1,14 @@
 #include "sidecar.h"
 
 #include "admin.h"
+#include "attempt_runner.h"
 #include "board.h"
 #include "clock.h"
 #include "config_watcher.h"
 #include "group_member.h"
 #include "log.h"
-#include "sidecar_link.h"
 #include "process.h"
-#include "attempt_runner.h"
+#include "sidecar_link.h"
 
 #include <string.h>
 
--- a/test/core_test.cc
+++ b/test/core_test.cc
@@ -1,9 +1,9 @@
 // Errors, buffers, document trees, metrics and the blackboard.
 #include "board.h"
 #include "buffer.h"
+#include "doc_node.h"
 #include "error.h"
 #include "metrics.h"
-#include "doc_node.h"
 
 #include <gtest/gtest.h>
 
--- a/test/gateway_core_test.cc
+++ b/test/gateway_core_test.cc
@@ -4,12 +4,12 @@
 #include "event_stream.h"
 #include "group_breaker.h"
 #include "http_message.h"
-#include "server_selection.h"
+#include "request_queue.h"
+#include "retry_policy.h"
 #include "retry_share.h"
 #include "roster.h"
 #include "routing.h"
-#include "retry_policy.h"
-#include "request_queue.h"
+#include "server_selection.h"
 
 #include <gtest/gtest.h>
 
--- a/test/greedy_rebalance_test.cc
+++ b/test/greedy_rebalance_test.cc
@@ -4,9 +4,9 @@
 #include "count_codec.h"
 #include "fence.h"
 #include "forecast.h"
+#include "greedy_rebalance.h"
 #include "mapplan.h"
 #include "rankrelay.h"
-#include "greedy_rebalance.h"
 #include "zipf.h"
 
 #include <gtest/gtest.h>
--- a/test/peer_selection_test.cc
+++ b/test/peer_selection_test.cc
@@ -1,7 +1,7 @@
 // Selection of a sidecar by an entry; load, loss and replacement of peers; share of a prefix.
 #include "clock.h"
-#include "prefix_share.h"
 #include "peer_selection.h"
+#include "prefix_share.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/test/rebalance_test.cc
+++ b/test/rebalance_test.cc
@@ -1,6 +1,6 @@
 // Rebalance plans keep every expert available, are worth their cost and converge.
-#include "rebalance.h"
 #include "forecast.h"
+#include "rebalance.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
